--- a/crates/siskinyoke-dispatch/src/message.rs
+++ b/crates/siskinyoke-dispatch/src/message.rs
@@ -26,8 +26,10 @@
     /// Units of an organisation's quota.
     Units(UnitsNeed),
     /// A place at an endpoint for one request, from another shard.
+    #[serde(rename = "Place")]
     Place(PlaceNeed),
     /// A place at an endpoint whose rate limit the receiver holds a part of, from an instance of the same shard.
+    #[serde(rename = "Reserved")]
     Reserved(PlaceNeed),
 }
 
@@ -48,16 +50,21 @@
     /// Whether its answer comes as events.
     pub stream: bool,
     /// Tokens of prompt.
+    #[serde(rename = "prompt")]
     pub prompt: u32,
     /// Tokens of output that are expected.
+    #[serde(rename = "output")]
     pub output: u32,
     /// Its latency objective, in ms.
+    #[serde(rename = "aim")]
     pub aim: u32,
     /// The longest pause between two events, in ms.
+    #[serde(rename = "gap")]
     pub gap: u32,
     /// How long it has waited, in ms.
     pub waited: u32,
     /// How long its caller goes on waiting, in ms.
+    #[serde(rename = "left")]
     pub left: u32,
 }
 
@@ -65,9 +72,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
     /// Nothing: it has none to spare.
+    #[serde(rename = "Nothing")]
     Nothing,
     /// So many units, which it has taken off its own part.
     Units(u64),
     /// A place at this endpoint, counted as taken until it is returned.
+    #[serde(rename = "Place")]
     Place(EndpointKey),
 }
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -25,18 +25,21 @@
     /// The store's revision up to which it knows everything; 0 before it has read any.
     pub revision: u64,
     /// Whether its last call of the store succeeded.
+    #[serde(rename = "reaches")]
     pub reaches: bool,
     /// Its requests at each endpoint.
     pub running: Vec<Busy>,
     /// Its waiting requests by service and order.
     pub waiting: Vec<Waiting>,
     /// Units used by organisation since its start, less those that other shards gave.
+    #[serde(rename = "spent")]
     pub spent: Vec<(u32, i64)>,
     /// Rate limits that endpoints name, while there are any.
     pub limits: Vec<LimitRow>,
     /// The answers of versions on trial, while there are any.
     pub canaries: Vec<Canary>,
     /// What changes seldom, in a few reports a second.
+    #[serde(rename = "about")]
     pub about: Option<About>,
 }
 
@@ -48,8 +51,10 @@
     /// How many run there.
     pub count: u16,
     /// Prompt tokens of those whose answer has not begun.
+    #[serde(rename = "unread")]
     pub unread: u32,
     /// The endpoint's pace as the sender has seen it, in eighths of what is usual; 0 if it has not.
+    #[serde(rename = "pace")]
     pub pace: u8,
 }
 
@@ -57,8 +62,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
     /// Where callers reach it.
+    #[serde(rename = "front")]
     pub front: String,
     /// Where peers reach it.
+    #[serde(rename = "inner")]
     pub inner: String,
     /// Its data centre.
     pub centre: String,
@@ -70,8 +77,10 @@
     /// Its name.
     pub name: String,
     /// Where it is found.
+    #[serde(rename = "place")]
     pub place: Place,
     /// Endpoints it knows to be leaving or gone.
+    #[serde(rename = "leavers")]
     pub leavers: Vec<EndpointKey>,
     /// Work that crashed endpoints, with the starts of these.
     pub quarantine: Vec<(u64, Vec<u32>)>,
@@ -89,8 +98,10 @@
     /// How many wait.
     pub count: u16,
     /// How long the first of them has waited, in ms, with its head start.
+    #[serde(rename = "oldest")]
     pub oldest: u32,
     /// How long they keep a place of the usual pace busy, in ms.
+    #[serde(rename = "work")]
     pub work: u32,
 }
 
@@ -115,6 +126,7 @@
     /// How long the order has been known, in ms.
     pub age: u64,
     /// Whether the version was found to be bad.
+    #[serde(rename = "condemned")]
     pub condemned: bool,
     /// The answers by route.
     pub samples: Vec<CanaryRow>,
@@ -128,6 +140,7 @@
     /// Those of the new version.
     pub new: (u16, u16),
     /// Those of the standing version.
+    #[serde(rename = "standing")]
     pub standing: (u16, u16),
     /// Some endpoints of the new version that gave bad ones, by shortened key.
     pub endpoints: Vec<u32>,
