--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -25,8 +25,8 @@
 use crate::peers::Peers;
 use crate::quarantine::Quarantine;
 use crate::quota;
+use crate::quota::QuotaRequest;
 use crate::quota::Quotas;
-use crate::quota::Wanted;
 use crate::registry::Registry;
 use crate::report::Place;
 use crate::scheduler::Decision;
@@ -220,7 +220,7 @@
     /// Gives back the quota of a request that did not run.
     pub fn give_back(&mut self, pass: &Pass) {
         if let Some(organisation) = &pass.organisation {
-            self.quotas.give_back(organisation, pass.units);
+            self.quotas.refund(organisation, pass.units);
         }
     }
 
@@ -285,7 +285,7 @@
         self.registry.sweep(now);
         self.sweep_fleet(now);
         for source in self.peers.sweep(now) {
-            self.quotas.forget(source);
+            self.quotas.forget_peer(source);
         }
         self.scheduler.forget(&self.registry);
         self.scheduler.sweep_loans(now);
@@ -303,11 +303,11 @@
         };
         let share = self.peers.share(now);
         let crowd = f64::from(u32::try_from(self.peers.count(now)).unwrap_or(u32::MAX));
-        let wanted = Wanted {
+        let wanted = QuotaRequest {
             units: pass.units,
-            crowd,
-            chance,
-            granted: quota::count(given),
+            instances: crowd,
+            sample: chance,
+            borrowed: quota::u64_to_f64(given),
         };
         self.quotas
             .take(now, organisation, wanted, share)
--- a/crates/siskinyoke-dispatch/src/core/identity.rs
+++ b/crates/siskinyoke-dispatch/src/core/identity.rs
@@ -1,6 +1,6 @@
 //! What an instance is.
 
-use crate::quota::Measure;
+use crate::quota::QuotaPolicy;
 use crate::report::Place;
 use siskinyoke_base::Millis;
 
@@ -22,5 +22,5 @@
     /// The time from the end of a disturbance until changes must be in force as usual.
     pub settle: Millis,
     /// How quotas are measured.
-    pub measure: Measure,
+    pub measure: QuotaPolicy,
 }
--- a/crates/siskinyoke-dispatch/src/core/pass.rs
+++ b/crates/siskinyoke-dispatch/src/core/pass.rs
@@ -59,7 +59,7 @@
 impl Pass {
     /// Returns the units it takes, as they stand in messages.
     pub fn whole_units(&self) -> u64 {
-        quota::whole(self.units)
+        quota::to_u64(self.units)
     }
 
     /// Returns whether the answer comes as events.
--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -43,7 +43,7 @@
             Heard::Nothing => return false,
             Heard::First(before) => {
                 if let Some(before) = before {
-                    self.quotas.forget(before);
+                    self.quotas.forget_peer(before);
                 }
                 self.quotas.heard(source, young, &spent);
                 return true;
@@ -83,7 +83,7 @@
             reaches: self.view.reaches,
             running: self.scheduler.counts(),
             waiting: self.scheduler.summary(now),
-            spent: self.quotas.spent(since),
+            spent: self.quotas.usage(since),
             limits: self.scheduler.limits().told(now, since),
             canaries: self.canaries(now),
             about: whole.then(|| self.about(now)),
--- a/crates/siskinyoke-dispatch/src/quota.rs
+++ b/crates/siskinyoke-dispatch/src/quota.rs
@@ -11,30 +11,30 @@
 ///
 /// The rest covers what peers grant between two of their reports, and what a request takes beyond
 /// what the bucket held.
-const USED: f64 = 0.75;
+const TOLERANCE_USED_RATIO: f64 = 0.75;
 
 /// The part of a burst that a process finds in the bucket when it starts.
 ///
 /// Nothing at all refuses the first requests after a restart of all instances, though nobody sends
 /// beyond its quota. More would be granted twice if somebody does.
-const START: f64 = 0.15;
+const INITIAL_FILL_RATIO: f64 = 0.15;
 
 /// The part of a full bucket below which nothing is given to other shards.
 ///
 /// Its own requests find something too, and what several peers give at the same moment, before they hear of
 /// each other, is there.
-const KEPT: f64 = 0.25;
+const LENDING_RESERVE_RATIO: f64 = 0.25;
 
 /// The longest burst that a bucket holds, as a span of the organisation's rate.
 ///
 /// A burst and the filling of one window make the operators' limit, so what a bucket does not hold fills it
 /// faster. Where an operator lowers a rate and leaves its burst, most of the limit would lie in a burst that comes
 /// once, and steady use within the limit would be rejected.
-const BURST: Millis = Millis(1_000);
+const MAX_BURST_SPAN: Millis = Millis(1_000);
 
 /// How the operators measure quotas.
 #[derive(Debug, Clone, Copy)]
-pub struct Measure {
+pub struct QuotaPolicy {
     /// The length of the sliding window.
     pub window: Millis,
     /// The part by which a limit may be exceeded.
@@ -44,19 +44,19 @@
 }
 
 /// How long an instance does not see what another took: a report's spacing and its way.
-const BLIND: Millis = Millis(60);
+const PEER_USAGE_DELAY: Millis = Millis(60);
 
 /// What a request wants of its organisation's quota.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted {
+pub struct QuotaRequest {
     /// The units it takes.
     pub units: f64,
     /// The number of instances that take from the same bucket.
-    pub crowd: f64,
+    pub instances: f64,
     /// A number of its own, evenly spread from 0 to 1.
-    pub chance: f64,
+    pub sample: f64,
     /// Units that other shards gave for it.
-    pub granted: f64,
+    pub borrowed: f64,
 }
 
 /// One organisation's token bucket, less what every instance that is heard reports as used.
@@ -66,13 +66,13 @@
 /// before and what they grant after still keeps to one burst and one filling in any window.
 #[derive(Debug)]
 struct Bucket {
-    rate: f64,
-    burst: f64,
+    refill_rate: f64,
+    capacity: f64,
     level: f64,
-    filled: Millis,
+    refilled_at: Millis,
     // Units that were taken here from what the shard shares.
-    own: f64,
-    touched: Millis,
+    consumed: f64,
+    last_used: Millis,
     // Units that were asked for here, each counted for about a second.
     demand: f64,
 }
@@ -80,10 +80,10 @@
 impl Bucket {
     // A part of the fleet fills its part of the bucket, as the rest goes on filling the rest.
     fn refill(&mut self, now: Millis, share: f64) {
-        let span = now.since(self.filled).as_secs();
-        self.level = (self.level + self.rate * share * span).min(self.burst * share);
+        let span = now.since(self.refilled_at).as_secs();
+        self.level = (self.level + self.refill_rate * share * span).min(self.capacity * share);
         self.demand *= (-span).exp();
-        self.filled = now;
+        self.refilled_at = now;
     }
 }
 
@@ -93,18 +93,18 @@
 /// report comes, some tens of milliseconds later.
 #[derive(Debug)]
 pub struct Quotas {
-    measure: Measure,
+    policy: QuotaPolicy,
     buckets: Map<u32, Bucket>,
-    heard: Map<(u64, u32), i64>,
+    peer_totals: Map<(u64, u32), i64>,
 }
 
 impl Quotas {
     /// Makes the quotas of an instance that knows no organisation yet.
-    pub fn new(measure: Measure) -> Self {
+    pub fn new(measure: QuotaPolicy) -> Self {
         Self {
-            measure,
+            policy: measure,
             buckets: Map::default(),
-            heard: Map::default(),
+            peer_totals: Map::default(),
         }
     }
 
@@ -120,21 +120,21 @@
                 continue;
             }
             let rate = self.rate(organisation);
-            let burst = held_burst(organisation);
+            let burst = bucket_capacity(organisation);
             let bucket = match old {
                 Some(bucket) => Bucket {
-                    rate,
-                    burst,
+                    refill_rate: rate,
+                    capacity: burst,
                     level: bucket.level.min(burst),
                     ..bucket
                 },
                 None => Bucket {
-                    rate,
-                    burst,
-                    level: burst * START * share,
-                    filled: now,
-                    own: 0.0,
-                    touched: now,
+                    refill_rate: rate,
+                    capacity: burst,
+                    level: burst * INITIAL_FILL_RATIO * share,
+                    refilled_at: now,
+                    consumed: 0.0,
+                    last_used: now,
                     demand: 0.0,
                 },
             };
@@ -160,41 +160,41 @@
         &mut self,
         now: Millis,
         organisation: &Organisation,
-        wanted: Wanted,
+        wanted: QuotaRequest,
         share: f64,
     ) -> Result<(), Millis> {
         let Some(bucket) = self.buckets.get_mut(&short(&organisation.name)) else {
             return Ok(());
         };
         bucket.refill(now, share);
-        if wanted.granted <= 0.0 {
+        if wanted.borrowed <= 0.0 {
             // Else it was counted when it was refused.
             bucket.demand += wanted.units;
         }
-        let asked = bucket.demand * wanted.crowd * BLIND.as_secs();
+        let asked = bucket.demand * wanted.instances * PEER_USAGE_DELAY.as_secs();
         // What other shards gave goes into the bucket, but this request has the first claim on it.
-        if wanted.granted > 0.0 {
-            bucket.level += wanted.granted;
-            bucket.own -= wanted.granted;
-            bucket.touched = now;
+        if wanted.borrowed > 0.0 {
+            bucket.level += wanted.borrowed;
+            bucket.consumed -= wanted.borrowed;
+            bucket.last_used = now;
         }
-        let covered = wanted.granted >= wanted.units;
-        if !covered && (bucket.level <= 0.0 || wanted.chance * asked > bucket.level) {
-            let needed = (wanted.units - bucket.level).max(wanted.units * wanted.chance);
-            let wait = needed / (bucket.rate * share).max(1.0);
-            return Err(Millis(whole(wait * 1000.0) + 1));
+        let covered = wanted.borrowed >= wanted.units;
+        if !covered && (bucket.level <= 0.0 || wanted.sample * asked > bucket.level) {
+            let needed = (wanted.units - bucket.level).max(wanted.units * wanted.sample);
+            let wait = needed / (bucket.refill_rate * share).max(1.0);
+            return Err(Millis(to_u64(wait * 1000.0) + 1));
         }
         bucket.level -= wanted.units;
-        bucket.own += wanted.units;
-        bucket.touched = now;
+        bucket.consumed += wanted.units;
+        bucket.last_used = now;
         Ok(())
     }
 
     /// Gives back units of a request that never ran.
-    pub fn give_back(&mut self, organisation: &Organisation, units: f64) {
+    pub fn refund(&mut self, organisation: &Organisation, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&short(&organisation.name)) {
-            bucket.level = (bucket.level + units).min(bucket.burst);
-            bucket.own -= units;
+            bucket.level = (bucket.level + units).min(bucket.capacity);
+            bucket.consumed -= units;
         }
     }
 
@@ -209,11 +209,11 @@
             return 0;
         };
         bucket.refill(now, share);
-        let most = whole(bucket.level - bucket.burst * share * KEPT);
+        let most = to_u64(bucket.level - bucket.capacity * share * LENDING_RESERVE_RATIO);
         let given = most.min(units);
-        bucket.level -= count(given);
-        bucket.own += count(given);
-        bucket.touched = now;
+        bucket.level -= u64_to_f64(given);
+        bucket.consumed += u64_to_f64(given);
+        bucket.last_used = now;
         given
     }
 
@@ -224,28 +224,28 @@
     /// older peer used before is not ours to count, as our buckets began empty.
     pub fn heard(&mut self, peer: u64, young: bool, spent: &[(u32, i64)]) {
         for (key, total) in spent {
-            let known = self.heard.insert((peer, *key), *total);
+            let known = self.peer_totals.insert((peer, *key), *total);
             let known = if young { known.or(Some(0)) } else { known };
             let Some(known) = known else { continue };
             if let Some(bucket) = self.buckets.get_mut(key) {
-                bucket.level = (bucket.level - float(*total - known)).min(bucket.burst);
+                bucket.level = (bucket.level - i64_to_f64(*total - known)).min(bucket.capacity);
             }
         }
     }
 
     /// Forgets a peer's start that is over.
-    pub fn forget(&mut self, peer: u64) {
-        self.heard.retain(|key, _| key.0 != peer);
+    pub fn forget_peer(&mut self, peer: u64) {
+        self.peer_totals.retain(|key, _| key.0 != peer);
     }
 
     /// Returns the units this instance has taken by organisation since its start, less those that other
     /// shards gave: of those of which some were taken since `since`.
-    pub fn spent(&self, since: Millis) -> Vec<(u32, i64)> {
+    pub fn usage(&self, since: Millis) -> Vec<(u32, i64)> {
         let mut spent: Vec<_> = self
             .buckets
             .iter()
-            .filter(|(_, bucket)| bucket.touched >= since)
-            .map(|(key, bucket)| (*key, signed(bucket.own)))
+            .filter(|(_, bucket)| bucket.last_used >= since)
+            .map(|(key, bucket)| (*key, to_i64(bucket.consumed)))
             .collect();
         spent.sort_unstable();
         spent
@@ -253,16 +253,19 @@
 
     // The filling that makes, with one burst, the operators' limit for a window.
     fn rate(&self, organisation: &Organisation) -> f64 {
-        let measure = self.measure;
+        let measure = self.policy;
         let nominal = organisation.rate * measure.window.as_secs() + organisation.burst;
-        let limit = nominal * (1.0 + measure.overage * USED) + measure.slack * USED;
-        (limit - held_burst(organisation)) / measure.window.as_secs()
+        let limit = nominal * (1.0 + measure.overage * TOLERANCE_USED_RATIO)
+            + measure.slack * TOLERANCE_USED_RATIO;
+        (limit - bucket_capacity(organisation)) / measure.window.as_secs()
     }
 }
 
 // The part of an organisation's burst that its bucket holds.
-fn held_burst(organisation: &Organisation) -> f64 {
-    organisation.burst.min(organisation.rate * BURST.as_secs())
+fn bucket_capacity(organisation: &Organisation) -> f64 {
+    organisation
+        .burst
+        .min(organisation.rate * MAX_BURST_SPAN.as_secs())
 }
 
 #[expect(
@@ -270,7 +273,7 @@
     reason = "values stay far below 2^52"
 )]
 #[expect(clippy::cast_sign_loss, reason = "negative values become zero")]
-pub(crate) fn whole(value: f64) -> u64 {
+pub(crate) fn to_u64(value: f64) -> u64 {
     value.max(0.0) as u64
 }
 
@@ -278,16 +281,16 @@
     clippy::cast_possible_truncation,
     reason = "values stay far below 2^52"
 )]
-fn signed(value: f64) -> i64 {
+fn to_i64(value: f64) -> i64 {
     value as i64
 }
 
 #[expect(clippy::cast_precision_loss, reason = "values stay far below 2^52")]
-fn float(value: i64) -> f64 {
+fn i64_to_f64(value: i64) -> f64 {
     value as f64
 }
 
 #[expect(clippy::cast_precision_loss, reason = "values stay far below 2^52")]
-pub(crate) fn count(value: u64) -> f64 {
+pub(crate) fn u64_to_f64(value: u64) -> f64 {
     value as f64
 }
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -22,15 +22,15 @@
 use siskinyoke_base::Millis;
 
 /// How long it is told that a limit was lifted: peers that send nothing there do not see it themselves.
-const TOLD: Millis = Millis::from_secs(10);
+const LIFTED_REPORT_PERIOD: Millis = Millis::from_secs(10);
 
 /// By how much later than what is known a peer's word on the same limit must be to count.
 ///
 /// What this instance told comes back later by the way there and back, and would seem to be news each time.
-const ECHO: Millis = Millis(250);
+const ECHO_TOLERANCE: Millis = Millis(250);
 
 /// The most limits that one report names, so that it stays short.
-const MOST: usize = 32;
+const MAX_REPORTED_LIMITS: usize = 32;
 
 /// A limit that was named, changed or lifted.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -42,16 +42,16 @@
     /// Requests a second now; none if the limit was lifted.
     pub rate: Option<f64>,
     /// Whether a peer told it.
-    pub told: bool,
+    pub from_peer: bool,
 }
 
 /// Rate limits that endpoints name, and this instance's part of each.
 #[derive(Debug, Default)]
 pub struct RateLimits {
     // This instance.
-    name: Box<str>,
+    instance: Box<str>,
     // By the endpoints' shortened keys, lifted ones too.
-    known: Map<u32, RateLimit>,
+    limits: Map<u32, RateLimit>,
     changes: Vec<LimitChange>,
 }
 
@@ -59,23 +59,23 @@
     /// Knows of no limit yet; the instance of this name keeps to them.
     pub fn new(name: &str) -> Self {
         Self {
-            name: name.into(),
+            instance: name.into(),
             ..Self::default()
         }
     }
 
     /// Takes in an answer that names a limit, in requests a second.
-    pub fn named(&mut self, now: Millis, key: EndpointKey, rate: f64) {
+    pub fn observe_limit(&mut self, now: Millis, key: EndpointKey, rate: f64) {
         // As peers are told it, so that they know the same rate.
-        let rate = per_second(thousandths(rate));
-        self.learn(now, key.short(), now, Some(rate), false);
+        let rate = from_thousandths(to_thousandths(rate));
+        self.record(now, key.short(), now, Some(rate), false);
     }
 
     /// Takes in an answer that names none, to a request that was sent at `sent`.
-    pub fn unnamed(&mut self, now: Millis, key: EndpointKey, sent: Millis) {
-        let known = self.known.get(&key.short());
+    pub fn observe_no_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis) {
+        let known = self.limits.get(&key.short());
         if known.is_some_and(|it| it.lifted_by(now, sent)) {
-            self.learn(now, key.short(), now, None, false);
+            self.record(now, key.short(), now, None, false);
         }
     }
 
@@ -83,59 +83,59 @@
     pub fn heard(&mut self, now: Millis, rows: &[LimitRow]) {
         for row in rows {
             let at = now.since(Millis(u64::from(row.age)));
-            let rate = (row.rate > 0).then(|| per_second(row.rate));
-            let known = self.known.get(&row.endpoint);
+            let rate = (row.rate > 0).then(|| from_thousandths(row.rate));
+            let known = self.limits.get(&row.endpoint);
             let same = known.is_some_and(|it| it.rate().is_some() == rate.is_some());
-            if same && known.is_some_and(|it| at <= it.at() + ECHO) {
+            if same && known.is_some_and(|it| at <= it.at() + ECHO_TOLERANCE) {
                 continue;
             }
-            self.learn(now, row.endpoint, at, rate, true);
+            self.record(now, row.endpoint, at, rate, true);
         }
     }
 
     /// Returns what peers should know of what came to be known since then: limits that are in force or were lifted of
     /// late, the latest first.
     pub fn told(&self, now: Millis, since: Millis) -> Vec<LimitRow> {
-        let known = self.known.iter();
+        let known = self.limits.iter();
         let mut rows: Vec<LimitRow> = known
             .filter(|row| row.1.changed() >= since)
-            .filter(|row| row.1.rate().is_some() || now.since(row.1.at()) < TOLD)
+            .filter(|row| row.1.rate().is_some() || now.since(row.1.at()) < LIFTED_REPORT_PERIOD)
             .map(|(endpoint, limit)| LimitRow {
                 endpoint: *endpoint,
-                rate: limit.rate().map_or(0, thousandths),
+                rate: limit.rate().map_or(0, to_thousandths),
                 age: u32::try_from(now.since(limit.at()).0).unwrap_or(u32::MAX),
             })
             .collect();
         rows.sort_unstable_by_key(|row| (row.age, row.endpoint));
-        rows.truncate(MOST);
+        rows.truncate(MAX_REPORTED_LIMITS);
         rows
     }
 
     /// Returns what changed since this was last asked, for the log.
-    pub fn changes(&mut self) -> Vec<LimitChange> {
+    pub fn take_changes(&mut self) -> Vec<LimitChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Returns how many limits are in force.
     pub fn count(&self) -> usize {
-        let limits = self.known.values();
+        let limits = self.limits.values();
         limits.filter(|it| it.rate().is_some()).count()
     }
 
     /// Works out this instance's parts, by who is heard now.
-    pub(crate) fn settle(&mut self, view: &View<'_>) {
-        if self.known.is_empty() {
+    pub(crate) fn update_rates(&mut self, view: &View<'_>) {
+        if self.limits.is_empty() {
             return;
         }
         let peers = view.peers.fresh(view.now);
         let mut names: Vec<&str> = peers.map(|peer| &*peer.about.name).collect();
-        names.push(&self.name);
-        for (endpoint, limit) in &mut self.known {
+        names.push(&self.instance);
+        for (endpoint, limit) in &mut self.limits {
             let Some(rate) = limit.rate() else { continue };
-            let rate = rate * view.registry.portion(*endpoint, most_holders(rate));
+            let rate = rate * view.registry.portion(*endpoint, max_holders(rate));
             // Most limits of a large fleet are other shards'.
             let part = if rate > 0.0 {
-                part(&self.name, &names, *endpoint, rate)
+                instance_rate(&self.instance, &names, *endpoint, rate)
             } else {
                 0.0
             };
@@ -152,14 +152,14 @@
         let limits: Vec<(u32, f64)> = endpoints
             .iter()
             .map(|it| it.key().short())
-            .filter_map(|key| Some((key, self.known.get(&key)?.shard()?)))
+            .filter_map(|key| Some((key, self.limits.get(&key)?.shard()?)))
             .collect();
         let peers: Vec<&About> = view.peers.fresh(view.now).map(|it| &it.about).collect();
         let mut names: Vec<&str> = peers.iter().map(|it| &*it.name).collect();
-        names.push(&self.name);
+        names.push(&self.instance);
         let holds = |name: &str| {
             let mut limits = limits.iter();
-            limits.any(|(key, rate)| part(name, &names, *key, *rate) > 0.0)
+            limits.any(|(key, rate)| instance_rate(name, &names, *key, *rate) > 0.0)
         };
         let holders = peers.into_iter().filter(|it| holds(&it.name));
         holders.map(|it| &it.place).collect()
@@ -167,48 +167,48 @@
 
     /// Returns how many requests may be sent to an endpoint now; none where there is no limit.
     pub fn tokens(&self, key: EndpointKey) -> Option<u32> {
-        self.known.get(&key.short())?.tokens()
+        self.limits.get(&key.short())?.tokens()
     }
 
     /// Returns the requests a second that this instance's shard may send to an endpoint; none where there is no limit.
-    pub fn throughput(&self, key: EndpointKey) -> Option<f64> {
-        self.known.get(&key.short())?.shard()
+    pub fn shard_rate(&self, key: EndpointKey) -> Option<f64> {
+        self.limits.get(&key.short())?.shard()
     }
 
     /// Takes the token of a request that is sent to an endpoint.
     pub fn take(&mut self, key: EndpointKey) {
-        if let Some(limit) = self.known.get_mut(&key.short()) {
+        if let Some(limit) = self.limits.get_mut(&key.short()) {
             limit.take();
         }
     }
 
     /// Forgets endpoints that are not among the known ones.
     pub fn forget(&mut self, known: &[EndpointKey]) {
-        self.known
+        self.limits
             .retain(|short, _| known.iter().any(|key| key.short() == *short));
     }
 
     // Takes in a word on a limit, unless a later one is known.
-    fn learn(&mut self, now: Millis, endpoint: u32, at: Millis, rate: Option<f64>, told: bool) {
-        let known = self.known.get_mut(&endpoint);
+    fn record(&mut self, now: Millis, endpoint: u32, at: Millis, rate: Option<f64>, told: bool) {
+        let known = self.limits.get_mut(&endpoint);
         if known.as_ref().is_some_and(|it| it.at() >= at) {
             return;
         }
         let before = known.as_ref().and_then(|it| it.rate());
         match (known, rate) {
-            (Some(limit), Some(rate)) if limit.rate().is_some() => limit.renew(now, at, rate),
+            (Some(limit), Some(rate)) if limit.rate().is_some() => limit.update(now, at, rate),
             _ => {
-                let limit = RateLimit::new(now, at, rate, phase(&self.name, endpoint));
-                self.known.insert(endpoint, limit);
+                let limit = RateLimit::new(now, at, rate, initial_level(&self.instance, endpoint));
+                self.limits.insert(endpoint, limit);
             }
         }
-        let rate = self.known[&endpoint].rate();
+        let rate = self.limits[&endpoint].rate();
         if before != rate {
             self.changes.push(LimitChange {
                 endpoint,
                 before,
                 rate,
-                told,
+                from_peer: told,
             });
         }
     }
@@ -220,15 +220,15 @@
     reason = "far more than there are instances"
 )]
 #[expect(clippy::cast_sign_loss, reason = "rates are not below zero")]
-fn most_holders(rate: f64) -> usize {
+fn max_holders(rate: f64) -> usize {
     (rate as usize).max(1)
 }
 
 // An instance's part of a rate, among the instances that are heard.
-fn part(name: &str, names: &[&str], endpoint: u32, rate: f64) -> f64 {
-    let holders = most_holders(rate).min(names.len());
-    let own = rank(name, endpoint);
-    let before = names.iter().filter(|it| rank(it, endpoint) < own);
+fn instance_rate(name: &str, names: &[&str], endpoint: u32, rate: f64) -> f64 {
+    let holders = max_holders(rate).min(names.len());
+    let own = holder_hash(name, endpoint);
+    let before = names.iter().filter(|it| holder_hash(it, endpoint) < own);
     if before.count() >= holders {
         return 0.0;
     }
@@ -236,25 +236,25 @@
 }
 
 // A number from 0 to 1 for an instance and an endpoint: instances with the lowest hold the endpoint's limit.
-fn rank(name: &str, endpoint: u32) -> f64 {
-    fraction(stable_hash(&(name, endpoint)))
+fn holder_hash(name: &str, endpoint: u32) -> f64 {
+    hash_to_fraction(stable_hash(&(name, endpoint)))
 }
 
 // Where an instance's bucket begins, so that the holders' first tokens do not come at the same moment.
-fn phase(name: &str, endpoint: u32) -> f64 {
-    fraction(stable_hash(&(endpoint, name)))
+fn initial_level(name: &str, endpoint: u32) -> f64 {
+    hash_to_fraction(stable_hash(&(endpoint, name)))
 }
 
-fn fraction(hash: u64) -> f64 {
+fn hash_to_fraction(hash: u64) -> f64 {
     f64::from(u32::try_from(hash >> 32).unwrap_or(u32::MAX)) / f64::from(u32::MAX)
 }
 
-fn per_second(thousandths: u32) -> f64 {
+fn from_thousandths(thousandths: u32) -> f64 {
     f64::from(thousandths) / 1_000.0
 }
 
 #[expect(clippy::cast_possible_truncation, reason = "cut to what fits")]
 #[expect(clippy::cast_sign_loss, reason = "rates are not below zero")]
-fn thousandths(rate: f64) -> u32 {
+fn to_thousandths(rate: f64) -> u32 {
     (rate * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
@@ -3,16 +3,16 @@
 use siskinyoke_base::Millis;
 
 /// The fewest requests a second that an endpoint is given, so that its answers show when it takes more.
-const LEAST: f64 = 0.25;
+const MIN_RATE_PER_SECOND: f64 = 0.25;
 
 /// The time for which tokens are gathered where a second brings many, and the most tokens otherwise.
-const GATHERED: f64 = 0.1;
+const BURST_SECONDS: f64 = 0.1;
 const MOST: f64 = 1.5;
 
 /// How long the last naming must be past before an answer without one lifts the limit.
 ///
 /// Not every answer of an endpoint in need may name it, and answers overtake each other.
-const CLEAR: Millis = Millis(1_000);
+const LIFT_DELAY: Millis = Millis(1_000);
 
 /// What is known of one endpoint's rate limit.
 #[derive(Debug, Clone, Copy)]
@@ -20,28 +20,28 @@
     // Requests a second over all instances; none once the limit is lifted.
     rate: Option<f64>,
     // When an answer last said so, to this instance or to a peer.
-    at: Millis,
+    observed_at: Millis,
     // When this instance came to know of the rate.
-    changed: Millis,
+    changed_at: Millis,
     // The requests a second that are this instance's, and its shard's; none before that was worked out.
     part: Option<f64>,
     shard: f64,
     // Tokens, and when they were counted.
     level: f64,
-    counted: Millis,
+    refilled_at: Millis,
 }
 
 impl RateLimit {
     /// Takes in what an answer said; the bucket begins at `phase`, from 0 to 1.
     pub(super) fn new(now: Millis, at: Millis, rate: Option<f64>, phase: f64) -> Self {
         Self {
-            rate: rate.map(|it| it.max(LEAST)),
-            at,
-            changed: now,
+            rate: rate.map(|it| it.max(MIN_RATE_PER_SECOND)),
+            observed_at: at,
+            changed_at: now,
             part: None,
             shard: 0.0,
             level: phase,
-            counted: now,
+            refilled_at: now,
         }
     }
 
@@ -52,12 +52,12 @@
 
     /// Returns when an answer last said so.
     pub(super) fn at(&self) -> Millis {
-        self.at
+        self.observed_at
     }
 
     /// Returns when this instance came to know of the rate.
     pub(super) fn changed(&self) -> Millis {
-        self.changed
+        self.changed_at
     }
 
     /// Returns the requests a second that are this instance's shard's, none where there is no limit.
@@ -66,18 +66,18 @@
     }
 
     /// Takes in a later word on a limit that is in force.
-    pub(super) fn renew(&mut self, now: Millis, at: Millis, rate: f64) {
-        let rate = Some(rate.max(LEAST));
+    pub(super) fn update(&mut self, now: Millis, at: Millis, rate: f64) {
+        let rate = Some(rate.max(MIN_RATE_PER_SECOND));
         if self.rate != rate {
             self.rate = rate;
-            self.changed = now;
+            self.changed_at = now;
         }
-        self.at = at;
+        self.observed_at = at;
     }
 
     /// Returns whether an answer without a limit lifts it, by when its request was sent.
     pub(super) fn lifted_by(&self, now: Millis, sent: Millis) -> bool {
-        self.rate.is_some() && sent > self.at && now.since(self.at) >= CLEAR
+        self.rate.is_some() && sent > self.observed_at && now.since(self.observed_at) >= LIFT_DELAY
     }
 
     /// Sets the requests a second that are this instance's of its shard's, and counts the tokens that have come since.
@@ -86,13 +86,13 @@
     pub(super) fn share(&mut self, now: Millis, part: f64, shard: f64) {
         self.shard = shard;
         let before = self.part.replace(part).unwrap_or(part);
-        let most = (part * GATHERED).max(MOST);
-        let gained = before * now.since(self.counted).as_secs();
+        let most = (part * BURST_SECONDS).max(MOST);
+        let gained = before * now.since(self.refilled_at).as_secs();
         self.level = (self.level + gained).min(most);
         if before <= 0.0 && part > 0.0 {
             self.level = 0.0;
         }
-        self.counted = now;
+        self.refilled_at = now;
     }
 
     /// Returns how many requests may be sent now, none where there is no limit.
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -177,7 +177,7 @@
             registry,
             peers,
         };
-        self.limits.settle(&view);
+        self.limits.update_rates(&view);
         let mut decisions = Vec::new();
         let services: Vec<Arc<str>> = self.queues.keys().cloned().collect();
         for service in services {
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -27,8 +27,8 @@
     /// Takes in an answer of an endpoint to a request that was sent at `sent`, with the limit that it names.
     pub fn note_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis, rate: Option<f64>) {
         match rate {
-            Some(rate) => self.limits.named(now, key, rate),
-            None => self.limits.unnamed(now, key, sent),
+            Some(rate) => self.limits.observe_limit(now, key, rate),
+            None => self.limits.observe_no_limit(now, key, sent),
         }
     }
 
@@ -39,7 +39,7 @@
 
     /// Returns the limits that were named, changed or lifted since this was last asked.
     pub fn limit_changes(&mut self) -> Vec<LimitChange> {
-        self.limits.changes()
+        self.limits.take_changes()
     }
 
     /// Gives a token of a rate limit to a peer's request, unless requests wait here.
@@ -48,7 +48,7 @@
         if self.queues.get(&service).is_some_and(|it| !it.is_empty()) {
             return None;
         }
-        self.limits.settle(view);
+        self.limits.update_rates(view);
         let mut candidates = self.free(view, &service);
         candidates.retain(|it| it.reserved);
         let guest = guest(view.now, &service, need);
@@ -84,7 +84,7 @@
     pub(super) fn capacity(&self, endpoint: &Endpoint, load: &Load) -> f64 {
         let key = endpoint.key();
         let slots = f64::from(endpoint.slots) / self.placing.pace(key);
-        let limit = self.limits.throughput(key);
+        let limit = self.limits.shard_rate(key);
         limit.map_or(slots, |rate| {
             slots.min(rate * float(load.stay()) / MS_PER_S)
         })
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -22,14 +22,14 @@
 use siskinyoke_dispatch::Work;
 use siskinyoke_dispatch::core::Identity;
 use siskinyoke_dispatch::core::Request;
-use siskinyoke_dispatch::quota::Measure;
+use siskinyoke_dispatch::quota::QuotaPolicy;
 use siskinyoke_dispatch::report::About;
 use siskinyoke_dispatch::report::Busy;
 use siskinyoke_dispatch::report::Place;
 use siskinyoke_dispatch::stable_hash;
 
 /// The window, overage and slack of the tests' quotas.
-pub const MEASURE: Measure = Measure {
+pub const MEASURE: QuotaPolicy = QuotaPolicy {
     window: Millis(8_000),
     overage: 0.1,
     slack: 110_000.0,
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -24,7 +24,7 @@
 use crate::watcher;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::core::Identity;
-use siskinyoke_dispatch::quota::Measure;
+use siskinyoke_dispatch::quota::QuotaPolicy;
 
 /// How often waiting requests are looked at while any wait.
 const TICK: Millis = Millis(10);
@@ -111,7 +111,7 @@
         floor: settings.bounds.retry_slack,
         exposure: settings.bounds.exposure_share,
         settle: Millis(settings.bounds.settle_ms),
-        measure: Measure {
+        measure: QuotaPolicy {
             window: settings.quota_window(),
             overage: settings.bounds.quota_overage,
             slack: settings.bounds.quota_slack,
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -48,7 +48,7 @@
             endpoint,
             before,
             rate,
-            told,
+            from_peer,
         } = change;
         let core = shell.core.borrow();
         let known = core.endpoint(endpoint);
@@ -57,7 +57,7 @@
             "key": endpoint,
             "before": before,
             "rate": rate,
-            "source": if told { "peer" } else { "answer" },
+            "source": if from_peer { "peer" } else { "answer" },
             "peers": core.peers().count(shell.now()) - 1,
         });
         drop(core);
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -4,7 +4,7 @@
 
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::core::Identity;
-use siskinyoke_dispatch::quota::Measure;
+use siskinyoke_dispatch::quota::QuotaPolicy;
 use siskinyoke_gateway::held::Held;
 use siskinyoke_gateway::journal::Journal;
 use siskinyoke_gateway::settings::Settings;
@@ -29,7 +29,7 @@
         floor: 54.0,
         exposure: 0.1,
         settle: Millis(3_000),
-        measure: Measure {
+        measure: QuotaPolicy {
             window: Millis(8_000),
             overage: 0.1,
             slack: 0.0,
