--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -28,7 +28,7 @@
 use crate::quota::QuotaRequest;
 use crate::quota::Quotas;
 use crate::registry::Registry;
-use crate::report::Place;
+use crate::report::InstanceLocation;
 use crate::scheduler::Decision;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
@@ -50,7 +50,7 @@
     registry: Registry,
     scheduler: Scheduler,
     peers: Peers,
-    instances: Listing<Place>,
+    instances: Listing<InstanceLocation>,
     // Instances that went, with when: most of them are back in a moment.
     departed: BTreeMap<String, Millis>,
     shard: usize,
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -5,7 +5,7 @@
 
 use crate::core::Core;
 use crate::directory;
-use crate::report::Place;
+use crate::report::InstanceLocation;
 use crate::shards;
 use crate::watch;
 use siskinyoke_base::Millis;
@@ -37,7 +37,7 @@
 
 impl Core {
     /// Takes note of an instance's entry in the store.
-    pub fn list(&mut self, name: &str, place: Place) {
+    pub fn list(&mut self, name: &str, place: InstanceLocation) {
         self.enter(name, place);
         self.settle();
     }
@@ -49,14 +49,14 @@
     }
 
     /// Returns the listed instances, with whether each belongs to this one's shard.
-    pub fn listed(&self) -> impl Iterator<Item = (&Place, bool)> {
+    pub fn listed(&self) -> impl Iterator<Item = (&InstanceLocation, bool)> {
         let others = self.instances.iter().filter(|row| row.0 != self.me.name);
         others.map(|(name, place)| (place, self.in_shard(name)))
     }
 
     /// Returns the listed instances of the other shards, shard by shard.
-    pub fn other_shards(&self) -> Vec<Vec<&Place>> {
-        let mut shards: BTreeMap<usize, Vec<&Place>> = BTreeMap::new();
+    pub fn other_shards(&self) -> Vec<Vec<&InstanceLocation>> {
+        let mut shards: BTreeMap<usize, Vec<&InstanceLocation>> = BTreeMap::new();
         for (name, place) in self.instances.iter() {
             let home = shards::home(name, self.shards);
             if home != self.shard {
@@ -96,7 +96,7 @@
         GATHER + Millis(TURN.0 * ((own + self.revision()) % shards))
     }
 
-    pub(super) fn enter(&mut self, name: &str, place: Place) {
+    pub(super) fn enter(&mut self, name: &str, place: InstanceLocation) {
         self.departed.remove(name);
         self.instances.put(name, place);
     }
--- a/crates/siskinyoke-dispatch/src/core/identity.rs
+++ b/crates/siskinyoke-dispatch/src/core/identity.rs
@@ -1,7 +1,7 @@
 //! What an instance is.
 
 use crate::quota::QuotaPolicy;
-use crate::report::Place;
+use crate::report::InstanceLocation;
 use siskinyoke_base::Millis;
 
 /// What an instance is, fixed for the life of its process.
@@ -10,7 +10,7 @@
     /// Its name.
     pub name: String,
     /// Where it is found.
-    pub place: Place,
+    pub place: InstanceLocation,
     /// Names this start of its process; drawn at random.
     pub source: u64,
     /// The part of a service's requests that may be sent again, over all instances.
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -2,28 +2,28 @@
 
 use std::sync::Arc;
 
+use crate::BorrowRequest;
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Grant;
-use crate::Need;
 use crate::Ticket;
 use crate::core::Core;
 use crate::core::Request;
-use crate::message::UnitsNeed;
-use crate::report::short;
+use crate::message::QuotaRequest;
+use crate::report::short_hash;
 use crate::scheduler::View;
 use siskinyoke_base::Millis;
 
 impl Core {
     /// Returns what other shards may be asked for, so that a request finds its quota.
-    pub fn lacks(&self, now: Millis, request: Request<'_>) -> Option<UnitsNeed> {
+    pub fn lacks(&self, now: Millis, request: Request<'_>) -> Option<QuotaRequest> {
         if !self.registry.divided() {
             return None;
         }
         let pass = self.examine(now, request).ok()?;
         let organisation = pass.organisation.as_ref()?;
-        Some(UnitsNeed {
-            organisation: short(&organisation.name),
+        Some(QuotaRequest {
+            organisation: short_hash(&organisation.name),
             units: pass.whole_units(),
         })
     }
@@ -31,22 +31,22 @@
     /// Answers an instance of another shard that asks for something.
     ///
     /// `id` names the question, by which a place is returned.
-    pub fn lend(&mut self, now: Millis, id: u64, need: Need) -> Grant {
+    pub fn lend(&mut self, now: Millis, id: u64, need: BorrowRequest) -> Grant {
         let view = View {
             now,
             registry: &self.registry,
             peers: &self.peers,
         };
         match need {
-            Need::Place(need) => {
+            BorrowRequest::Place(need) => {
                 let given = self.scheduler.lend(&view, id, &need);
                 given.map_or(Grant::Nothing, Grant::Place)
             }
-            Need::Reserved(need) => {
+            BorrowRequest::RateLimitedSlot(need) => {
                 let given = self.scheduler.lend_token(&view, &need);
                 given.map_or(Grant::Nothing, Grant::Place)
             }
-            Need::Units(UnitsNeed {
+            BorrowRequest::Units(QuotaRequest {
                 organisation,
                 units,
             }) => {
@@ -60,7 +60,7 @@
     }
 
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
-    pub fn needs(&mut self, now: Millis) -> Vec<(Ticket, Need)> {
+    pub fn needs(&mut self, now: Millis) -> Vec<(Ticket, BorrowRequest)> {
         if !self.registry.divided() && self.scheduler.limits().count() == 0 {
             return Vec::new();
         }
--- a/crates/siskinyoke-dispatch/src/core/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/core/rate_limits.rs
@@ -6,8 +6,8 @@
 use crate::Ticket;
 use crate::core::Core;
 use crate::rate_limits::LimitChange;
+use crate::report::InstanceLocation;
 use crate::report::LimitRow;
-use crate::report::Place;
 use crate::scheduler::View;
 use siskinyoke_base::Millis;
 
@@ -44,7 +44,7 @@
     }
 
     /// Returns the peers that may give a token of a rate limit for a service's requests, by its hashed name.
-    pub fn holders(&self, now: Millis, service: u32) -> Vec<&Place> {
+    pub fn holders(&self, now: Millis, service: u32) -> Vec<&InstanceLocation> {
         let view = View {
             now,
             registry: &self.registry,
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -9,7 +9,7 @@
 use crate::core::Core;
 use crate::core::pass::chance;
 use crate::load::Load;
-use crate::report::short;
+use crate::report::short_hash;
 use crate::rollout::Order;
 use crate::rollout::Phase;
 use crate::rollout::Sample;
@@ -93,7 +93,7 @@
     pub(super) fn hear_canaries(&mut self, now: Millis, report: &Report, shard: bool) {
         for canary in &report.canaries {
             let mut rollouts = self.registry.rollouts_mut();
-            let rollout = rollouts.find(|it| short(&it.order().service) == canary.service);
+            let rollout = rollouts.find(|it| short_hash(&it.order().service) == canary.service);
             if let Some(rollout) = rollout {
                 rollout.heard(now, report.source, canary, shard);
             }
@@ -113,7 +113,7 @@
             return;
         };
         let sample = Sample {
-            route: short(&pending.route.name),
+            route: short_hash(&pending.route.name),
             new,
             bad,
             endpoint: key.short(),
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -1,9 +1,9 @@
 //! What this instance knows of the store, and whether it watches it itself.
 
-use crate::News;
+use crate::StoreUpdate;
 use crate::core::Core;
 use crate::watchers::Candidate;
-use crate::watchers::Duty;
+use crate::watchers::StoreRole;
 use crate::watchers::watcher;
 use siskinyoke_base::Millis;
 
@@ -47,7 +47,7 @@
     ///
     /// All changes are taken in before shards and endpoints are worked out anew: that takes time for
     /// each endpoint, and the first reading names hundreds.
-    pub fn learn_news(&mut self, now: Millis, revision: u64, news: Vec<News>) {
+    pub fn learn_news(&mut self, now: Millis, revision: u64, news: Vec<StoreUpdate>) {
         self.view.known.get_or_insert(now);
         if revision > self.view.revision {
             self.view.revision = revision;
@@ -59,22 +59,22 @@
         let mut progress = Vec::new();
         for item in news {
             match item {
-                News::Instance(name, place) => {
+                StoreUpdate::Instance(name, place) => {
                     self.enter(&name, place);
                     fleet = true;
                 }
-                News::InstanceGone(name) => {
+                StoreUpdate::InstanceRemoved(name) => {
                     self.depart(now, &name);
                     fleet = true;
                 }
-                News::Order(order) => self.begin_rollout(now, order),
-                News::OrderGone(service) => {
+                StoreUpdate::Order(order) => self.begin_rollout(now, order),
+                StoreUpdate::RolloutOrderRemoved(service) => {
                     if let Some(rollout) = self.registry.rollout(&service) {
                         rollout.withdraw();
                     }
                 }
-                News::Status(service, status) => progress.push((service, status)),
-                News::Endpoint(_) | News::EndpointGone(_) => endpoints.push(item),
+                StoreUpdate::Status(service, status) => progress.push((service, status)),
+                StoreUpdate::Endpoint(_) | StoreUpdate::EndpointRemoved(_) => endpoints.push(item),
             }
         }
         // A state says nothing before its order is known.
@@ -153,7 +153,7 @@
     ///
     /// The only shard of a small fleet has no other to hear of changes from if its watcher's connection
     /// goes silent, so each of its instances watches.
-    pub fn duty(&self, now: Millis) -> Duty {
+    pub fn duty(&self, now: Millis) -> StoreRole {
         let view = &self.view;
         let within = |since: Option<Millis>, span| since.is_some_and(|it| now.since(it) < span);
         let alone = self.peers.count(now) == 1;
@@ -168,7 +168,11 @@
         } else {
             self.away(now) && !within(view.failed, TRY)
         };
-        if watches { Duty::Watch } else { Duty::Follow }
+        if watches {
+            StoreRole::Watch
+        } else {
+            StoreRole::Follow
+        }
     }
 
     /// Works out whether the store is away for the whole shard, and returns it if that changed.
--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -2,9 +2,9 @@
 
 use crate::Report;
 use crate::core::Core;
-use crate::peers::Heard;
-use crate::report::About;
-use crate::report::Canary;
+use crate::peers::Received;
+use crate::report::CanaryReport;
+use crate::report::InstanceInfo;
 use siskinyoke_base::Millis;
 
 /// Suspect work and addresses told in one report, so that it fits a datagram.
@@ -40,20 +40,20 @@
         self.scheduler.heard(&report.running);
         let young = Millis(report.age) <= self.age(now) + TOGETHER;
         match self.peers.heard(now, report) {
-            Heard::Nothing => return false,
-            Heard::First(before) => {
+            Received::Nothing => return false,
+            Received::First(before) => {
                 if let Some(before) = before {
                     self.quotas.forget_peer(before);
                 }
                 self.quotas.heard(source, young, &spent);
                 return true;
             }
-            Heard::Next => self.quotas.heard(source, young, &spent),
+            Received::Next => self.quotas.heard(source, young, &spent),
         }
         false
     }
 
-    pub(super) fn learn(&mut self, now: Millis, about: &About) {
+    pub(super) fn learn(&mut self, now: Millis, about: &InstanceInfo) {
         for key in &about.leavers {
             self.registry.left(now, *key);
         }
@@ -90,13 +90,13 @@
         }
     }
 
-    fn canaries(&self, now: Millis) -> Vec<Canary> {
+    fn canaries(&self, now: Millis) -> Vec<CanaryReport> {
         let rollouts = self.registry.rollouts().filter(|it| it.tells());
         rollouts.map(|it| it.tell(now)).collect()
     }
 
-    pub(super) fn about(&self, now: Millis) -> About {
-        About {
+    pub(super) fn about(&self, now: Millis) -> InstanceInfo {
+        InstanceInfo {
             name: self.me.name.clone(),
             place: self.me.place.clone(),
             leavers: self.registry.news(),
--- a/crates/siskinyoke-dispatch/src/directory.rs
+++ b/crates/siskinyoke-dispatch/src/directory.rs
@@ -1,6 +1,6 @@
 //! Which instances a caller is told to use.
 
-use crate::report::Place;
+use crate::report::InstanceLocation;
 
 /// The fewest instances named to a caller, where there are so many.
 ///
@@ -14,9 +14,9 @@
 ///
 /// Instances of the caller's own data centre come alone where there are two or more, as bytes
 /// between data centres cost most.
-pub fn choose<'a>(centre: &str, ready: impl Iterator<Item = &'a Place>) -> Vec<String> {
-    let ready: Vec<&Place> = ready.collect();
-    let near: Vec<&&Place> = ready.iter().filter(|it| it.centre == centre).collect();
+pub fn choose<'a>(centre: &str, ready: impl Iterator<Item = &'a InstanceLocation>) -> Vec<String> {
+    let ready: Vec<&InstanceLocation> = ready.collect();
+    let near: Vec<&&InstanceLocation> = ready.iter().filter(|it| it.centre == centre).collect();
     let mut fronts: Vec<String> = if near.len() >= FEWEST {
         near.iter().map(|it| it.front.clone()).collect()
     } else {
--- a/crates/siskinyoke-dispatch/src/message.rs
+++ b/crates/siskinyoke-dispatch/src/message.rs
@@ -13,7 +13,7 @@
     Report(Box<Report>),
     /// Asks an instance of another shard for something that the sender's shard lacks just now; the number
     /// names the question in its answer.
-    Borrow(u64, Need),
+    Borrow(u64, BorrowRequest),
     /// Answers a question.
     Lend(u64, Grant),
     /// Returns a place that was given in answer to a question.
@@ -22,20 +22,20 @@
 
 /// What an instance asks another shard for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Need {
+pub enum BorrowRequest {
     /// Units of an organisation's quota.
-    Units(UnitsNeed),
+    Units(QuotaRequest),
     /// A place at an endpoint for one request, from another shard.
     #[serde(rename = "Place")]
-    Place(PlaceNeed),
+    Place(SlotRequest),
     /// A place at an endpoint whose rate limit the receiver holds a part of, from an instance of the same shard.
     #[serde(rename = "Reserved")]
-    Reserved(PlaceNeed),
+    RateLimitedSlot(SlotRequest),
 }
 
 /// Units of an organisation's quota that are asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UnitsNeed {
+pub struct QuotaRequest {
     /// The organisation, hashed.
     pub organisation: u32,
     /// How many.
@@ -44,7 +44,7 @@
 
 /// A request for which a place is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceNeed {
+pub struct SlotRequest {
     /// Its service, hashed.
     pub service: u32,
     /// Whether its answer comes as events.
--- a/crates/siskinyoke-dispatch/src/news.rs
+++ b/crates/siskinyoke-dispatch/src/news.rs
@@ -3,25 +3,25 @@
 use std::sync::Arc;
 
 use crate::Endpoint;
-use crate::report::Place;
+use crate::report::InstanceLocation;
 use crate::rollout::Order;
 use crate::rollout::Status;
 
 /// One change of what the store says.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum StoreUpdate {
     /// An endpoint is there, or says something else of itself.
     Endpoint(Endpoint),
     /// An endpoint's entry is gone.
-    EndpointGone(String),
+    EndpointRemoved(String),
     /// An instance is there.
-    Instance(String, Place),
+    Instance(String, InstanceLocation),
     /// An instance's entry is gone.
-    InstanceGone(String),
+    InstanceRemoved(String),
     /// A service's traffic is to move to another version.
     Order(Order),
     /// The order for a service is withdrawn.
-    OrderGone(Arc<str>),
+    RolloutOrderRemoved(Arc<str>),
     /// How far the order for a service has come.
     Status(Arc<str>, Status),
 }
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -3,24 +3,24 @@
 use std::collections::BTreeMap;
 
 use crate::Report;
-use crate::report::About;
-use crate::report::Waiting;
+use crate::report::InstanceInfo;
+use crate::report::WaitingRow;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
 /// How old a report may be before its sender's running requests are no longer counted.
 ///
 /// Idle instances report ten times a second, so this is four lost reports in a row.
-const FRESH: Millis = Millis(450);
+const REPORT_TTL: Millis = Millis(450);
 
 /// How old a report may be before its sender's waiting requests are no longer given way to.
 ///
 /// Under pressure reports come every ten or twenty ms. A place left free for a peer that does not
 /// take it is lost for this time at most.
-const COURTEOUS: Millis = Millis(80);
+const QUEUE_TTL: Millis = Millis(80);
 
 /// How long a silent instance is remembered as one that may go on alone.
-const REMEMBERED: Millis = Millis::from_secs(12);
+const PEER_RETENTION: Millis = Millis::from_secs(12);
 
 /// One peer.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     /// Its latest report.
     pub report: Report,
     /// What it told last of itself.
-    pub about: About,
+    pub about: InstanceInfo,
     /// When that came.
     pub heard: Millis,
 }
@@ -36,13 +36,13 @@
 impl Peer {
     /// Returns whether the peer is heard of at present.
     pub fn fresh(&self, now: Millis) -> bool {
-        now.since(self.heard) <= FRESH
+        now.since(self.heard) <= REPORT_TTL
     }
 }
 
 /// What a new report brought.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     /// Nothing: it is older than what is known, or from a peer that has not said who it is.
     Nothing,
     /// The next report of a known peer.
@@ -65,19 +65,19 @@
     }
 
     /// Takes in a report.
-    pub fn heard(&mut self, now: Millis, mut report: Report) -> Heard {
+    pub fn heard(&mut self, now: Millis, mut report: Report) -> Received {
         let about = report.about.take();
         if let Some(peer) = self.known.get_mut(&report.source) {
             if peer.report.number >= report.number {
-                return Heard::Nothing;
+                return Received::Nothing;
             }
             peer.about = about.unwrap_or_else(|| peer.about.clone());
             peer.report = report;
             peer.heard = now;
-            return Heard::Next;
+            return Received::Next;
         }
         let Some(about) = about else {
-            return Heard::Nothing;
+            return Received::Nothing;
         };
         let before = self
             .known
@@ -86,7 +86,7 @@
         // The last report of the start before may come late. Ages tell the two apart, and need
         // no time of day, which may step back between two starts.
         if before.is_some_and(|peer| peer.fresh(now) && peer.report.age < report.age) {
-            return Heard::Nothing;
+            return Received::Nothing;
         }
         let before = before.map(|peer| peer.report.source);
         if let Some(source) = before {
@@ -100,7 +100,7 @@
                 heard: now,
             },
         );
-        Heard::First(before)
+        Received::First(before)
     }
 
     /// Keeps the peers whose name belongs to this instance's shard.
@@ -118,7 +118,7 @@
         let mut gone = Vec::new();
         self.known.retain(|_, peer| {
             let silent = now.since(peer.heard);
-            let keep = silent < REMEMBERED && !(peer.report.leaving && silent > FRESH);
+            let keep = silent < PEER_RETENTION && !(peer.report.leaving && silent > REPORT_TTL);
             if !keep {
                 gone.push(peer.report.source);
             }
@@ -147,13 +147,13 @@
     }
 
     /// Returns what waits at peers for a service, each row with the age of its first request.
-    pub fn waiting(&self, now: Millis, service: u32) -> impl Iterator<Item = Waiting> {
+    pub fn waiting(&self, now: Millis, service: u32) -> impl Iterator<Item = WaitingRow> {
         self.known
             .values()
-            .filter(move |peer| now.since(peer.heard) <= COURTEOUS)
+            .filter(move |peer| now.since(peer.heard) <= QUEUE_TTL)
             .flat_map(move |peer| {
                 let age = u32::try_from(now.since(peer.heard).0).unwrap_or(u32::MAX);
-                peer.report.waiting.iter().map(move |row| Waiting {
+                peer.report.waiting.iter().map(move |row| WaitingRow {
                     oldest: row.oldest.saturating_add(age),
                     ..*row
                 })
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placing.rs
@@ -11,7 +11,7 @@
 use crate::health::Health;
 use crate::load::Load;
 use crate::load::float;
-use crate::report::Busy;
+use crate::report::RunningRow;
 use crate::stable_hash;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
@@ -167,7 +167,7 @@
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
-    pub fn heard(&mut self, rows: &[Busy]) {
+    pub fn heard(&mut self, rows: &[RunningRow]) {
         for row in rows.iter().filter(|row| row.pace > 0) {
             self.told
                 .insert(row.endpoint, f64::from(row.pace) / EIGHTHS);
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -4,7 +4,7 @@
 
 use crate::Ticket;
 use crate::pending::Order;
-use crate::report::Waiting;
+use crate::report::WaitingRow;
 use siskinyoke_base::Millis;
 
 /// Where a request stands in the queue: order, then turn, then ticket.
@@ -43,8 +43,8 @@
         now: Millis,
         service: u32,
         stay: impl Fn(Ticket) -> Millis,
-    ) -> Vec<Waiting> {
-        let mut rows: Vec<Waiting> = Vec::new();
+    ) -> Vec<WaitingRow> {
+        let mut rows: Vec<WaitingRow> = Vec::new();
         for (order, position, ticket) in &self.places {
             let work = u32::try_from(stay(*ticket).0).unwrap_or(u32::MAX);
             match rows.last_mut() {
@@ -52,7 +52,7 @@
                     row.count = row.count.saturating_add(1);
                     row.work = row.work.saturating_add(work);
                 }
-                _ => rows.push(Waiting {
+                _ => rows.push(WaitingRow {
                     service,
                     order: *order,
                     count: 1,
--- a/crates/siskinyoke-dispatch/src/quota.rs
+++ b/crates/siskinyoke-dispatch/src/quota.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::Organisation;
-use crate::report::short;
+use crate::report::short_hash;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
@@ -114,7 +114,7 @@
     pub fn configure(&mut self, now: Millis, organisations: &[Arc<Organisation>], share: f64) {
         let mut buckets = Map::default();
         for organisation in organisations {
-            let key = short(&organisation.name);
+            let key = short_hash(&organisation.name);
             let old = self.buckets.remove(&key);
             if organisation.rate <= 0.0 {
                 continue;
@@ -163,7 +163,7 @@
         wanted: QuotaRequest,
         share: f64,
     ) -> Result<(), Millis> {
-        let Some(bucket) = self.buckets.get_mut(&short(&organisation.name)) else {
+        let Some(bucket) = self.buckets.get_mut(&short_hash(&organisation.name)) else {
             return Ok(());
         };
         bucket.refill(now, share);
@@ -192,7 +192,7 @@
 
     /// Gives back units of a request that never ran.
     pub fn refund(&mut self, organisation: &Organisation, units: f64) {
-        if let Some(bucket) = self.buckets.get_mut(&short(&organisation.name)) {
+        if let Some(bucket) = self.buckets.get_mut(&short_hash(&organisation.name)) {
             bucket.level = (bucket.level + units).min(bucket.capacity);
             bucket.consumed -= units;
         }
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -13,9 +13,9 @@
 use self::rate_limit::RateLimit;
 use crate::Endpoint;
 use crate::EndpointKey;
-use crate::report::About;
+use crate::report::InstanceInfo;
+use crate::report::InstanceLocation;
 use crate::report::LimitRow;
-use crate::report::Place;
 use crate::scheduler::View;
 use crate::stable_hash;
 use siskinyoke_base::Map;
@@ -148,13 +148,13 @@
         &self,
         view: &View<'a>,
         endpoints: &[Arc<Endpoint>],
-    ) -> Vec<&'a Place> {
+    ) -> Vec<&'a InstanceLocation> {
         let limits: Vec<(u32, f64)> = endpoints
             .iter()
             .map(|it| it.key().short())
             .filter_map(|key| Some((key, self.limits.get(&key)?.shard()?)))
             .collect();
-        let peers: Vec<&About> = view.peers.fresh(view.now).map(|it| &it.about).collect();
+        let peers: Vec<&InstanceInfo> = view.peers.fresh(view.now).map(|it| &it.about).collect();
         let mut names: Vec<&str> = peers.iter().map(|it| &*it.name).collect();
         names.push(&self.instance);
         let holds = |name: &str| {
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -5,9 +5,9 @@
 
 use crate::Endpoint;
 use crate::EndpointKey;
-use crate::News;
+use crate::StoreUpdate;
 use crate::listing::Listing;
-use crate::report::short;
+use crate::report::short_hash;
 use crate::rollout::Order;
 use crate::rollout::Rollout;
 use crate::rollout::Status;
@@ -71,16 +71,16 @@
     }
 
     /// Takes in changes of endpoints' entries, all at once.
-    pub fn change(&mut self, now: Millis, news: Vec<News>) {
+    pub fn change(&mut self, now: Millis, news: Vec<StoreUpdate>) {
         for item in news {
             match item {
-                News::Endpoint(endpoint) => self.add(now, endpoint),
-                News::EndpointGone(id) => self.listing.remove(now, &id),
-                News::Instance(..)
-                | News::InstanceGone(_)
-                | News::Order(_)
-                | News::OrderGone(_)
-                | News::Status(..) => {}
+                StoreUpdate::Endpoint(endpoint) => self.add(now, endpoint),
+                StoreUpdate::EndpointRemoved(id) => self.listing.remove(now, &id),
+                StoreUpdate::Instance(..)
+                | StoreUpdate::InstanceRemoved(_)
+                | StoreUpdate::Order(_)
+                | StoreUpdate::RolloutOrderRemoved(_)
+                | StoreUpdate::Status(..) => {}
             }
         }
         self.choose();
@@ -170,7 +170,7 @@
 
     /// Returns the service of a hashed name that has endpoints here.
     pub fn service(&self, name: u32) -> Option<Arc<str>> {
-        let known = self.fit.keys().find(|it| short(it) == name);
+        let known = self.fit.keys().find(|it| short_hash(it) == name);
         known.cloned()
     }
 
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -28,24 +28,24 @@
     #[serde(rename = "reaches")]
     pub reaches: bool,
     /// Its requests at each endpoint.
-    pub running: Vec<Busy>,
+    pub running: Vec<RunningRow>,
     /// Its waiting requests by service and order.
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<WaitingRow>,
     /// Units used by organisation since its start, less those that other shards gave.
     #[serde(rename = "spent")]
     pub spent: Vec<(u32, i64)>,
     /// Rate limits that endpoints name, while there are any.
     pub limits: Vec<LimitRow>,
     /// The answers of versions on trial, while there are any.
-    pub canaries: Vec<Canary>,
+    pub canaries: Vec<CanaryReport>,
     /// What changes seldom, in a few reports a second.
     #[serde(rename = "about")]
-    pub about: Option<About>,
+    pub about: Option<InstanceInfo>,
 }
 
 /// One instance's requests at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Busy {
+pub struct RunningRow {
     /// The endpoint's key, shortened.
     pub endpoint: u32,
     /// How many run there.
@@ -60,7 +60,7 @@
 
 /// Where an instance is found.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct InstanceLocation {
     /// Where callers reach it.
     #[serde(rename = "front")]
     pub front: String,
@@ -73,12 +73,12 @@
 
 /// What an instance tells of itself now and then.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
+pub struct InstanceInfo {
     /// Its name.
     pub name: String,
     /// Where it is found.
     #[serde(rename = "place")]
-    pub place: Place,
+    pub place: InstanceLocation,
     /// Endpoints it knows to be leaving or gone.
     #[serde(rename = "leavers")]
     pub leavers: Vec<EndpointKey>,
@@ -90,7 +90,7 @@
 
 /// The waiting requests of one service and order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct WaitingRow {
     /// The service, hashed.
     pub service: u32,
     /// Their order: the smaller goes first.
@@ -118,7 +118,7 @@
 
 /// What an instance saw of a version on trial.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Canary {
+pub struct CanaryReport {
     /// The service, hashed.
     pub service: u32,
     /// The store's revision of the order.
@@ -147,6 +147,6 @@
 }
 
 /// Returns a name's hash as it stands in reports.
-pub fn short(name: &str) -> u32 {
+pub fn short_hash(name: &str) -> u32 {
     (stable_hash(&name) >> 32) as u32
 }
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -17,8 +17,8 @@
 use crate::Endpoint;
 use crate::load::float;
 use crate::load::millis;
-use crate::report::Canary;
-use crate::report::short;
+use crate::report::CanaryReport;
+use crate::report::short_hash;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
@@ -133,7 +133,7 @@
     credit: f64,
     tally: Tally,
     // What peers saw, and when they said so.
-    told: Map<u64, (Millis, Canary)>,
+    told: Map<u64, (Millis, CanaryReport)>,
     phase: Phase,
 }
 
@@ -217,7 +217,7 @@
     }
 
     /// Takes in what a peer says of its own answers; those of another `shard` are not counted here.
-    pub fn heard(&mut self, now: Millis, source: u64, canary: &Canary, shard: bool) {
+    pub fn heard(&mut self, now: Millis, source: u64, canary: &CanaryReport, shard: bool) {
         if canary.order != self.order.revision {
             return;
         }
@@ -231,9 +231,9 @@
     }
 
     /// Returns what peers are told.
-    pub fn tell(&self, now: Millis) -> Canary {
-        Canary {
-            service: short(&self.order.service),
+    pub fn tell(&self, now: Millis) -> CanaryReport {
+        CanaryReport {
+            service: short_hash(&self.order.service),
             order: self.order.revision,
             age: now.since(self.begun).0,
             condemned: self.condemned,
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -34,9 +34,9 @@
 use crate::queue::Queue;
 use crate::rate_limits::RateLimits;
 use crate::registry::Registry;
-use crate::report::Busy;
-use crate::report::Waiting;
-use crate::report::short;
+use crate::report::RunningRow;
+use crate::report::WaitingRow;
+use crate::report::short_hash;
 use crate::stall_timeout;
 use crate::wait;
 use siskinyoke_base::Map;
@@ -90,7 +90,7 @@
     queues: BTreeMap<Arc<str>, Queue>,
     waiting: Map<Ticket, Pending>,
     running: Map<Ticket, Running>,
-    counts: BTreeMap<EndpointKey, Busy>,
+    counts: BTreeMap<EndpointKey, RunningRow>,
     loads: Map<Arc<str>, Load>,
     demands: Map<Arc<str>, Demand>,
     overloads: Map<(Arc<str>, Rank), OverloadWindow>,
@@ -297,13 +297,13 @@
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
-    pub fn heard(&mut self, rows: &[Busy]) {
+    pub fn heard(&mut self, rows: &[RunningRow]) {
         self.placing.heard(rows);
     }
 
     /// Returns this instance's requests at each endpoint.
-    pub fn counts(&self) -> Vec<Busy> {
-        let counts = self.counts.iter().map(|(key, busy)| Busy {
+    pub fn counts(&self) -> Vec<RunningRow> {
+        let counts = self.counts.iter().map(|(key, busy)| RunningRow {
             pace: self.placing.tell(*key),
             ..*busy
         });
@@ -311,13 +311,13 @@
     }
 
     /// Sums up what waits here.
-    pub fn summary(&self, now: Millis) -> Vec<Waiting> {
+    pub fn summary(&self, now: Millis) -> Vec<WaitingRow> {
         self.queues
             .iter()
             .flat_map(|(service, queue)| {
                 let load = self.load(service);
                 let stay = |ticket| load.stay_of(&self.waiting[&ticket].work);
-                queue.summary(now, short(service), stay)
+                queue.summary(now, short_hash(service), stay)
             })
             .collect()
     }
@@ -340,8 +340,8 @@
     }
 
     // What runs at an endpoint by this instance's count.
-    fn busy(&mut self, key: EndpointKey) -> &mut Busy {
-        self.counts.entry(key).or_insert(Busy {
+    fn busy(&mut self, key: EndpointKey) -> &mut RunningRow {
+        self.counts.entry(key).or_insert(RunningRow {
             endpoint: key.short(),
             count: 0,
             unread: 0,
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -11,10 +11,10 @@
 use super::Scheduler;
 use super::View;
 use super::starting::left;
+use crate::BorrowRequest;
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Kind;
-use crate::Need;
 use crate::Pending;
 use crate::Rank;
 use crate::Route;
@@ -22,10 +22,10 @@
 use crate::Work;
 use crate::load::float;
 use crate::load::millis;
-use crate::message::PlaceNeed;
+use crate::message::SlotRequest;
 use crate::placing::Candidate;
 use crate::placing::Query;
-use crate::report::short;
+use crate::report::short_hash;
 use siskinyoke_base::Millis;
 
 /// How long a request waits before other shards are asked for a place.
@@ -74,7 +74,7 @@
 
 impl Scheduler {
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
-    pub(crate) fn needs(&mut self, view: &View<'_>) -> Vec<(Ticket, Need)> {
+    pub(crate) fn needs(&mut self, view: &View<'_>) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let askable = self.queues.iter().flat_map(|(service, queue)| {
             let place = view.registry.divided() && !self.declined(now, service);
@@ -86,8 +86,8 @@
         let mut needs = Vec::new();
         for (ticket, place, reserved) in due {
             let need = place_need(now, &self.waiting[&ticket]);
-            needs.extend(place.then_some((ticket, Need::Place(need))));
-            needs.extend(reserved.then_some((ticket, Need::Reserved(need))));
+            needs.extend(place.then_some((ticket, BorrowRequest::Place(need))));
+            needs.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(need))));
         }
         let waiting = &self.waiting;
         self.asked.retain(|ticket, _| waiting.contains_key(ticket));
@@ -104,7 +104,7 @@
         &mut self,
         view: &View<'_>,
         id: u64,
-        need: &PlaceNeed,
+        need: &SlotRequest,
     ) -> Option<EndpointKey> {
         let service = view.registry.service(need.service)?;
         let waits = self.queues.get(&service).is_some_and(|it| !it.is_empty());
@@ -231,10 +231,10 @@
     }
 }
 
-fn place_need(now: Millis, pending: &Pending) -> PlaceNeed {
+fn place_need(now: Millis, pending: &Pending) -> SlotRequest {
     let small = |span: Millis| u32::try_from(span.0).unwrap_or(u32::MAX);
-    PlaceNeed {
-        service: short(&pending.service),
+    SlotRequest {
+        service: short_hash(&pending.service),
         stream: pending.route.kind == Kind::Stream,
         prompt: pending.work.unread(),
         output: pending.work.expected(),
@@ -246,7 +246,7 @@
 }
 
 // Another shard's request, as far as the choice of an endpoint needs it.
-pub(super) fn guest(now: Millis, service: &Arc<str>, need: &PlaceNeed) -> Pending {
+pub(super) fn guest(now: Millis, service: &Arc<str>, need: &SlotRequest) -> Pending {
     let span = |ms: u32| Millis(u64::from(ms));
     let arrived = now.since(span(need.waited));
     let until = now + span(need.left);
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -9,11 +9,11 @@
 use crate::Ticket;
 use crate::load::Load;
 use crate::load::float;
-use crate::message::PlaceNeed;
+use crate::message::SlotRequest;
 use crate::rate_limits::LimitChange;
 use crate::rate_limits::RateLimits;
+use crate::report::InstanceLocation;
 use crate::report::LimitRow;
-use crate::report::Place;
 use siskinyoke_base::Millis;
 
 const MS_PER_S: f64 = 1_000.0;
@@ -43,7 +43,11 @@
     }
 
     /// Gives a token of a rate limit to a peer's request, unless requests wait here.
-    pub(crate) fn lend_token(&mut self, view: &View<'_>, need: &PlaceNeed) -> Option<EndpointKey> {
+    pub(crate) fn lend_token(
+        &mut self,
+        view: &View<'_>,
+        need: &SlotRequest,
+    ) -> Option<EndpointKey> {
         let service = view.registry.service(need.service)?;
         if self.queues.get(&service).is_some_and(|it| !it.is_empty()) {
             return None;
@@ -58,7 +62,7 @@
     }
 
     /// Returns the peers that may give a token for a service's requests.
-    pub(crate) fn holders<'a>(&self, view: &View<'a>, service: u32) -> Vec<&'a Place> {
+    pub(crate) fn holders<'a>(&self, view: &View<'a>, service: u32) -> Vec<&'a InstanceLocation> {
         let Some(service) = view.registry.service(service) else {
             return Vec::new();
         };
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -16,8 +16,8 @@
 use crate::placing::Placing;
 use crate::placing::Query;
 use crate::queue::Place;
-use crate::report::Waiting;
-use crate::report::short;
+use crate::report::WaitingRow;
+use crate::report::short_hash;
 use crate::wait;
 use siskinyoke_base::Millis;
 
@@ -78,7 +78,7 @@
     ) {
         let now = view.now;
         let load = self.load(service);
-        let rows: Vec<Waiting> = view.peers.waiting(now, short(service)).collect();
+        let rows: Vec<WaitingRow> = view.peers.waiting(now, short_hash(service)).collect();
         let waiting: Vec<Place> = self.queues[service].iter().collect();
         let mut open = self.open(view, service, waiting.len());
         for (order, position, ticket) in waiting {
@@ -243,7 +243,7 @@
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
-fn before(rows: &[Waiting], order: Order, waited: Millis) -> u32 {
+fn before(rows: &[WaitingRow], order: Order, waited: Millis) -> u32 {
     rows.iter()
         .map(|row| {
             if row.order < order {
--- a/crates/siskinyoke-dispatch/src/scheduler/waits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/waits.rs
@@ -10,8 +10,8 @@
 use crate::forecast::Forecast;
 use crate::load::float;
 use crate::queue::Queue;
-use crate::report::Waiting;
-use crate::report::short;
+use crate::report::WaitingRow;
+use crate::report::short_hash;
 use crate::wait;
 use siskinyoke_base::Millis;
 
@@ -69,7 +69,7 @@
         let own: f64 = own
             .map(|place| float(load.stay_of(&self.waiting[&place.2].work)))
             .sum();
-        let others = view.peers.waiting(view.now, short(&pending.service));
+        let others = view.peers.waiting(view.now, short_hash(&pending.service));
         let age = float(view.now.since(pending.position));
         own + others.map(|row| earlier(&row, pending, age)).sum::<f64>()
     }
@@ -91,7 +91,7 @@
 
 // The part of a peer's waiting work that goes before a request which has waited for so long. Nothing is
 // told of the rows in between, so their turns are taken to be evenly spread.
-fn earlier(row: &Waiting, pending: &Pending, age: f64) -> f64 {
+fn earlier(row: &WaitingRow, pending: &Pending, age: f64) -> f64 {
     let work = f64::from(row.work);
     let oldest = f64::from(row.oldest);
     match row.order.cmp(&pending.order()) {
--- a/crates/siskinyoke-dispatch/src/shards.rs
+++ b/crates/siskinyoke-dispatch/src/shards.rs
@@ -15,11 +15,11 @@
 /// The number of shards is a power of two, so shards have six to twelve instances on average: few
 /// enough to hear each other at little cost, enough to hold a score of endpoints between them.
 /// Powers of two are far apart, so that restarts of some instances seldom change the number.
-const SMALLEST: usize = 6;
+const MIN_INSTANCES_PER_SHARD: usize = 6;
 
 /// Returns the number of shards for a fleet of so many instances.
 pub fn count(instances: usize) -> usize {
-    let most = instances / SMALLEST;
+    let most = instances / MIN_INSTANCES_PER_SHARD;
     if most < 2 {
         return 1;
     }
--- a/crates/siskinyoke-dispatch/src/watchers.rs
+++ b/crates/siskinyoke-dispatch/src/watchers.rs
@@ -14,14 +14,14 @@
 
 /// What an instance does to hear of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
+pub enum StoreRole {
     /// It watches the store.
     Watch,
     /// It takes changes from peers.
     Follow,
 }
 
-impl Duty {
+impl StoreRole {
     /// Returns the word for log lines.
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -23,9 +23,9 @@
 use siskinyoke_dispatch::core::Identity;
 use siskinyoke_dispatch::core::Request;
 use siskinyoke_dispatch::quota::QuotaPolicy;
-use siskinyoke_dispatch::report::About;
-use siskinyoke_dispatch::report::Busy;
-use siskinyoke_dispatch::report::Place;
+use siskinyoke_dispatch::report::InstanceInfo;
+use siskinyoke_dispatch::report::InstanceLocation;
+use siskinyoke_dispatch::report::RunningRow;
 use siskinyoke_dispatch::stable_hash;
 
 /// The window, overage and slack of the tests' quotas.
@@ -178,8 +178,8 @@
 }
 
 /// A peer's requests at an endpoint of the usual pace.
-pub fn busy(id: &str, count: u16) -> Busy {
-    Busy {
+pub fn busy(id: &str, count: u16) -> RunningRow {
+    RunningRow {
         endpoint: endpoint(id, 1).key().short(),
         count,
         unread: 0,
@@ -188,8 +188,8 @@
 }
 
 /// Where an instance of a data centre is found.
-pub fn place(name: &str, centre: &str) -> Place {
-    Place {
+pub fn place(name: &str, centre: &str) -> InstanceLocation {
+    InstanceLocation {
         front: format!("{name}:1"),
         inner: format!("{name}:2"),
         centre: centre.to_owned(),
@@ -197,7 +197,7 @@
 }
 
 /// The number of the instance `iN` that is found at a place.
-pub fn number(place: &Place) -> usize {
+pub fn number(place: &InstanceLocation) -> usize {
     let name = place.front.trim_start_matches('i');
     name.trim_end_matches(":1").parse().expect("a number")
 }
@@ -212,8 +212,8 @@
 }
 
 /// What a peer of a data centre tells of itself.
-pub fn about(name: &str, centre: &str) -> About {
-    About {
+pub fn about(name: &str, centre: &str) -> InstanceInfo {
+    InstanceInfo {
         name: name.to_owned(),
         place: place(name, centre),
         leavers: Vec::new(),
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -12,9 +12,9 @@
 use crate::common::place;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
-use siskinyoke_dispatch::News;
 use siskinyoke_dispatch::Report;
-use siskinyoke_dispatch::watchers::Duty;
+use siskinyoke_dispatch::StoreUpdate;
+use siskinyoke_dispatch::watchers::StoreRole;
 
 const STEP: u64 = 10;
 
@@ -321,7 +321,7 @@
         if let Some(watch) = self.nodes[at].watch {
             return self.wait(at, watch);
         }
-        if self.nodes[at].core.duty(Millis(self.now)) == Duty::Follow {
+        if self.nodes[at].core.duty(Millis(self.now)) == StoreRole::Follow {
             self.nodes[at].rests = self.now + 200;
             return;
         }
@@ -360,7 +360,7 @@
         node.core.store_answered();
         if changed {
             let names = (0..count).map(|it| format!("i{it}"));
-            let news = names.map(|it| News::Instance(it.clone(), place(&it, "a")));
+            let news = names.map(|it| StoreUpdate::Instance(it.clone(), place(&it, "a")));
             node.core
                 .learn_news(Millis(self.now), revision, news.collect());
             if !first {
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -28,17 +28,17 @@
 use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
+use siskinyoke_dispatch::BorrowRequest;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Grant;
-use siskinyoke_dispatch::Need;
-use siskinyoke_dispatch::News;
 use siskinyoke_dispatch::Reason;
+use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Request;
-use siskinyoke_dispatch::message::PlaceNeed;
-use siskinyoke_dispatch::message::UnitsNeed;
+use siskinyoke_dispatch::message::QuotaRequest;
+use siskinyoke_dispatch::message::SlotRequest;
 
 /// A quota of some twenty requests a second, which eight shards share.
 const RATE: f64 = 45_000.0;
@@ -95,8 +95,9 @@
             core.configure(Millis(0), configuration(1, organisation(RATE, RATE)));
             let fleet = names
                 .iter()
-                .map(|it| News::Instance(it.clone(), place(it, "a")));
-            let endpoints = (0..endpoints).map(|at| News::Endpoint(endpoint(&format!("e{at}"), 4)));
+                .map(|it| StoreUpdate::Instance(it.clone(), place(it, "a")));
+            let endpoints =
+                (0..endpoints).map(|at| StoreUpdate::Endpoint(endpoint(&format!("e{at}"), 4)));
             core.learn_news(Millis(0), 1, fleet.chain(endpoints).collect());
             core
         };
@@ -155,11 +156,11 @@
             && passed.is_err()
             && let Some(need) = self.cores[at].lacks(now, wanted)
         {
-            let part = UnitsNeed {
+            let part = QuotaRequest {
                 units: need.units.div_ceil(2),
                 ..need
             };
-            let need = Need::Units(part);
+            let need = BorrowRequest::Units(part);
             let mut sum = 0;
             for other in self.others(at, ASKED) {
                 if let Grant::Units(given) = self.cores[other].lend(now, 0, need) {
@@ -432,8 +433,8 @@
 fn a_place_that_is_not_returned_is_taken_back() {
     let mut fleet = Fleet::new(1, 24, 20, true);
     fleet.tell();
-    let need = PlaceNeed {
-        service: siskinyoke_dispatch::report::short("lm"),
+    let need = SlotRequest {
+        service: siskinyoke_dispatch::report::short_hash("lm"),
         stream: false,
         prompt: 100,
         output: 10,
@@ -442,7 +443,7 @@
         waited: 20,
         left: 4_000,
     };
-    let given = fleet.cores[0].lend(Millis(0), 7, Need::Place(need));
+    let given = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Place(need));
     assert!(matches!(given, Grant::Place(_)), "{given:?}");
     let count = |core: &Core| -> u16 { core.scheduler().counts().iter().map(|it| it.count).sum() };
     assert_eq!(count(&fleet.cores[0]), 1);
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -8,15 +8,18 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::directory::choose;
-use siskinyoke_dispatch::peers::Heard;
 use siskinyoke_dispatch::peers::Peers;
+use siskinyoke_dispatch::peers::Received;
 
 #[test]
 fn a_report_that_arrives_late_changes_nothing() {
     let mut peers = Peers::default();
-    assert_eq!(peers.heard(Millis(0), report("p", 5)), Heard::First(None));
-    assert_eq!(peers.heard(Millis(1), report("p", 4)), Heard::Nothing);
-    assert_eq!(peers.heard(Millis(1), report("p", 6)), Heard::Next);
+    assert_eq!(
+        peers.heard(Millis(0), report("p", 5)),
+        Received::First(None)
+    );
+    assert_eq!(peers.heard(Millis(1), report("p", 4)), Received::Nothing);
+    assert_eq!(peers.heard(Millis(1), report("p", 6)), Received::Next);
 }
 
 #[test]
@@ -26,7 +29,7 @@
         about: None,
         ..report("p", 1)
     };
-    assert_eq!(peers.heard(Millis(0), unnamed), Heard::Nothing);
+    assert_eq!(peers.heard(Millis(0), unnamed), Received::Nothing);
     assert_eq!(peers.count(Millis(0)), 1);
 }
 
@@ -46,8 +49,8 @@
         ..report("p", 1)
     };
     peers.heard(Millis(0), before.clone());
-    assert_eq!(peers.heard(Millis(100), after), Heard::First(Some(1)));
-    assert_eq!(peers.heard(Millis(120), before), Heard::Nothing);
+    assert_eq!(peers.heard(Millis(100), after), Received::First(Some(1)));
+    assert_eq!(peers.heard(Millis(120), before), Received::Nothing);
     assert_eq!(peers.count(Millis(120)), 2);
 }
 
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -23,7 +23,7 @@
 use siskinyoke_dispatch::placing::Placing;
 use siskinyoke_dispatch::placing::Query;
 use siskinyoke_dispatch::registry::Registry;
-use siskinyoke_dispatch::report::Busy;
+use siskinyoke_dispatch::report::RunningRow;
 
 /// A pace of four and a half times the usual one, and the usual one, as reports tell them.
 const SLOW: u8 = 36;
@@ -48,7 +48,7 @@
         };
         for (id, slots, pace) in endpoints {
             world.registry.put(Millis(0), endpoint(id, *slots));
-            let told = Busy {
+            let told = RunningRow {
                 pace: *pace,
                 ..busy(id, 0)
             };
@@ -186,7 +186,7 @@
             ..endpoint(id, 12)
         };
         world.registry.put(Millis(0), far);
-        world.scheduler.heard(&[Busy {
+        world.scheduler.heard(&[RunningRow {
             pace: USUAL,
             ..busy(id, 0)
         }]);
@@ -258,7 +258,7 @@
     };
     let mut placing = Placing::new("me", "a");
     let slow = Arc::new(endpoint("slow", 12));
-    placing.heard(&[Busy {
+    placing.heard(&[RunningRow {
         pace: SLOW,
         ..busy("slow", 0)
     }]);
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -16,16 +16,16 @@
 use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
+use siskinyoke_dispatch::BorrowRequest;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Grant;
-use siskinyoke_dispatch::Need;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Request;
-use siskinyoke_dispatch::message::PlaceNeed;
+use siskinyoke_dispatch::message::SlotRequest;
 
 const STEP: u64 = 10;
 
@@ -293,9 +293,9 @@
         }
         for (ticket, need) in self.cores[at].needs(now) {
             match need {
-                Need::Reserved(place) => self.ask_holders(at, ticket, place),
-                Need::Place(_) => self.ask_shards(at, ticket, need),
-                Need::Units(_) => {}
+                BorrowRequest::RateLimitedSlot(place) => self.ask_holders(at, ticket, place),
+                BorrowRequest::Place(_) => self.ask_shards(at, ticket, need),
+                BorrowRequest::Units(_) => {}
             }
         }
     }
@@ -324,18 +324,18 @@
     }
 
     // Asks some holders of the limit for a token.
-    fn ask_holders(&mut self, at: usize, ticket: Ticket, need: PlaceNeed) {
+    fn ask_holders(&mut self, at: usize, ticket: Ticket, need: SlotRequest) {
         let now = Millis(self.now);
         let holders = self.cores[at].holders(now, need.service);
         let some = holders.choose_multiple(&mut self.rng, CHOICES);
         let some: Vec<usize> = some.map(|it| number(it)).collect();
-        if !self.ask(at, ticket, Need::Reserved(need), &some) {
+        if !self.ask(at, ticket, BorrowRequest::RateLimitedSlot(need), &some) {
             self.cores[at].token_declined(now, ticket);
         }
     }
 
     // Asks instances of some other shards for a place.
-    fn ask_shards(&mut self, at: usize, ticket: Ticket, need: Need) {
+    fn ask_shards(&mut self, at: usize, ticket: Ticket, need: BorrowRequest) {
         let shards = self.cores[at].other_shards();
         let some: Vec<_> = shards.choose_multiple(&mut self.rng, CHOICES).collect();
         let some = some.into_iter().filter_map(|it| it.choose(&mut self.rng));
@@ -346,7 +346,7 @@
     }
 
     // Returns whether the request was sent with what one of them gave; the way there and back is left out.
-    fn ask(&mut self, at: usize, ticket: Ticket, need: Need, lenders: &[usize]) -> bool {
+    fn ask(&mut self, at: usize, ticket: Ticket, need: BorrowRequest, lenders: &[usize]) -> bool {
         let now = Millis(self.now);
         let mut started = false;
         for &lender in lenders {
--- a/crates/siskinyoke-dispatch/tests/registry.rs
+++ b/crates/siskinyoke-dispatch/tests/registry.rs
@@ -5,7 +5,7 @@
 use crate::common::endpoint;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::News;
+use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::registry::Registry;
 
 fn fit(registry: &Registry) -> Vec<String> {
@@ -68,7 +68,7 @@
     registry.put(Millis(0), endpoint("gone", 1));
     registry.store_lost();
     registry.store_back(Millis(9_000));
-    let gone = ["back", "gone"].map(|id| News::EndpointGone(id.to_owned()));
+    let gone = ["back", "gone"].map(|id| StoreUpdate::EndpointRemoved(id.to_owned()));
     registry.change(Millis(9_000), gone.into());
     assert_eq!(fit(&registry), ["back", "gone"]);
     registry.put(Millis(10_500), endpoint("back", 1));
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -7,7 +7,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::News;
+use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::rollout::Order;
 use siskinyoke_dispatch::rollout::Phase;
 use siskinyoke_dispatch::rollout::Rollout;
@@ -122,10 +122,10 @@
             revision: 8,
         };
         let news = vec![
-            News::Status("lm".into(), status),
-            News::Order(order("v2", 5)),
-            News::Endpoint(of("v1")),
-            News::Endpoint(of("v2")),
+            StoreUpdate::Status("lm".into(), status),
+            StoreUpdate::Order(order("v2", 5)),
+            StoreUpdate::Endpoint(of("v1")),
+            StoreUpdate::Endpoint(of("v2")),
         ];
         core.learn_news(Millis(0), 9, news);
         core.advance_rollouts(Millis(1));
@@ -145,13 +145,20 @@
 #[test]
 fn a_state_is_written_only_while_its_order_stands() {
     let mut core = Core::new(identity("i1", 1));
-    let news = vec![News::Order(order("v2", 5)), News::Endpoint(of("v1"))];
+    let news = vec![
+        StoreUpdate::Order(order("v2", 5)),
+        StoreUpdate::Endpoint(of("v1")),
+    ];
     core.learn_news(Millis(0), 6, news);
     core.advance_rollouts(Millis(1));
     let due = core.due_states(SPAN).remove(0);
     assert_eq!(due.state, State::RolledBack);
     assert_eq!((due.standing, due.expected), (5, 0));
-    core.learn_news(Millis(1), 7, vec![News::OrderGone("lm".into())]);
+    core.learn_news(
+        Millis(1),
+        7,
+        vec![StoreUpdate::RolloutOrderRemoved("lm".into())],
+    );
     let due = core.due_states(SPAN).remove(0);
     assert_eq!((due.standing, due.expected), (0, 0));
 }
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -21,9 +21,9 @@
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::News;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Report;
+use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::rollout::Order;
 use siskinyoke_dispatch::rollout::State;
@@ -126,7 +126,7 @@
     // Endpoints fail everything until then.
     sick: Vec<u64>,
     reports: Vec<(u64, usize, Report)>,
-    changes: Vec<News>,
+    changes: Vec<StoreUpdate>,
     status: u64,
     // When the 50th bad answer came.
     evident: Option<u64>,
@@ -161,12 +161,12 @@
             let name = format!("i{at}");
             world
                 .changes
-                .push(News::Instance(name.clone(), place(&name, "a")));
+                .push(StoreUpdate::Instance(name.clone(), place(&name, "a")));
         }
         for at in 0..ENDPOINTS {
             world
                 .changes
-                .push(News::Endpoint(world.endpoints[at].clone()));
+                .push(StoreUpdate::Endpoint(world.endpoints[at].clone()));
         }
         for at in 0..size {
             let node = world.start(at);
@@ -225,10 +225,10 @@
             span: Millis(SPAN),
             revision: self.revision() + 1,
         };
-        self.changes.push(News::Order(order));
+        self.changes.push(StoreUpdate::Order(order));
         for at in ENDPOINTS..2 * ENDPOINTS {
             self.changes
-                .push(News::Endpoint(self.endpoints[at].clone()));
+                .push(StoreUpdate::Endpoint(self.endpoints[at].clone()));
         }
     }
 
@@ -468,7 +468,7 @@
                 version: due.order.version,
                 revision,
             };
-            self.changes.push(News::Status("lm".into(), status));
+            self.changes.push(StoreUpdate::Status("lm".into(), status));
         }
     }
 
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -20,8 +20,8 @@
 use siskinyoke_dispatch::peers::Peers;
 use siskinyoke_dispatch::pending::Order;
 use siskinyoke_dispatch::registry::Registry;
-use siskinyoke_dispatch::report::Waiting;
-use siskinyoke_dispatch::report::short;
+use siskinyoke_dispatch::report::WaitingRow;
+use siskinyoke_dispatch::report::short_hash;
 
 fn registry(endpoints: &[(&str, u32)]) -> Registry {
     let mut registry = Registry::default();
@@ -90,8 +90,8 @@
     let registry = registry(&[("e", 1)]);
     let mut peers = Peers::default();
     let mut told = report("peer", 1);
-    told.waiting = vec![Waiting {
-        service: short("lm"),
+    told.waiting = vec![WaitingRow {
+        service: short_hash("lm"),
         order: Order(0),
         count: 1,
         oldest: 5,
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -8,10 +8,10 @@
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
-use siskinyoke_dispatch::News;
 use siskinyoke_dispatch::Report;
+use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::watchers::Candidate;
-use siskinyoke_dispatch::watchers::Duty;
+use siskinyoke_dispatch::watchers::StoreRole;
 use siskinyoke_dispatch::watchers::watcher;
 
 const NAMES: [&str; 4] = ["i0", "i1", "i2", "i3"];
@@ -77,7 +77,7 @@
     let names: Vec<String> = (0..16).map(|at| format!("i{at}")).collect();
     let news = names
         .iter()
-        .map(|name| News::Instance(name.clone(), place(name, "a")));
+        .map(|name| StoreUpdate::Instance(name.clone(), place(name, "a")));
     core.learn_news(Millis(0), 5, news.collect());
     core.store_answered();
     let members = core.listed().filter(|row| row.1);
@@ -105,7 +105,7 @@
     }
     let first = core.watcher(Millis(10)).to_owned();
     assert!(members.contains(&first), "i0 is not the first of its shard");
-    assert_eq!(core.duty(Millis(10)), Duty::Follow);
+    assert_eq!(core.duty(Millis(10)), StoreRole::Follow);
     for name in &members {
         hear(&mut core, 100, name, *name != first);
     }
@@ -116,7 +116,7 @@
     }
     assert_eq!(core.watcher(Millis(1_010)), second);
     // Nobody is heard any more.
-    assert_eq!(core.duty(Millis(3_000)), Duty::Watch);
+    assert_eq!(core.duty(Millis(3_000)), StoreRole::Watch);
 }
 
 // The store refuses a whole shard. If each of its instances went on asking, the calls that it refuses,
@@ -130,18 +130,18 @@
     }
     core.notice_store(Millis(1));
     assert!(!core.stored());
-    assert_eq!(core.duty(Millis(100)), Duty::Follow);
+    assert_eq!(core.duty(Millis(100)), StoreRole::Follow);
     // The store may be back for some and not for the first: others try now and then.
     for name in &members {
         hear(&mut core, 3_100, name, false);
     }
-    assert_eq!(core.duty(Millis(3_100)), Duty::Watch);
+    assert_eq!(core.duty(Millis(3_100)), StoreRole::Watch);
     core.store_failed(Millis(3_110));
-    assert_eq!(core.duty(Millis(3_120)), Duty::Follow);
+    assert_eq!(core.duty(Millis(3_120)), StoreRole::Follow);
     hear(&mut core, 3_200, &members[0], true);
     core.notice_store(Millis(3_210));
     assert!(core.stored());
-    assert_eq!(core.duty(Millis(3_210)), Duty::Follow);
+    assert_eq!(core.duty(Millis(3_210)), StoreRole::Follow);
 }
 
 // A peer's reports arrive, but nothing can be taken from it: a connection to it is cut one way.
@@ -152,13 +152,13 @@
         hear(&mut core, 0, name, true);
     }
     assert!(core.heard_revision(Millis(10), 9));
-    assert_eq!(core.duty(Millis(20)), Duty::Follow);
+    assert_eq!(core.duty(Millis(20)), StoreRole::Follow);
     for name in &members {
         hear(&mut core, 1_600, name, true);
     }
-    assert_eq!(core.duty(Millis(1_600)), Duty::Watch);
+    assert_eq!(core.duty(Millis(1_600)), StoreRole::Watch);
     core.learn_news(Millis(1_610), 9, Vec::new());
-    assert_eq!(core.duty(Millis(1_620)), Duty::Follow);
+    assert_eq!(core.duty(Millis(1_620)), StoreRole::Follow);
     assert!(!core.heard_revision(Millis(1_630), 9));
 }
 
@@ -171,9 +171,9 @@
     }
     core.heard_revision(Millis(10), 9);
     core.ask_store();
-    assert_eq!(core.duty(Millis(20)), Duty::Watch);
+    assert_eq!(core.duty(Millis(20)), StoreRole::Watch);
     core.learn_news(Millis(30), 9, Vec::new());
-    assert_eq!(core.duty(Millis(40)), Duty::Follow);
+    assert_eq!(core.duty(Millis(40)), StoreRole::Follow);
 }
 
 // A process that starts in a fleet would watch the store until it hears of its peers: as many calls as
@@ -181,9 +181,12 @@
 #[test]
 fn a_process_that_starts_waits_for_its_peers_a_moment() {
     let (core, _) = member();
-    assert_eq!(core.duty(Millis(200)), Duty::Follow);
-    assert_eq!(core.duty(Millis(400)), Duty::Watch);
-    assert_eq!(crate::common::core("i0", 1).duty(Millis(0)), Duty::Watch);
+    assert_eq!(core.duty(Millis(200)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(400)), StoreRole::Watch);
+    assert_eq!(
+        crate::common::core("i0", 1).duty(Millis(0)),
+        StoreRole::Watch
+    );
 }
 
 // The store is away while leases run out. Its return shows in a peer's report first, and with it what
@@ -191,12 +194,12 @@
 #[test]
 fn what_lapsed_while_the_store_was_away_for_the_shard_has_time_to_return() {
     let (mut core, members) = member();
-    core.learn_news(Millis(0), 6, vec![News::Endpoint(endpoint("e2", 1))]);
+    core.learn_news(Millis(0), 6, vec![StoreUpdate::Endpoint(endpoint("e2", 1))]);
     core.store_failed(Millis(1_000));
     core.notice_store(Millis(1_000));
     hear(&mut core, 5_000, &members[0], true);
     core.notice_store(Millis(5_010));
-    let gone = News::EndpointGone("e2".to_owned());
+    let gone = StoreUpdate::EndpointRemoved("e2".to_owned());
     core.learn_news(Millis(5_020), 7, vec![gone]);
     let listed = |core: &mut Core| core.registry().all().any(|it| &*it.id == "e2");
     assert!(listed(&mut core));
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -6,7 +6,7 @@
 use crate::rollouts;
 use crate::shell::Shell;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::News;
+use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::rollout::Order;
 use siskinyoke_dispatch::rollout::Status;
 use siskinyoke_interface::Entry;
@@ -27,7 +27,7 @@
     // Before removals: what went while the store was away is given time to return.
     notice_store(shell);
     let count = items.len();
-    let news: Vec<News> = items
+    let news: Vec<StoreUpdate> = items
         .into_iter()
         .filter_map(|item| read(shell, item, source))
         .collect();
@@ -65,15 +65,15 @@
 }
 
 // Reads an item, which may come from another writer; what cannot be understood names nothing.
-fn read(shell: &Shell, item: Item, source: &str) -> Option<News> {
+fn read(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
     match shell.interface.documents.entry(&item.key) {
         Entry::Endpoint(id) => match item.value {
-            Some(value) => endpoint(shell, id, &value).map(News::Endpoint),
-            None => Some(News::EndpointGone(id.to_owned())),
+            Some(value) => endpoint(shell, id, &value).map(StoreUpdate::Endpoint),
+            None => Some(StoreUpdate::EndpointRemoved(id.to_owned())),
         },
         Entry::Instance(name) => match item.value {
             Some(value) => instance(shell, name, &value),
-            None => Some(News::InstanceGone(name.to_owned())),
+            None => Some(StoreUpdate::InstanceRemoved(name.to_owned())),
         },
         Entry::Configuration => {
             if let Some(value) = item.value {
@@ -83,13 +83,13 @@
         }
         Entry::Order(service) => {
             let Some(value) = item.value else {
-                return Some(News::OrderGone(service.into()));
+                return Some(StoreUpdate::RolloutOrderRemoved(service.into()));
             };
-            order(shell, service, &value, item.revision).map(News::Order)
+            order(shell, service, &value, item.revision).map(StoreUpdate::Order)
         }
         Entry::Status(service) => {
             let status = state(shell, service, &item.value?, item.revision)?;
-            Some(News::Status(service.into(), status))
+            Some(StoreUpdate::Status(service.into(), status))
         }
         Entry::Other => None,
     }
@@ -146,9 +146,9 @@
     }
 }
 
-fn instance(shell: &Shell, name: &str, value: &[u8]) -> Option<News> {
+fn instance(shell: &Shell, name: &str, value: &[u8]) -> Option<StoreUpdate> {
     match serde_json::from_slice(value) {
-        Ok(place) => Some(News::Instance(name.to_owned(), place)),
+        Ok(place) => Some(StoreUpdate::Instance(name.to_owned(), place)),
         Err(err) => {
             let fields = json!({ "instance": name, "error": err.to_string() });
             shell.log("instance_unreadable", fields);
@@ -157,9 +157,9 @@
     }
 }
 
-fn log_endpoint(shell: &Shell, news: &News) {
+fn log_endpoint(shell: &Shell, news: &StoreUpdate) {
     match news {
-        News::Endpoint(endpoint) => {
+        StoreUpdate::Endpoint(endpoint) => {
             let fields = json!({
                 "endpoint": &*endpoint.id,
                 "born": endpoint.born,
@@ -168,12 +168,12 @@
             });
             shell.log("endpoint", fields);
         }
-        News::EndpointGone(id) => shell.log("endpoint_gone", json!({ "endpoint": id })),
-        News::Instance(..)
-        | News::InstanceGone(_)
-        | News::Order(_)
-        | News::OrderGone(_)
-        | News::Status(..) => {}
+        StoreUpdate::EndpointRemoved(id) => shell.log("endpoint_gone", json!({ "endpoint": id })),
+        StoreUpdate::Instance(..)
+        | StoreUpdate::InstanceRemoved(_)
+        | StoreUpdate::Order(_)
+        | StoreUpdate::RolloutOrderRemoved(_)
+        | StoreUpdate::Status(..) => {}
     }
 }
 
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -14,12 +14,12 @@
 use crate::shell::Shell;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
+use siskinyoke_dispatch::BorrowRequest;
 use siskinyoke_dispatch::EndpointKey;
 use siskinyoke_dispatch::Grant;
 use siskinyoke_dispatch::Message;
-use siskinyoke_dispatch::Need;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::message::UnitsNeed;
+use siskinyoke_dispatch::message::QuotaRequest;
 
 /// How many instances are asked for units at once, each of another shard, and for what part of the units.
 ///
@@ -98,15 +98,15 @@
     for (ticket, need) in needs {
         let id = rand::random();
         let lenders = match &need {
-            Need::Reserved(need) => holders(shell, need.service),
-            Need::Place(_) | Need::Units(_) => lenders(shell, CHOICES),
+            BorrowRequest::RateLimitedSlot(need) => holders(shell, need.service),
+            BorrowRequest::Place(_) | BorrowRequest::Units(_) => lenders(shell, CHOICES),
         };
         if lenders.is_empty() {
             continue;
         }
         let question = Question {
             ticket,
-            reserved: matches!(need, Need::Reserved(_)),
+            reserved: matches!(need, BorrowRequest::RateLimitedSlot(_)),
             at: now,
             left: lenders.len(),
         };
@@ -184,8 +184,8 @@
 }
 
 /// Asks other shards for units of an organisation's quota, and returns how many they gave.
-pub async fn units(shell: &Shell, need: UnitsNeed) -> u64 {
-    let UnitsNeed {
+pub async fn units(shell: &Shell, need: QuotaRequest) -> u64 {
+    let QuotaRequest {
         organisation,
         units,
     } = need;
@@ -194,11 +194,11 @@
     if declined.is_some_and(|at| now.since(at) < DECLINED) {
         return 0;
     }
-    let part = UnitsNeed {
+    let part = QuotaRequest {
         organisation,
         units: units.div_ceil(PART),
     };
-    let grants = ask(shell, Need::Units(part)).await;
+    let grants = ask(shell, BorrowRequest::Units(part)).await;
     let given: u64 = grants.iter().map(|grant| amount(*grant)).sum();
     let fields = json!({ "organisation": organisation, "units": units, "given": given, "answers": grants.len() });
     shell.log("units_borrowed", fields);
@@ -214,7 +214,7 @@
 }
 
 /// Answers an instance of another shard.
-pub fn answer(shell: &Shell, from: SocketAddr, id: u64, need: Need) {
+pub fn answer(shell: &Shell, from: SocketAddr, id: u64, need: BorrowRequest) {
     let grant = shell.core.borrow_mut().lend(shell.now(), id, need);
     if let Grant::Place(_) = grant {
         // Peers must not give the same place away.
@@ -223,7 +223,7 @@
     gossip::send(shell, from, &Message::Lend(id, grant));
 }
 
-async fn ask(shell: &Shell, need: Need) -> Vec<Grant> {
+async fn ask(shell: &Shell, need: BorrowRequest) -> Vec<Grant> {
     let id = rand::random();
     let (sender, mut answers) = mpsc::unbounded_channel();
     shell.lending.open.borrow_mut().insert(id, sender);
--- a/crates/siskinyoke-gateway/src/settings.rs
+++ b/crates/siskinyoke-gateway/src/settings.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 
 use siskinyoke_base::Millis;
-use siskinyoke_dispatch::report::Place;
+use siskinyoke_dispatch::report::InstanceLocation;
 use siskinyoke_interface::Interface;
 
 quick_error! {
@@ -153,8 +153,8 @@
     }
 
     /// Returns where this instance is found.
-    pub fn place(&self) -> Place {
-        Place {
+    pub fn place(&self) -> InstanceLocation {
+        InstanceLocation {
             front: self.listen.callers.to_string(),
             inner: self.listen.peers.to_string(),
             centre: self.centre.clone(),
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -15,7 +15,7 @@
 use crate::store::StoreError;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::watch::MARGIN;
-use siskinyoke_dispatch::watchers::Duty;
+use siskinyoke_dispatch::watchers::StoreRole;
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Call;
 use siskinyoke_interface::Consistency;
@@ -47,7 +47,7 @@
     };
     let mut pause = PAUSE;
     loop {
-        if watcher.duty() == Duty::Follow {
+        if watcher.duty() == StoreRole::Follow {
             sleep(LOOK.into()).await;
             continue;
         }
@@ -68,11 +68,11 @@
     // Whether the store has forgotten changes that are not known here: only a whole reading tells.
     forgotten: bool,
     // What was decided last.
-    duty: Option<Duty>,
+    duty: Option<StoreRole>,
 }
 
 impl Watcher {
-    fn duty(&mut self) -> Duty {
+    fn duty(&mut self) -> StoreRole {
         let now = self.shell.now();
         let core = self.shell.core.borrow();
         let duty = core.duty(now);
@@ -85,7 +85,7 @@
             });
             self.shell.log("store_duty", fields);
             self.duty = Some(duty);
-            self.shell.watching.set(duty == Duty::Watch);
+            self.shell.watching.set(duty == StoreRole::Watch);
             self.shell.renew.notify_one();
         }
         duty
