--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -8,7 +8,7 @@
 use crate::Report;
 use crate::core::Core;
 use crate::core::pass::chance;
-use crate::load::Load;
+use crate::latency_model::Load;
 use crate::report::short_hash;
 use crate::rollout::Order;
 use crate::rollout::Phase;
--- a/crates/siskinyoke-dispatch/src/demand.rs
+++ b/crates/siskinyoke-dispatch/src/demand.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::Rank;
-use crate::load::float;
+use crate::latency_model::float;
 use siskinyoke_base::Millis;
 
 /// How long work counts after it arrived.
--- a/crates/siskinyoke-dispatch/src/forecast.rs
+++ b/crates/siskinyoke-dispatch/src/forecast.rs
@@ -1,6 +1,6 @@
 //! How long a waiting request is expected to wait.
 
-use crate::load::millis;
+use crate::latency_model::millis;
 use siskinyoke_base::Millis;
 
 /// The smallest part of the places that is taken to be left for a rank.
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 
 use crate::Endpoint;
-use crate::load::float;
-use crate::load::millis;
+use crate::latency_model::float;
+use crate::latency_model::millis;
 use crate::report::CanaryReport;
 use crate::report::short_hash;
 use siskinyoke_base::Map;
--- a/crates/siskinyoke-dispatch/src/rollout/judge.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/judge.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use crate::load::float;
+use crate::latency_model::float;
 use crate::report::CanaryRow;
 use siskinyoke_base::Millis;
 
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -7,10 +7,10 @@
 
 mod expiry;
 mod lending;
-mod pace;
+mod observations;
 mod rate_limits;
 mod starting;
-mod waits;
+mod wait_estimate;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,9 +24,9 @@
 use crate::Refusal;
 use crate::Ticket;
 use crate::demand::Demand;
-use crate::load::Load;
-use crate::load::float;
-use crate::load::millis;
+use crate::latency_model::Load;
+use crate::latency_model::float;
+use crate::latency_model::millis;
 use crate::overload_window::OverloadWindow;
 use crate::peers::Peers;
 use crate::placing::Placing;
--- a/crates/siskinyoke-dispatch/src/scheduler/pace.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use crate::EndpointKey;
 use crate::Pending;
-use crate::load::float;
+use crate::latency_model::float;
 use siskinyoke_base::Millis;
 
 /// Parts of an answer beyond which their pauses tell the endpoint's pace.
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -10,7 +10,7 @@
 use super::place;
 use crate::Endpoint;
 use crate::Ticket;
-use crate::load::Load;
+use crate::latency_model::Load;
 use crate::pending::Order;
 use crate::placing::Candidate;
 use crate::placing::Placing;
--- a/crates/siskinyoke-dispatch/src/scheduler/waits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -8,7 +8,7 @@
 use crate::Reason;
 use crate::Refusal;
 use crate::forecast::Forecast;
-use crate::load::float;
+use crate::latency_model::float;
 use crate::queue::Queue;
 use crate::report::WaitingRow;
 use crate::report::short_hash;
--- a/crates/siskinyoke-dispatch/src/stall_timeout.rs
+++ b/crates/siskinyoke-dispatch/src/stall_timeout.rs
@@ -1,7 +1,7 @@
 //! When an endpoint's silence means that it failed.
 
-use crate::load::float;
-use crate::load::millis;
+use crate::latency_model::float;
+use crate::latency_model::millis;
 use siskinyoke_base::Millis;
 
 /// How many times the time that a request should take its endpoint may stay silent.
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -5,9 +5,9 @@
 use crate::Endpoint;
 use crate::Kind;
 use crate::Pending;
-use crate::load::Load;
-use crate::load::float;
-use crate::load::millis;
+use crate::latency_model::Load;
+use crate::latency_model::float;
+use crate::latency_model::millis;
 use siskinyoke_base::Millis;
 
 /// The part of what the latency objective leaves, less the expected time to the first part, that a
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -17,7 +17,7 @@
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::Work;
-use siskinyoke_dispatch::load::Load;
+use siskinyoke_dispatch::latency_model::Load;
 use siskinyoke_dispatch::peers::Peers;
 use siskinyoke_dispatch::placing::Candidate;
 use siskinyoke_dispatch::placing::Placing;
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -32,7 +32,7 @@
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::core::Pass;
-use siskinyoke_dispatch::load::Load;
+use siskinyoke_dispatch::latency_model::Load;
 use siskinyoke_interface::Verdict;
 
 /// The way back to the caller.
