--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -45,10 +45,10 @@
                 if let Some(before) = before {
                     self.quotas.forget_peer(before);
                 }
-                self.quotas.heard(source, young, &spent);
+                self.quotas.record_peer_usage(source, young, &spent);
                 return true;
             }
-            Received::Next => self.quotas.heard(source, young, &spent),
+            Received::Next => self.quotas.record_peer_usage(source, young, &spent),
         }
         false
     }
@@ -84,7 +84,7 @@
             running: self.scheduler.counts(),
             waiting: self.scheduler.summary(now),
             spent: self.quotas.usage(since),
-            limits: self.scheduler.limits().told(now, since),
+            limits: self.scheduler.limits().report_rows(now, since),
             canaries: self.canaries(now),
             about: whole.then(|| self.about(now)),
         }
--- a/crates/siskinyoke-dispatch/src/quota.rs
+++ b/crates/siskinyoke-dispatch/src/quota.rs
@@ -119,7 +119,7 @@
             if organisation.rate <= 0.0 {
                 continue;
             }
-            let rate = self.rate(organisation);
+            let rate = self.refill_rate(organisation);
             let burst = bucket_capacity(organisation);
             let bucket = match old {
                 Some(bucket) => Bucket {
@@ -222,7 +222,7 @@
     /// Of the first report all is taken off if the peer is `young`, no older than this instance:
     /// after a kill of all, instances grant for some time before they hear of each other. What an
     /// older peer used before is not ours to count, as our buckets began empty.
-    pub fn heard(&mut self, peer: u64, young: bool, spent: &[(u32, i64)]) {
+    pub fn record_peer_usage(&mut self, peer: u64, young: bool, spent: &[(u32, i64)]) {
         for (key, total) in spent {
             let known = self.peer_totals.insert((peer, *key), *total);
             let known = if young { known.or(Some(0)) } else { known };
@@ -252,7 +252,7 @@
     }
 
     // The filling that makes, with one burst, the operators' limit for a window.
-    fn rate(&self, organisation: &Organisation) -> f64 {
+    fn refill_rate(&self, organisation: &Organisation) -> f64 {
         let measure = self.policy;
         let nominal = organisation.rate * measure.window.as_secs() + organisation.burst;
         let limit = nominal * (1.0 + measure.overage * TOLERANCE_USED_RATIO)
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -86,7 +86,7 @@
             let rate = (row.rate > 0).then(|| from_thousandths(row.rate));
             let known = self.limits.get(&row.endpoint);
             let same = known.is_some_and(|it| it.rate().is_some() == rate.is_some());
-            if same && known.is_some_and(|it| at <= it.at() + ECHO_TOLERANCE) {
+            if same && known.is_some_and(|it| at <= it.observed_at() + ECHO_TOLERANCE) {
                 continue;
             }
             self.record(now, row.endpoint, at, rate, true);
@@ -95,15 +95,17 @@
 
     /// Returns what peers should know of what came to be known since then: limits that are in force or were lifted of
     /// late, the latest first.
-    pub fn told(&self, now: Millis, since: Millis) -> Vec<LimitRow> {
+    pub fn report_rows(&self, now: Millis, since: Millis) -> Vec<LimitRow> {
         let known = self.limits.iter();
         let mut rows: Vec<LimitRow> = known
-            .filter(|row| row.1.changed() >= since)
-            .filter(|row| row.1.rate().is_some() || now.since(row.1.at()) < LIFTED_REPORT_PERIOD)
+            .filter(|row| row.1.changed_at() >= since)
+            .filter(|row| {
+                row.1.rate().is_some() || now.since(row.1.observed_at()) < LIFTED_REPORT_PERIOD
+            })
             .map(|(endpoint, limit)| LimitRow {
                 endpoint: *endpoint,
                 rate: limit.rate().map_or(0, to_thousandths),
-                age: u32::try_from(now.since(limit.at()).0).unwrap_or(u32::MAX),
+                age: u32::try_from(now.since(limit.observed_at()).0).unwrap_or(u32::MAX),
             })
             .collect();
         rows.sort_unstable_by_key(|row| (row.age, row.endpoint));
@@ -117,7 +119,7 @@
     }
 
     /// Returns how many limits are in force.
-    pub fn count(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         let limits = self.limits.values();
         limits.filter(|it| it.rate().is_some()).count()
     }
@@ -139,7 +141,7 @@
             } else {
                 0.0
             };
-            limit.share(view.now, part, rate);
+            limit.set_rates(view.now, part, rate);
         }
     }
 
@@ -176,14 +178,14 @@
     }
 
     /// Takes the token of a request that is sent to an endpoint.
-    pub fn take(&mut self, key: EndpointKey) {
+    pub fn take_token(&mut self, key: EndpointKey) {
         if let Some(limit) = self.limits.get_mut(&key.short()) {
             limit.take();
         }
     }
 
     /// Forgets endpoints that are not among the known ones.
-    pub fn forget(&mut self, known: &[EndpointKey]) {
+    pub fn retain_endpoints(&mut self, known: &[EndpointKey]) {
         self.limits
             .retain(|short, _| known.iter().any(|key| key.short() == *short));
     }
@@ -191,7 +193,7 @@
     // Takes in a word on a limit, unless a later one is known.
     fn record(&mut self, now: Millis, endpoint: u32, at: Millis, rate: Option<f64>, told: bool) {
         let known = self.limits.get_mut(&endpoint);
-        if known.as_ref().is_some_and(|it| it.at() >= at) {
+        if known.as_ref().is_some_and(|it| it.observed_at() >= at) {
             return;
         }
         let before = known.as_ref().and_then(|it| it.rate());
--- a/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
@@ -7,7 +7,7 @@
 
 /// The time for which tokens are gathered where a second brings many, and the most tokens otherwise.
 const BURST_SECONDS: f64 = 0.1;
-const MOST: f64 = 1.5;
+const MIN_CAPACITY_TOKENS: f64 = 1.5;
 
 /// How long the last naming must be past before an answer without one lifts the limit.
 ///
@@ -24,8 +24,8 @@
     // When this instance came to know of the rate.
     changed_at: Millis,
     // The requests a second that are this instance's, and its shard's; none before that was worked out.
-    part: Option<f64>,
-    shard: f64,
+    instance_rate: Option<f64>,
+    shard_rate: f64,
     // Tokens, and when they were counted.
     level: f64,
     refilled_at: Millis,
@@ -38,8 +38,8 @@
             rate: rate.map(|it| it.max(MIN_RATE_PER_SECOND)),
             observed_at: at,
             changed_at: now,
-            part: None,
-            shard: 0.0,
+            instance_rate: None,
+            shard_rate: 0.0,
             level: phase,
             refilled_at: now,
         }
@@ -51,18 +51,18 @@
     }
 
     /// Returns when an answer last said so.
-    pub(super) fn at(&self) -> Millis {
+    pub(super) fn observed_at(&self) -> Millis {
         self.observed_at
     }
 
     /// Returns when this instance came to know of the rate.
-    pub(super) fn changed(&self) -> Millis {
+    pub(super) fn changed_at(&self) -> Millis {
         self.changed_at
     }
 
     /// Returns the requests a second that are this instance's shard's, none where there is no limit.
     pub(super) fn shard(&self) -> Option<f64> {
-        self.rate.map(|_| self.shard)
+        self.rate.map(|_| self.shard_rate)
     }
 
     /// Takes in a later word on a limit that is in force.
@@ -83,10 +83,10 @@
     /// Sets the requests a second that are this instance's of its shard's, and counts the tokens that have come since.
     ///
     /// An instance that comes to hold a part begins without tokens: another has just used them.
-    pub(super) fn share(&mut self, now: Millis, part: f64, shard: f64) {
-        self.shard = shard;
-        let before = self.part.replace(part).unwrap_or(part);
-        let most = (part * BURST_SECONDS).max(MOST);
+    pub(super) fn set_rates(&mut self, now: Millis, part: f64, shard: f64) {
+        self.shard_rate = shard;
+        let before = self.instance_rate.replace(part).unwrap_or(part);
+        let most = (part * BURST_SECONDS).max(MIN_CAPACITY_TOKENS);
         let gained = before * now.since(self.refilled_at).as_secs();
         self.level = (self.level + gained).min(most);
         if before <= 0.0 && part > 0.0 {
@@ -100,7 +100,7 @@
     #[expect(clippy::cast_sign_loss, reason = "the level is never below zero")]
     pub(super) fn tokens(&self) -> Option<u32> {
         self.rate?;
-        Some(if self.part.unwrap_or(0.0) > 0.0 {
+        Some(if self.instance_rate.unwrap_or(0.0) > 0.0 {
             self.level as u32
         } else {
             0
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -336,7 +336,7 @@
     pub fn forget(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
         self.placing.forget(&known);
-        self.limits.forget(&known);
+        self.limits.retain_endpoints(&known);
     }
 
     // What runs at an endpoint by this instance's count.
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -120,7 +120,7 @@
         let load = self.load(&service);
         let guest = guest(view.now, &service, need);
         let key = self.best_for(view.now, &guest, &candidates)?;
-        self.limits.take(key);
+        self.limits.take_token(key);
         let pace = self.placing.pace(key);
         let stay = millis(float(load.stay_of(&guest.work)) * pace * KEEPS) + GRACE;
         let given = Loan {
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -57,7 +57,7 @@
         candidates.retain(|it| it.reserved);
         let guest = guest(view.now, &service, need);
         let key = self.best_for(view.now, &guest, &candidates)?;
-        self.limits.take(key);
+        self.limits.take_token(key);
         Some(key)
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -103,7 +103,7 @@
             let ahead = ahead(candidate, load);
             candidate.left -= 1;
             candidate.unread += pending.work.prompt;
-            self.limits.take(endpoint.key());
+            self.limits.take_token(endpoint.key());
             self.begin(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
         }
--- a/crates/siskinyoke-dispatch/tests/histories/main.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/main.rs
@@ -11,12 +11,12 @@
 use std::ops::Range;
 
 use crate::common::seeds;
-use crate::world::Trouble;
-use crate::world::World;
+use crate::world::Scenario;
+use crate::world::Simulation;
 
-fn play(usual: Range<u64>, trouble: Trouble) {
+fn play(usual: Range<u64>, trouble: Scenario) {
     for seed in seeds(usual) {
-        let mut world = World::new(seed, trouble);
+        let mut world = Simulation::new(seed, trouble);
         world.run();
         let broken = world.broken();
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
@@ -25,18 +25,18 @@
 
 #[test]
 fn wild_histories_keep_the_promises() {
-    play(0..150, Trouble::Wild);
+    play(0..150, Scenario::RandomFaults);
 }
 
 // One request crashes each endpoint that runs it, and its caller sends it again, elsewhere. Each
 // crash takes down what runs beside it; without the news between instances it goes on for ever.
 #[test]
 fn poisoned_histories_keep_the_promises() {
-    play(0..150, Trouble::Poisoned);
+    play(0..150, Scenario::PoisonRequest);
 }
 
 // More arrives than endpoints can take, for as long as the history lasts.
 #[test]
 fn crowded_histories_keep_the_promises() {
-    play(0..100, Trouble::Crowded);
+    play(0..100, Scenario::Overload);
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -22,294 +22,308 @@
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Request;
 
-const INSTANCES: usize = 3;
-const ENDPOINTS: usize = 4;
-const SLOTS: u32 = 2;
+const INSTANCE_COUNT: usize = 3;
+const ENDPOINT_COUNT: usize = 4;
+const SLOTS_PER_ENDPOINT: u32 = 2;
 
 /// How long a history lasts; callers stop one longest wait before its end.
-const LENGTH: u64 = 20_000;
-const STEP: u64 = 10;
+const HISTORY_LENGTH_MS: u64 = 20_000;
+const STEP_MS: u64 = 10;
 
 /// How long callers wait.
-const ON_TIME_PART: u64 = 5_000;
+const MAX_DEADLINE_MS: u64 = 5_000;
 
 /// The work that crashes endpoints.
-const POISON: u64 = 666;
+const POISON_FINGERPRINT: u64 = 666;
 
 /// Endpoints that one content may crash, and how long until every instance knows: two whole reports'
 /// spacing less a step, and their way.
-const CRASHES: usize = 2;
-const NEWS: u64 = 250;
+const CRASHES_TO_QUARANTINE: usize = 2;
+const PROPAGATION_MS: u64 = 250;
 
 /// What goes wrong in a history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Scenario {
     /// Kills, cuts, lost reports, crashes and changes of the configuration.
-    Wild,
+    RandomFaults,
     /// One content crashes what runs it; nothing else goes wrong.
-    Poisoned,
+    PoisonRequest,
     /// Too much work; nothing else goes wrong.
-    Crowded,
+    Overload,
 }
 
 /// How a request ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    Whole,
+enum RequestResult {
+    Completed,
     NotRun(Reason),
     MayHaveRun,
     // Its instance was killed.
-    Lost,
+    ConnectionLost,
 }
 
 #[derive(Debug)]
-struct Job {
+struct SimulatedRequest {
     path: &'static str,
-    print: u64,
+    fingerprint: u64,
     instance: usize,
     ticket: Option<Ticket>,
-    until: u64,
-    ran: bool,
+    deadline: u64,
+    has_run: bool,
     // Times it was taken in by an endpoint, and times that one crashed under it.
-    runs: usize,
-    crashes: usize,
-    end: Option<(u64, End)>,
+    run_count: usize,
+    crash_count: usize,
+    result: Option<(u64, RequestResult)>,
 }
 
 #[derive(Debug)]
-struct Machine {
+struct SimulatedEndpoint {
     endpoint: Endpoint,
     // Requests it runs, by their number, with their ends and whether these are successes.
     running: Vec<(usize, u64, bool)>,
     // Crashed until then.
-    down: Option<u64>,
+    down_until: Option<u64>,
 }
 
-struct Letter {
-    due: u64,
-    to: usize,
+struct InFlightReport {
+    due_at: u64,
+    recipient: usize,
     report: Report,
 }
 
 /// Instances, endpoints and callers in virtual time.
-pub struct World {
+pub struct Simulation {
     rng: ChaCha8Rng,
-    trouble: Trouble,
+    scenario: Scenario,
     now: u64,
     cores: Vec<Core>,
-    versions: Vec<u64>,
-    machines: Vec<Machine>,
-    jobs: Vec<Job>,
+    seen_versions: Vec<u64>,
+    endpoints: Vec<SimulatedEndpoint>,
+    requests: Vec<SimulatedRequest>,
     tickets: BTreeMap<(usize, Ticket), usize>,
-    letters: Vec<Letter>,
-    cuts: Vec<(usize, usize, u64)>,
-    version: u64,
+    in_flight: Vec<InFlightReport>,
+    partitions: Vec<(usize, usize, u64)>,
+    latest_version: u64,
     // When the poison was sent to an endpoint, and when it crashed one.
-    fed: Vec<u64>,
-    poisoned: Vec<u64>,
-    broken: Vec<String>,
+    poison_sent: Vec<u64>,
+    poison_crashes: Vec<u64>,
+    violations: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     /// Starts all instances and endpoints.
-    pub fn new(seed: u64, trouble: Trouble) -> Self {
-        let machines = (0..ENDPOINTS).map(|at| Machine {
-            endpoint: endpoint(&format!("e{at}"), SLOTS),
+    pub fn new(seed: u64, trouble: Scenario) -> Self {
+        let machines = (0..ENDPOINT_COUNT).map(|at| SimulatedEndpoint {
+            endpoint: endpoint(&format!("e{at}"), SLOTS_PER_ENDPOINT),
             running: Vec::new(),
-            down: None,
+            down_until: None,
         });
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            trouble,
+            scenario: trouble,
             now: 0,
             cores: Vec::new(),
-            versions: vec![0; INSTANCES],
-            machines: machines.collect(),
-            jobs: Vec::new(),
+            seen_versions: vec![0; INSTANCE_COUNT],
+            endpoints: machines.collect(),
+            requests: Vec::new(),
             tickets: BTreeMap::new(),
-            letters: Vec::new(),
-            cuts: Vec::new(),
-            version: 1,
-            fed: Vec::new(),
-            poisoned: Vec::new(),
-            broken: Vec::new(),
+            in_flight: Vec::new(),
+            partitions: Vec::new(),
+            latest_version: 1,
+            poison_sent: Vec::new(),
+            poison_crashes: Vec::new(),
+            violations: Vec::new(),
         };
-        world.cores = (0..INSTANCES).map(|at| world.start(at)).collect();
+        world.cores = (0..INSTANCE_COUNT)
+            .map(|at| world.start_instance(at))
+            .collect();
         world
     }
 
     /// Plays the history to its end.
     pub fn run(&mut self) {
-        while self.now < LENGTH {
-            self.now += STEP;
-            if self.trouble == Trouble::Wild {
-                self.harm();
+        while self.now < HISTORY_LENGTH_MS {
+            self.now += STEP_MS;
+            if self.scenario == Scenario::RandomFaults {
+                self.inject_faults();
             }
-            self.arrive();
-            self.work();
+            self.generate_arrivals();
+            self.run_endpoints();
             self.decide();
-            self.tell();
-            self.expire();
-            self.look();
+            self.exchange_reports();
+            self.expire_requests();
+            self.check_invariants();
         }
     }
 
     /// Returns each broken promise, in words.
     pub fn broken(&mut self) -> Vec<String> {
-        for (number, job) in self.jobs.iter().enumerate() {
+        for (number, job) in self.requests.iter().enumerate() {
             let once = job.path == "/unsafe/";
-            if once && job.runs > 1 {
-                let text = format!("{number} may run once and ran {} times", job.runs);
-                self.broken.push(text);
+            if once && job.run_count > 1 {
+                let text = format!("{number} may run once and ran {} times", job.run_count);
+                self.violations.push(text);
             }
-            match job.end {
-                None => self.broken.push(format!("{number} never ended")),
-                Some((at, _)) if at > job.until + STEP => {
-                    self.broken
+            match job.result {
+                None => self.violations.push(format!("{number} never ended")),
+                Some((at, _)) if at > job.deadline + STEP_MS => {
+                    self.violations
                         .push(format!("{number} ended at {at}, too late"));
                 }
-                Some((_, End::NotRun(reason))) if job.runs > 0 => {
-                    let text = format!("{number} ran {} times, told {reason:?}", job.runs);
-                    self.broken.push(text);
+                Some((_, RequestResult::NotRun(reason))) if job.run_count > 0 => {
+                    let text = format!("{number} ran {} times, told {reason:?}", job.run_count);
+                    self.violations.push(text);
                 }
                 Some(_) => {}
             }
         }
         self.check_poison();
-        std::mem::take(&mut self.broken)
+        std::mem::take(&mut self.violations)
     }
 
     // Nobody runs the poison once all can know of it, and who ran beside it once is no suspect.
     fn check_poison(&mut self) {
-        self.poisoned.sort_unstable();
-        let known = self.poisoned.get(CRASHES - 1).map(|at| at + NEWS);
+        self.poison_crashes.sort_unstable();
+        let known = self
+            .poison_crashes
+            .get(CRASHES_TO_QUARANTINE - 1)
+            .map(|at| at + PROPAGATION_MS);
         let late = self
-            .fed
+            .poison_sent
             .iter()
             .filter(|at| known.is_some_and(|it| **at > it));
-        if self.trouble == Trouble::Poisoned {
+        if self.scenario == Scenario::PoisonRequest {
             let late: Vec<String> = late
                 .map(|at| format!("the poison was sent at {at}, known since {known:?}"))
                 .collect();
-            self.broken.extend(late);
+            self.violations.extend(late);
         }
         let crashes = |print| {
-            let same = self.jobs.iter().filter(|job| job.print == print);
-            same.map(|job| job.crashes).sum::<usize>()
+            let same = self.requests.iter().filter(|job| job.fingerprint == print);
+            same.map(|job| job.crash_count).sum::<usize>()
         };
-        for (number, job) in self.jobs.iter().enumerate() {
-            let suspect = matches!(job.end, Some((_, End::NotRun(Reason::Suspect))));
-            if suspect && crashes(job.print) < 2 {
+        for (number, job) in self.requests.iter().enumerate() {
+            let suspect = matches!(
+                job.result,
+                Some((_, RequestResult::NotRun(Reason::Suspect)))
+            );
+            if suspect && crashes(job.fingerprint) < 2 {
                 let text = format!("{number} crashed nothing twice and is held for a suspect");
-                self.broken.push(text);
+                self.violations.push(text);
             }
         }
     }
 
-    fn start(&mut self, at: usize) -> Core {
+    fn start_instance(&mut self, at: usize) -> Core {
         let source = self.rng.random();
         let mut core = Core::new(identity(&format!("i{at}"), source));
         let now = Millis(self.now);
-        core.configure(now, configuration(self.version, organisation(0.0, 0.0)));
-        for other in 0..INSTANCES {
+        core.configure(
+            now,
+            configuration(self.latest_version, organisation(0.0, 0.0)),
+        );
+        for other in 0..INSTANCE_COUNT {
             let name = format!("i{other}");
             core.list(&name, place(&name, "a"));
         }
-        for machine in &self.machines {
-            if machine.down.is_none() {
+        for machine in &self.endpoints {
+            if machine.down_until.is_none() {
                 core.registry().put(now, machine.endpoint.clone());
             }
         }
-        self.versions[at] = 0;
+        self.seen_versions[at] = 0;
         core
     }
 
-    fn harm(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.002) {
-            let at = self.draw(INSTANCES);
-            self.kill(at);
+            let at = self.random_index(INSTANCE_COUNT);
+            self.restart_instance(at);
         }
         if self.rng.random_bool(0.003) {
-            let at = self.draw(ENDPOINTS);
-            self.crash(at);
+            let at = self.random_index(ENDPOINT_COUNT);
+            self.crash_endpoint(at);
         }
         if self.rng.random_bool(0.003) {
             let until = self.now + self.rng.random_range(100..3_000);
-            let (from, to) = (self.draw(INSTANCES), self.draw(INSTANCES));
-            self.cuts.push((from, to, until));
+            let (from, to) = (
+                self.random_index(INSTANCE_COUNT),
+                self.random_index(INSTANCE_COUNT),
+            );
+            self.partitions.push((from, to, until));
         }
         if self.rng.random_bool(0.005) {
             // Now and then the store shows an older one.
             let version = self
-                .version
+                .latest_version
                 .saturating_sub(self.rng.random_range(0..3))
                 .max(1);
-            self.version += u64::from(self.rng.random_bool(0.5));
-            let at = self.draw(INSTANCES);
+            self.latest_version += u64::from(self.rng.random_bool(0.5));
+            let at = self.random_index(INSTANCE_COUNT);
             let now = Millis(self.now);
-            for version in [self.version, version] {
+            for version in [self.latest_version, version] {
                 self.cores[at].configure(now, configuration(version, organisation(0.0, 0.0)));
             }
         }
     }
 
-    fn draw(&mut self, count: usize) -> usize {
+    fn random_index(&mut self, count: usize) -> usize {
         self.rng.random_range(0..count)
     }
 
     // Its connections close: callers see theirs break, and endpoints stop what it had sent.
-    fn kill(&mut self, at: usize) {
-        for job in &mut self.jobs {
-            if job.instance == at && job.end.is_none() {
-                job.end = Some((self.now, End::Lost));
+    fn restart_instance(&mut self, at: usize) {
+        for job in &mut self.requests {
+            if job.instance == at && job.result.is_none() {
+                job.result = Some((self.now, RequestResult::ConnectionLost));
             }
         }
         self.tickets.retain(|key, _| key.0 != at);
-        let jobs = &self.jobs;
-        for machine in &mut self.machines {
+        let jobs = &self.requests;
+        for machine in &mut self.endpoints {
             machine.running.retain(|it| jobs[it.0].instance != at);
         }
-        self.cores[at] = self.start(at);
+        self.cores[at] = self.start_instance(at);
     }
 
-    fn crash(&mut self, at: usize) {
-        if self.machines[at].down.is_some() {
+    fn crash_endpoint(&mut self, at: usize) {
+        if self.endpoints[at].down_until.is_some() {
             return;
         }
         let back = self.now + self.rng.random_range(300..2_000);
-        self.machines[at].down = Some(back);
-        for (number, _, _) in std::mem::take(&mut self.machines[at].running) {
-            self.jobs[number].crashes += 1;
-            self.ended(number, Outcome::Broken);
+        self.endpoints[at].down_until = Some(back);
+        for (number, _, _) in std::mem::take(&mut self.endpoints[at].running) {
+            self.requests[number].crash_count += 1;
+            self.finish_attempt(number, Outcome::Broken);
         }
     }
 
-    fn arrive(&mut self) {
-        if self.now + ON_TIME_PART + 1_000 > LENGTH {
+    fn generate_arrivals(&mut self) {
+        if self.now + MAX_DEADLINE_MS + 1_000 > HISTORY_LENGTH_MS {
             return;
         }
         // Eight places and some 220 ms of work: 0.36 in a step fill them.
-        let rate = if self.trouble == Trouble::Crowded {
+        let rate = if self.scenario == Scenario::Overload {
             0.8
         } else {
             0.25
         };
         if self.rng.random_bool(rate) {
-            let print = self.jobs.len() as u64 + 1_000;
-            self.send(print);
+            let print = self.requests.len() as u64 + 1_000;
+            self.submit(print);
         }
-        if self.trouble == Trouble::Poisoned && self.rng.random_bool(0.01) {
-            self.send(POISON);
+        if self.scenario == Scenario::PoisonRequest && self.rng.random_bool(0.01) {
+            self.submit(POISON_FINGERPRINT);
         }
     }
 
-    fn send(&mut self, print: u64) {
-        let path = ["/safe/", "/unsafe/", "/stream/"][self.draw(3)];
-        let instance = self.draw(INSTANCES);
+    fn submit(&mut self, print: u64) {
+        let path = ["/safe/", "/unsafe/", "/stream/"][self.random_index(3)];
+        let instance = self.random_index(INSTANCE_COUNT);
         let now = Millis(self.now);
-        let number = self.jobs.len();
+        let number = self.requests.len();
         let wanted = Request {
-            deadline: Some(Millis(self.rng.random_range(500..=ON_TIME_PART))),
+            deadline: Some(Millis(self.rng.random_range(500..=MAX_DEADLINE_MS))),
             ..request(path)
         };
         let core = &mut self.cores[instance];
@@ -317,28 +331,30 @@
             .pass(now, wanted)
             .expect("the key and the route are known");
         let admitted = core.admit(now, &pass, print);
-        self.jobs.push(Job {
+        self.requests.push(SimulatedRequest {
             path,
-            print,
+            fingerprint: print,
             instance,
             ticket: admitted.ok(),
-            until: pass.until.0,
-            ran: false,
-            runs: 0,
-            crashes: 0,
-            end: admitted.err().map(|it| (self.now, End::NotRun(it.reason))),
+            deadline: pass.until.0,
+            has_run: false,
+            run_count: 0,
+            crash_count: 0,
+            result: admitted
+                .err()
+                .map(|it| (self.now, RequestResult::NotRun(it.reason))),
         });
-        if let Some(ticket) = self.jobs[number].ticket {
+        if let Some(ticket) = self.requests[number].ticket {
             self.tickets.insert((instance, ticket), number);
         }
     }
 
     // Endpoints finish what they run, and come back after a crash.
-    fn work(&mut self) {
-        for at in 0..ENDPOINTS {
-            let machine = &mut self.machines[at];
-            if machine.down.is_some_and(|back| back <= self.now) {
-                machine.down = None;
+    fn run_endpoints(&mut self) {
+        for at in 0..ENDPOINT_COUNT {
+            let machine = &mut self.endpoints[at];
+            if machine.down_until.is_some_and(|back| back <= self.now) {
+                machine.down_until = None;
                 machine.endpoint.born += 1;
                 for core in &mut self.cores {
                     core.registry()
@@ -349,10 +365,10 @@
             let (over, running) = machine.running.iter().partition(|it| it.1 <= now);
             machine.running = running;
             for (number, _, good) in over {
-                if self.jobs[number].print == POISON {
-                    self.machines[at].running.push((number, now, good));
-                    self.poisoned.push(now);
-                    self.crash(at);
+                if self.requests[number].fingerprint == POISON_FINGERPRINT {
+                    self.endpoints[at].running.push((number, now, good));
+                    self.poison_crashes.push(now);
+                    self.crash_endpoint(at);
                     break;
                 }
                 let took = Millis(200);
@@ -366,13 +382,13 @@
                 } else {
                     Outcome::Failed
                 };
-                self.ended(number, outcome);
+                self.finish_attempt(number, outcome);
             }
         }
     }
 
     fn decide(&mut self) {
-        for instance in 0..INSTANCES {
+        for instance in 0..INSTANCE_COUNT {
             let now = Millis(self.now);
             if self.now.is_multiple_of(200) {
                 self.cores[instance].sweep(now);
@@ -386,7 +402,7 @@
                     }
                     Decision::Refuse(ticket, refusal) => {
                         if let Some(number) = self.tickets.remove(&(instance, ticket)) {
-                            self.refused(number, refusal.reason);
+                            self.record_rejection(number, refusal.reason);
                         }
                     }
                 }
@@ -396,63 +412,63 @@
 
     fn dispatch(&mut self, number: usize, endpoint: &Endpoint) {
         let place = self
-            .machines
+            .endpoints
             .iter()
             .position(|it| it.endpoint.id == endpoint.id);
         let at = place.expect("an endpoint of this world");
-        let machine = &mut self.machines[at];
-        if machine.down.is_some() {
-            return self.ended(number, Outcome::Unreached);
+        let machine = &mut self.endpoints[at];
+        if machine.down_until.is_some() {
+            return self.finish_attempt(number, Outcome::Unreached);
         }
         if machine.endpoint.born != endpoint.born {
-            return self.ended(number, Outcome::Moved);
+            return self.finish_attempt(number, Outcome::Moved);
         }
-        if machine.running.len() >= SLOTS as usize {
-            return self.ended(number, Outcome::Full);
+        if machine.running.len() >= SLOTS_PER_ENDPOINT as usize {
+            return self.finish_attempt(number, Outcome::Full);
         }
-        if self.jobs[number].print == POISON {
-            self.fed.push(self.now);
+        if self.requests[number].fingerprint == POISON_FINGERPRINT {
+            self.poison_sent.push(self.now);
         }
         let span = self.rng.random_range(40..400);
         let good = self.rng.random_bool(0.95);
         machine.running.push((number, self.now + span, good));
-        self.jobs[number].ran = true;
-        self.jobs[number].runs += 1;
+        self.requests[number].has_run = true;
+        self.requests[number].run_count += 1;
     }
 
-    fn ended(&mut self, number: usize, outcome: Outcome) {
-        let job = &mut self.jobs[number];
-        let (None, Some(ticket)) = (job.end, job.ticket) else {
+    fn finish_attempt(&mut self, number: usize, outcome: Outcome) {
+        let job = &mut self.requests[number];
+        let (None, Some(ticket)) = (job.result, job.ticket) else {
             return;
         };
         let instance = job.instance;
         self.tickets.remove(&(instance, ticket));
         let done = matches!(outcome, Outcome::Done { .. });
         let again = self.cores[instance].ended(Millis(self.now), ticket, outcome, !done);
-        let job = &mut self.jobs[number];
+        let job = &mut self.requests[number];
         job.ticket = again;
         match again {
             Some(ticket) => {
                 self.tickets.insert((instance, ticket), number);
             }
-            None if done => job.end = Some((self.now, End::Whole)),
-            None if job.ran => job.end = Some((self.now, End::MayHaveRun)),
-            None => job.end = Some((self.now, End::NotRun(Reason::Rejected))),
+            None if done => job.result = Some((self.now, RequestResult::Completed)),
+            None if job.has_run => job.result = Some((self.now, RequestResult::MayHaveRun)),
+            None => job.result = Some((self.now, RequestResult::NotRun(Reason::Rejected))),
         }
     }
 
-    fn refused(&mut self, number: usize, reason: Reason) {
-        let instance = self.jobs[number].instance;
+    fn record_rejection(&mut self, number: usize, reason: Reason) {
+        let instance = self.requests[number].instance;
         if reason == Reason::Displaced {
             self.check_displaced(number);
         }
-        let job = &mut self.jobs[number];
-        let end = if job.ran {
-            End::MayHaveRun
+        let job = &mut self.requests[number];
+        let end = if job.has_run {
+            RequestResult::MayHaveRun
         } else {
-            End::NotRun(reason)
+            RequestResult::NotRun(reason)
         };
-        job.end = Some((self.now, end));
+        job.result = Some((self.now, end));
         self.tickets
             .retain(|key, held| key.0 != instance || *held != number);
     }
@@ -460,63 +476,67 @@
     // Only more urgent work may take a place in the queue; all has the same tier here, so that only
     // work that can still be on time may push out what cannot.
     fn check_displaced(&mut self, number: usize) {
-        let job = &self.jobs[number];
+        let job = &self.requests[number];
         let waiting = self.tickets.iter().filter(|(key, _)| key.0 == job.instance);
         if waiting.count() == 0 {
             let text = format!("{number} was pushed out of an empty queue");
-            self.broken.push(text);
+            self.violations.push(text);
         }
     }
 
-    fn tell(&mut self) {
+    fn exchange_reports(&mut self) {
         if self.now.is_multiple_of(50) {
-            for from in 0..INSTANCES {
+            for from in 0..INSTANCE_COUNT {
                 let whole = self.now.is_multiple_of(200);
                 let report = self.cores[from].report(Millis(self.now), whole);
-                for to in 0..INSTANCES {
-                    self.post(from, to, &report);
+                for to in 0..INSTANCE_COUNT {
+                    self.send_report(from, to, &report);
                 }
             }
         }
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.letters)
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|it| it.due <= now);
-        self.letters = later;
+            .partition(|it| it.due_at <= now);
+        self.in_flight = later;
         for letter in due {
-            self.cores[letter.to].heard(Millis(now), letter.report);
+            self.cores[letter.recipient].heard(Millis(now), letter.report);
         }
-        self.cuts.retain(|cut| cut.2 > now);
+        self.partitions.retain(|cut| cut.2 > now);
     }
 
-    fn post(&mut self, from: usize, to: usize, report: &Report) {
-        let cut = self.cuts.iter().any(|it| (it.0, it.1) == (from, to));
-        let lost = self.trouble == Trouble::Wild && self.rng.random_bool(0.1);
+    fn send_report(&mut self, from: usize, to: usize, report: &Report) {
+        let cut = self.partitions.iter().any(|it| (it.0, it.1) == (from, to));
+        let lost = self.scenario == Scenario::RandomFaults && self.rng.random_bool(0.1);
         if from == to || cut || lost {
             return;
         }
         let due = self.now + self.rng.random_range(1..30);
         let report = report.clone();
-        self.letters.push(Letter { due, to, report });
+        self.in_flight.push(InFlightReport {
+            due_at: due,
+            recipient: to,
+            report,
+        });
     }
 
-    fn expire(&mut self) {
-        for number in 0..self.jobs.len() {
-            let job = &mut self.jobs[number];
-            if job.end.is_some() || job.until > self.now {
+    fn expire_requests(&mut self) {
+        for number in 0..self.requests.len() {
+            let job = &mut self.requests[number];
+            if job.result.is_some() || job.deadline > self.now {
                 continue;
             }
             let (instance, ticket) = (job.instance, job.ticket);
-            let end = if job.ran {
-                End::MayHaveRun
+            let end = if job.has_run {
+                RequestResult::MayHaveRun
             } else {
-                End::NotRun(Reason::Waited)
+                RequestResult::NotRun(Reason::Waited)
             };
-            job.end = Some((self.now, end));
+            job.result = Some((self.now, end));
             if let Some(ticket) = ticket {
                 self.tickets.remove(&(instance, ticket));
                 self.cores[instance].cancel(Millis(self.now), ticket);
-                for machine in &mut self.machines {
+                for machine in &mut self.endpoints {
                     machine.running.retain(|it| it.0 != number);
                 }
             }
@@ -524,18 +544,18 @@
     }
 
     // What holds at every moment.
-    fn look(&mut self) {
+    fn check_invariants(&mut self) {
         for (at, core) in self.cores.iter().enumerate() {
             let version = core.version();
-            if version < self.versions[at] {
-                let text = format!("i{at} went from {} to {version}", self.versions[at]);
-                self.broken.push(text);
+            if version < self.seen_versions[at] {
+                let text = format!("i{at} went from {} to {version}", self.seen_versions[at]);
+                self.violations.push(text);
             }
-            self.versions[at] = version;
+            self.seen_versions[at] = version;
             for busy in core.scheduler().counts() {
-                if u32::from(busy.count) > SLOTS {
+                if u32::from(busy.count) > SLOTS_PER_ENDPOINT {
                     let text = format!("i{at} runs {} at {}", busy.count, busy.endpoint);
-                    self.broken.push(text);
+                    self.violations.push(text);
                 }
             }
         }
