--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -73,11 +73,11 @@
             .peers
             .fresh(now)
             .filter(|it| it.report.ready && !it.report.leaving);
-        let members = peers.map(|peer| &peer.about.place);
+        let members = peers.map(|peer| &peer.about.location);
         let others = self.listed().filter(|row| !row.1).map(|row| row.0);
         let others = others.filter(|_| self.shards > 1);
         let ready = members
-            .chain(self.ready().then_some(&own.place))
+            .chain(self.ready().then_some(&own.location))
             .chain(others);
         directory::choose(centre, ready)
     }
@@ -111,7 +111,7 @@
         let all: Vec<&String> = self
             .peers
             .fresh(now)
-            .map(|peer| &peer.about.place.inner)
+            .map(|peer| &peer.about.location.peer_address)
             .collect();
         let skip = usize::try_from(self.number).unwrap_or(0) % all.len().max(1);
         all.iter()
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -9,20 +9,20 @@
 use crate::Ticket;
 use crate::core::Core;
 use crate::core::Request;
-use crate::message::QuotaRequest;
+use crate::message::UnitsRequest;
 use crate::report::short_hash;
 use crate::scheduler::View;
 use siskinyoke_base::Millis;
 
 impl Core {
     /// Returns what other shards may be asked for, so that a request finds its quota.
-    pub fn lacks(&self, now: Millis, request: Request<'_>) -> Option<QuotaRequest> {
+    pub fn lacks(&self, now: Millis, request: Request<'_>) -> Option<UnitsRequest> {
         if !self.registry.divided() {
             return None;
         }
         let pass = self.examine(now, request).ok()?;
         let organisation = pass.organisation.as_ref()?;
-        Some(QuotaRequest {
+        Some(UnitsRequest {
             organisation: short_hash(&organisation.name),
             units: pass.whole_units(),
         })
@@ -38,21 +38,21 @@
             peers: &self.peers,
         };
         match need {
-            BorrowRequest::Place(need) => {
+            BorrowRequest::Slot(need) => {
                 let given = self.scheduler.lend(&view, id, &need);
-                given.map_or(Grant::Nothing, Grant::Place)
+                given.map_or(Grant::Denied, Grant::Place)
             }
             BorrowRequest::RateLimitedSlot(need) => {
                 let given = self.scheduler.lend_token(&view, &need);
-                given.map_or(Grant::Nothing, Grant::Place)
+                given.map_or(Grant::Denied, Grant::Place)
             }
-            BorrowRequest::Units(QuotaRequest {
+            BorrowRequest::Units(UnitsRequest {
                 organisation,
                 units,
             }) => {
                 let share = self.peers.share(now);
                 match self.quotas.lend(now, organisation, units, share) {
-                    0 => Grant::Nothing,
+                    0 => Grant::Denied,
                     units => Grant::Units(units),
                 }
             }
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -144,7 +144,7 @@
         let peers = self.peers.fresh(now).filter(|peer| !peer.report.leaving);
         let peers = peers.map(|peer| Candidate {
             name: &peer.about.name,
-            reaches: peer.report.reaches,
+            reaches: peer.report.store_reachable,
         });
         watcher(me, peers)
     }
@@ -169,9 +169,9 @@
             self.away(now) && !within(view.failed, TRY)
         };
         if watches {
-            StoreRole::Watch
+            StoreRole::Watcher
         } else {
-            StoreRole::Follow
+            StoreRole::Follower
         }
     }
 
@@ -195,6 +195,10 @@
     }
 
     fn away(&self, now: Millis) -> bool {
-        !self.view.reaches && !self.peers.fresh(now).any(|peer| peer.report.reaches)
+        !self.view.reaches
+            && !self
+                .peers
+                .fresh(now)
+                .any(|peer| peer.report.store_reachable)
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -23,7 +23,7 @@
     pub fn heard(&mut self, now: Millis, report: Report) -> bool {
         let source = report.source;
         let mut in_shard = true;
-        if let Some(about) = &report.about {
+        if let Some(about) = &report.info {
             if about.name == self.me.name {
                 return false;
             }
@@ -36,25 +36,25 @@
             self.peers.dismiss(source);
             return false;
         }
-        let spent = report.spent.clone();
+        let spent = report.quota_used.clone();
         self.scheduler.heard(&report.running);
         let young = Millis(report.age) <= self.age(now) + TOGETHER;
         match self.peers.heard(now, report) {
             Received::Nothing => return false,
-            Received::First(before) => {
+            Received::NewProcess(before) => {
                 if let Some(before) = before {
                     self.quotas.forget_peer(before);
                 }
                 self.quotas.record_peer_usage(source, young, &spent);
                 return true;
             }
-            Received::Next => self.quotas.record_peer_usage(source, young, &spent),
+            Received::Update => self.quotas.record_peer_usage(source, young, &spent),
         }
         false
     }
 
     pub(super) fn learn(&mut self, now: Millis, about: &InstanceInfo) {
-        for key in &about.leavers {
+        for key in &about.leaving_endpoints {
             self.registry.left(now, *key);
         }
         for (print, endpoints) in &about.quarantine {
@@ -80,13 +80,13 @@
             leaving: self.leaving,
             configuration: self.version(),
             revision: self.view.revision,
-            reaches: self.view.reaches,
+            store_reachable: self.view.reaches,
             running: self.scheduler.counts(),
             waiting: self.scheduler.summary(now),
-            spent: self.quotas.usage(since),
+            quota_used: self.quotas.usage(since),
             limits: self.scheduler.limits().report_rows(now, since),
             canaries: self.canaries(now),
-            about: whole.then(|| self.about(now)),
+            info: whole.then(|| self.about(now)),
         }
     }
 
@@ -98,8 +98,8 @@
     pub(super) fn about(&self, now: Millis) -> InstanceInfo {
         InstanceInfo {
             name: self.me.name.clone(),
-            place: self.me.place.clone(),
-            leavers: self.registry.news(),
+            location: self.me.place.clone(),
+            leaving_endpoints: self.registry.news(),
             quarantine: self.quarantine.news(TOLD),
             peers: self.inner_addresses(now),
         }
--- a/crates/siskinyoke-dispatch/src/directory.rs
+++ b/crates/siskinyoke-dispatch/src/directory.rs
@@ -18,9 +18,9 @@
     let ready: Vec<&InstanceLocation> = ready.collect();
     let near: Vec<&&InstanceLocation> = ready.iter().filter(|it| it.centre == centre).collect();
     let mut fronts: Vec<String> = if near.len() >= FEWEST {
-        near.iter().map(|it| it.front.clone()).collect()
+        near.iter().map(|it| it.caller_address.clone()).collect()
     } else {
-        ready.iter().map(|it| it.front.clone()).collect()
+        ready.iter().map(|it| it.caller_address.clone()).collect()
     };
     fronts.sort();
     fronts.truncate(MOST);
--- a/crates/siskinyoke-dispatch/src/message.rs
+++ b/crates/siskinyoke-dispatch/src/message.rs
@@ -24,10 +24,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BorrowRequest {
     /// Units of an organisation's quota.
-    Units(QuotaRequest),
+    Units(UnitsRequest),
     /// A place at an endpoint for one request, from another shard.
     #[serde(rename = "Place")]
-    Place(SlotRequest),
+    Slot(SlotRequest),
     /// A place at an endpoint whose rate limit the receiver holds a part of, from an instance of the same shard.
     #[serde(rename = "Reserved")]
     RateLimitedSlot(SlotRequest),
@@ -35,7 +35,7 @@
 
 /// Units of an organisation's quota that are asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaRequest {
+pub struct UnitsRequest {
     /// The organisation, hashed.
     pub organisation: u32,
     /// How many.
@@ -51,21 +51,21 @@
     pub stream: bool,
     /// Tokens of prompt.
     #[serde(rename = "prompt")]
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of output that are expected.
     #[serde(rename = "output")]
-    pub output: u32,
+    pub output_tokens: u32,
     /// Its latency objective, in ms.
     #[serde(rename = "aim")]
-    pub aim: u32,
+    pub latency_target: u32,
     /// The longest pause between two events, in ms.
     #[serde(rename = "gap")]
-    pub gap: u32,
+    pub gap_target: u32,
     /// How long it has waited, in ms.
     pub waited: u32,
     /// How long its caller goes on waiting, in ms.
     #[serde(rename = "left")]
-    pub left: u32,
+    pub remaining_wait: u32,
 }
 
 /// What another shard gives.
@@ -73,7 +73,7 @@
 pub enum Grant {
     /// Nothing: it has none to spare.
     #[serde(rename = "Nothing")]
-    Nothing,
+    Denied,
     /// So many units, which it has taken off its own part.
     Units(u64),
     /// A place at this endpoint, counted as taken until it is returned.
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -46,9 +46,9 @@
     /// Nothing: it is older than what is known, or from a peer that has not said who it is.
     Nothing,
     /// The next report of a known peer.
-    Next,
+    Update,
     /// The first report of a peer's start; the start before it, if any, is over.
-    First(Option<u64>),
+    NewProcess(Option<u64>),
 }
 
 /// The other instances, as their reports show them.
@@ -66,7 +66,7 @@
 
     /// Takes in a report.
     pub fn heard(&mut self, now: Millis, mut report: Report) -> Received {
-        let about = report.about.take();
+        let about = report.info.take();
         if let Some(peer) = self.known.get_mut(&report.source) {
             if peer.report.number >= report.number {
                 return Received::Nothing;
@@ -74,7 +74,7 @@
             peer.about = about.unwrap_or_else(|| peer.about.clone());
             peer.report = report;
             peer.heard = now;
-            return Received::Next;
+            return Received::Update;
         }
         let Some(about) = about else {
             return Received::Nothing;
@@ -100,7 +100,7 @@
                 heard: now,
             },
         );
-        Received::First(before)
+        Received::NewProcess(before)
     }
 
     /// Keeps the peers whose name belongs to this instance's shard.
@@ -141,7 +141,7 @@
         for row in self.fresh(now).flat_map(|peer| &peer.report.running) {
             let sum = sums.entry(row.endpoint).or_default();
             sum.0 += u32::from(row.count);
-            sum.1 += row.unread;
+            sum.1 += row.prefill_tokens;
         }
         sums
     }
@@ -154,7 +154,7 @@
             .flat_map(move |peer| {
                 let age = u32::try_from(now.since(peer.heard).0).unwrap_or(u32::MAX);
                 peer.report.waiting.iter().map(move |row| WaitingRow {
-                    oldest: row.oldest.saturating_add(age),
+                    oldest_wait: row.oldest_wait.saturating_add(age),
                     ..*row
                 })
             })
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placing.rs
@@ -168,9 +168,9 @@
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn heard(&mut self, rows: &[RunningRow]) {
-        for row in rows.iter().filter(|row| row.pace > 0) {
+        for row in rows.iter().filter(|row| row.speed_factor > 0) {
             self.told
-                .insert(row.endpoint, f64::from(row.pace) / EIGHTHS);
+                .insert(row.endpoint, f64::from(row.speed_factor) / EIGHTHS);
         }
     }
 
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -50,14 +50,14 @@
             match rows.last_mut() {
                 Some(row) if row.order == *order => {
                     row.count = row.count.saturating_add(1);
-                    row.work = row.work.saturating_add(work);
+                    row.service_time = row.service_time.saturating_add(work);
                 }
                 _ => rows.push(WaitingRow {
                     service,
                     order: *order,
                     count: 1,
-                    oldest: u32::try_from(now.since(*position).0).unwrap_or(u32::MAX),
-                    work,
+                    oldest_wait: u32::try_from(now.since(*position).0).unwrap_or(u32::MAX),
+                    service_time: work,
                 }),
             }
         }
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -164,7 +164,7 @@
             limits.any(|(key, rate)| instance_rate(name, &names, *key, *rate) > 0.0)
         };
         let holders = peers.into_iter().filter(|it| holds(&it.name));
-        holders.map(|it| &it.place).collect()
+        holders.map(|it| &it.location).collect()
     }
 
     /// Returns how many requests may be sent to an endpoint now; none where there is no limit.
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -26,21 +26,21 @@
     pub revision: u64,
     /// Whether its last call of the store succeeded.
     #[serde(rename = "reaches")]
-    pub reaches: bool,
+    pub store_reachable: bool,
     /// Its requests at each endpoint.
     pub running: Vec<RunningRow>,
     /// Its waiting requests by service and order.
     pub waiting: Vec<WaitingRow>,
     /// Units used by organisation since its start, less those that other shards gave.
     #[serde(rename = "spent")]
-    pub spent: Vec<(u32, i64)>,
+    pub quota_used: Vec<(u32, i64)>,
     /// Rate limits that endpoints name, while there are any.
     pub limits: Vec<LimitRow>,
     /// The answers of versions on trial, while there are any.
     pub canaries: Vec<CanaryReport>,
     /// What changes seldom, in a few reports a second.
     #[serde(rename = "about")]
-    pub about: Option<InstanceInfo>,
+    pub info: Option<InstanceInfo>,
 }
 
 /// One instance's requests at one endpoint.
@@ -52,10 +52,10 @@
     pub count: u16,
     /// Prompt tokens of those whose answer has not begun.
     #[serde(rename = "unread")]
-    pub unread: u32,
+    pub prefill_tokens: u32,
     /// The endpoint's pace as the sender has seen it, in eighths of what is usual; 0 if it has not.
     #[serde(rename = "pace")]
-    pub pace: u8,
+    pub speed_factor: u8,
 }
 
 /// Where an instance is found.
@@ -63,10 +63,10 @@
 pub struct InstanceLocation {
     /// Where callers reach it.
     #[serde(rename = "front")]
-    pub front: String,
+    pub caller_address: String,
     /// Where peers reach it.
     #[serde(rename = "inner")]
-    pub inner: String,
+    pub peer_address: String,
     /// Its data centre.
     pub centre: String,
 }
@@ -78,10 +78,10 @@
     pub name: String,
     /// Where it is found.
     #[serde(rename = "place")]
-    pub place: InstanceLocation,
+    pub location: InstanceLocation,
     /// Endpoints it knows to be leaving or gone.
     #[serde(rename = "leavers")]
-    pub leavers: Vec<EndpointKey>,
+    pub leaving_endpoints: Vec<EndpointKey>,
     /// Work that crashed endpoints, with the starts of these.
     pub quarantine: Vec<(u64, Vec<u32>)>,
     /// Inner addresses of the peers it hears.
@@ -99,10 +99,10 @@
     pub count: u16,
     /// How long the first of them has waited, in ms, with its head start.
     #[serde(rename = "oldest")]
-    pub oldest: u32,
+    pub oldest_wait: u32,
     /// How long they keep a place of the usual pace busy, in ms.
     #[serde(rename = "work")]
-    pub work: u32,
+    pub service_time: u32,
 }
 
 /// The rate limit that an endpoint names.
@@ -127,7 +127,7 @@
     pub age: u64,
     /// Whether the version was found to be bad.
     #[serde(rename = "condemned")]
-    pub condemned: bool,
+    pub failed: bool,
     /// The answers by route.
     pub samples: Vec<CanaryRow>,
 }
@@ -141,7 +141,7 @@
     pub new: (u16, u16),
     /// Those of the standing version.
     #[serde(rename = "standing")]
-    pub standing: (u16, u16),
+    pub stable: (u16, u16),
     /// Some endpoints of the new version that gave bad ones, by shortened key.
     pub endpoints: Vec<u32>,
 }
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -223,7 +223,7 @@
         }
         // The peer that has known the order for longest is nearest to the truth.
         self.begun = self.begun.min(now.since(Millis(canary.age)));
-        self.condemned |= canary.condemned;
+        self.condemned |= canary.failed;
         if shard {
             self.told.insert(source, (now, canary.clone()));
             self.judge(now);
@@ -236,7 +236,7 @@
             service: short_hash(&self.order.service),
             order: self.order.revision,
             age: now.since(self.begun).0,
-            condemned: self.condemned,
+            failed: self.condemned,
             samples: self.tally.samples(now),
         }
     }
--- a/crates/siskinyoke-dispatch/src/rollout/judge.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/judge.rs
@@ -95,7 +95,7 @@
             CanaryRow {
                 route: *route,
                 new: counts.new.told(left),
-                standing: counts.standing.told(left),
+                stable: counts.standing.told(left),
                 endpoints: counts.endpoints.iter().copied().collect(),
             }
         });
@@ -149,7 +149,7 @@
 impl Evidence {
     fn add(&mut self, row: &CanaryRow) {
         self.new.add(row.new);
-        self.standing.add(row.standing);
+        self.standing.add(row.stable);
         self.endpoints.extend(&row.endpoints);
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -304,7 +304,7 @@
     /// Returns this instance's requests at each endpoint.
     pub fn counts(&self) -> Vec<RunningRow> {
         let counts = self.counts.iter().map(|(key, busy)| RunningRow {
-            pace: self.placing.tell(*key),
+            speed_factor: self.placing.tell(*key),
             ..*busy
         });
         counts.collect()
@@ -344,8 +344,8 @@
         self.counts.entry(key).or_insert(RunningRow {
             endpoint: key.short(),
             count: 0,
-            unread: 0,
-            pace: 0,
+            prefill_tokens: 0,
+            speed_factor: 0,
         })
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -86,7 +86,7 @@
         let mut needs = Vec::new();
         for (ticket, place, reserved) in due {
             let need = place_need(now, &self.waiting[&ticket]);
-            needs.extend(place.then_some((ticket, BorrowRequest::Place(need))));
+            needs.extend(place.then_some((ticket, BorrowRequest::Slot(need))));
             needs.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(need))));
         }
         let waiting = &self.waiting;
@@ -127,11 +127,11 @@
             key,
             prompt: guest.work.unread(),
             reads: Some(view.now + millis(float(load.first_of(&guest.work)) * pace)),
-            until: view.now + stay.min(Millis(u64::from(need.left))),
+            until: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
         };
         let busy = self.busy(key);
         busy.count += 1;
-        busy.unread += given.prompt;
+        busy.prefill_tokens += given.prompt;
         self.loans.insert(id, given);
         Some(key)
     }
@@ -144,7 +144,7 @@
         let busy = self.busy(loan.key);
         busy.count = busy.count.saturating_sub(1);
         if loan.reads.is_some() {
-            busy.unread = busy.unread.saturating_sub(loan.prompt);
+            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt);
         }
         self.counts.retain(|_, busy| busy.count > 0);
     }
@@ -160,7 +160,7 @@
             if loan.reads.take_if(|at| *at <= now).is_some()
                 && let Some(busy) = self.counts.get_mut(&loan.key)
             {
-                busy.unread = busy.unread.saturating_sub(loan.prompt);
+                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt);
             }
         }
     }
@@ -236,12 +236,12 @@
     SlotRequest {
         service: short_hash(&pending.service),
         stream: pending.route.kind == Kind::Stream,
-        prompt: pending.work.unread(),
-        output: pending.work.expected(),
-        aim: small(pending.route.aim),
-        gap: small(pending.route.gap),
+        prompt_tokens: pending.work.unread(),
+        output_tokens: pending.work.expected(),
+        latency_target: small(pending.route.aim),
+        gap_target: small(pending.route.gap),
         waited: small(now.since(pending.arrived)),
-        left: small(pending.until.since(now)),
+        remaining_wait: small(pending.until.since(now)),
     }
 }
 
@@ -249,7 +249,7 @@
 pub(super) fn guest(now: Millis, service: &Arc<str>, need: &SlotRequest) -> Pending {
     let span = |ms: u32| Millis(u64::from(ms));
     let arrived = now.since(span(need.waited));
-    let until = now + span(need.left);
+    let until = now + span(need.remaining_wait);
     let route = Route {
         name: service.clone(),
         prefix: Box::default(),
@@ -259,8 +259,8 @@
             Kind::Safe
         },
         timeout: until.since(arrived),
-        aim: span(need.aim),
-        gap: span(need.gap),
+        aim: span(need.latency_target),
+        gap: span(need.gap_target),
         priority: 0,
         targets: Vec::new(),
         attempts: 1,
@@ -275,8 +275,8 @@
         position: arrived,
         until,
         work: Work {
-            prompt: f64::from(need.prompt),
-            output: f64::from(need.output),
+            prompt: f64::from(need.prompt_tokens),
+            output: f64::from(need.output_tokens),
         },
         fingerprint: 0,
         tried: Vec::new(),
--- a/crates/siskinyoke-dispatch/src/scheduler/pace.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/pace.rs
@@ -38,7 +38,7 @@
     // The prompt of a request at an endpoint is read, or no longer to be read.
     pub(super) fn read(&mut self, key: EndpointKey, pending: &Pending) {
         if let Some(busy) = self.counts.get_mut(&key) {
-            busy.unread = busy.unread.saturating_sub(pending.work.unread());
+            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(pending.work.unread());
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -145,7 +145,7 @@
                 let (count, ours) = self
                     .counts
                     .get(&key)
-                    .map_or((0, 0), |busy| (u32::from(busy.count), busy.unread));
+                    .map_or((0, 0), |busy| (u32::from(busy.count), busy.prefill_tokens));
                 let (places, extra) = self.places(endpoint);
                 let left = (places + extra).saturating_sub(count + others);
                 let tokens = self.limits.tokens(key);
@@ -205,7 +205,7 @@
         pending.canary = canary;
         let busy = self.busy(key);
         busy.count += 1;
-        busy.unread += pending.work.unread();
+        busy.prefill_tokens += pending.work.unread();
         let running = Running {
             pending,
             key,
@@ -249,7 +249,7 @@
             if row.order < order {
                 u32::from(row.count)
             } else {
-                u32::from(row.order == order && u64::from(row.oldest) > waited.0)
+                u32::from(row.order == order && u64::from(row.oldest_wait) > waited.0)
             }
         })
         .sum()
--- a/crates/siskinyoke-dispatch/src/scheduler/waits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/waits.rs
@@ -92,8 +92,8 @@
 // The part of a peer's waiting work that goes before a request which has waited for so long. Nothing is
 // told of the rows in between, so their turns are taken to be evenly spread.
 fn earlier(row: &WaitingRow, pending: &Pending, age: f64) -> f64 {
-    let work = f64::from(row.work);
-    let oldest = f64::from(row.oldest);
+    let work = f64::from(row.service_time);
+    let oldest = f64::from(row.oldest_wait);
     match row.order.cmp(&pending.order()) {
         Ordering::Less => work,
         Ordering::Equal if oldest > age => work * (oldest - age) / oldest,
--- a/crates/siskinyoke-dispatch/src/watchers.rs
+++ b/crates/siskinyoke-dispatch/src/watchers.rs
@@ -16,17 +16,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreRole {
     /// It watches the store.
-    Watch,
+    Watcher,
     /// It takes changes from peers.
-    Follow,
+    Follower,
 }
 
 impl StoreRole {
     /// Returns the word for log lines.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Watch => "watch",
-            Self::Follow => "follow",
+            Self::Watcher => "watch",
+            Self::Follower => "follow",
         }
     }
 }
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -167,13 +167,13 @@
         leaving: false,
         configuration: 1,
         revision: 1,
-        reaches: true,
+        store_reachable: true,
         running: Vec::new(),
         waiting: Vec::new(),
-        spent: Vec::new(),
+        quota_used: Vec::new(),
         limits: Vec::new(),
         canaries: Vec::new(),
-        about: Some(about(name, "a")),
+        info: Some(about(name, "a")),
     }
 }
 
@@ -182,23 +182,23 @@
     RunningRow {
         endpoint: endpoint(id, 1).key().short(),
         count,
-        unread: 0,
-        pace: 8,
+        prefill_tokens: 0,
+        speed_factor: 8,
     }
 }
 
 /// Where an instance of a data centre is found.
 pub fn place(name: &str, centre: &str) -> InstanceLocation {
     InstanceLocation {
-        front: format!("{name}:1"),
-        inner: format!("{name}:2"),
+        caller_address: format!("{name}:1"),
+        peer_address: format!("{name}:2"),
         centre: centre.to_owned(),
     }
 }
 
 /// The number of the instance `iN` that is found at a place.
 pub fn number(place: &InstanceLocation) -> usize {
-    let name = place.front.trim_start_matches('i');
+    let name = place.caller_address.trim_start_matches('i');
     name.trim_end_matches(":1").parse().expect("a number")
 }
 
@@ -215,8 +215,8 @@
 pub fn about(name: &str, centre: &str) -> InstanceInfo {
     InstanceInfo {
         name: name.to_owned(),
-        place: place(name, centre),
-        leavers: Vec::new(),
+        location: place(name, centre),
+        leaving_endpoints: Vec::new(),
         quarantine: Vec::new(),
         peers: Vec::new(),
     }
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -321,7 +321,7 @@
         if let Some(watch) = self.nodes[at].watch {
             return self.wait(at, watch);
         }
-        if self.nodes[at].core.duty(Millis(self.now)) == StoreRole::Follow {
+        if self.nodes[at].core.duty(Millis(self.now)) == StoreRole::Follower {
             self.nodes[at].rests = self.now + 200;
             return;
         }
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -37,8 +37,8 @@
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Request;
-use siskinyoke_dispatch::message::QuotaRequest;
 use siskinyoke_dispatch::message::SlotRequest;
+use siskinyoke_dispatch::message::UnitsRequest;
 
 /// A quota of some twenty requests a second, which eight shards share.
 const RATE: f64 = 45_000.0;
@@ -156,7 +156,7 @@
             && passed.is_err()
             && let Some(need) = self.cores[at].lacks(now, wanted)
         {
-            let part = QuotaRequest {
+            let part = UnitsRequest {
                 units: need.units.div_ceil(2),
                 ..need
             };
@@ -436,14 +436,14 @@
     let need = SlotRequest {
         service: siskinyoke_dispatch::report::short_hash("lm"),
         stream: false,
-        prompt: 100,
-        output: 10,
-        aim: 500,
-        gap: 400,
+        prompt_tokens: 100,
+        output_tokens: 10,
+        latency_target: 500,
+        gap_target: 400,
         waited: 20,
-        left: 4_000,
+        remaining_wait: 4_000,
     };
-    let given = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Place(need));
+    let given = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Slot(need));
     assert!(matches!(given, Grant::Place(_)), "{given:?}");
     let count = |core: &Core| -> u16 { core.scheduler().counts().iter().map(|it| it.count).sum() };
     assert_eq!(count(&fleet.cores[0]), 1);
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -16,17 +16,17 @@
     let mut peers = Peers::default();
     assert_eq!(
         peers.heard(Millis(0), report("p", 5)),
-        Received::First(None)
+        Received::NewProcess(None)
     );
     assert_eq!(peers.heard(Millis(1), report("p", 4)), Received::Nothing);
-    assert_eq!(peers.heard(Millis(1), report("p", 6)), Received::Next);
+    assert_eq!(peers.heard(Millis(1), report("p", 6)), Received::Update);
 }
 
 #[test]
 fn a_peer_that_has_not_said_who_it_is_is_not_counted() {
     let mut peers = Peers::default();
     let unnamed = Report {
-        about: None,
+        info: None,
         ..report("p", 1)
     };
     assert_eq!(peers.heard(Millis(0), unnamed), Received::Nothing);
@@ -49,7 +49,10 @@
         ..report("p", 1)
     };
     peers.heard(Millis(0), before.clone());
-    assert_eq!(peers.heard(Millis(100), after), Received::First(Some(1)));
+    assert_eq!(
+        peers.heard(Millis(100), after),
+        Received::NewProcess(Some(1))
+    );
     assert_eq!(peers.heard(Millis(120), before), Received::Nothing);
     assert_eq!(peers.count(Millis(120)), 2);
 }
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -49,7 +49,7 @@
         for (id, slots, pace) in endpoints {
             world.registry.put(Millis(0), endpoint(id, *slots));
             let told = RunningRow {
-                pace: *pace,
+                speed_factor: *pace,
                 ..busy(id, 0)
             };
             world.scheduler.heard(&[told]);
@@ -187,7 +187,7 @@
         };
         world.registry.put(Millis(0), far);
         world.scheduler.heard(&[RunningRow {
-            pace: USUAL,
+            speed_factor: USUAL,
             ..busy(id, 0)
         }]);
     }
@@ -259,7 +259,7 @@
     let mut placing = Placing::new("me", "a");
     let slow = Arc::new(endpoint("slow", 12));
     placing.heard(&[RunningRow {
-        pace: SLOW,
+        speed_factor: SLOW,
         ..busy("slow", 0)
     }]);
     let candidate = |left| {
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -294,7 +294,7 @@
         for (ticket, need) in self.cores[at].needs(now) {
             match need {
                 BorrowRequest::RateLimitedSlot(place) => self.ask_holders(at, ticket, place),
-                BorrowRequest::Place(_) => self.ask_shards(at, ticket, need),
+                BorrowRequest::Slot(_) => self.ask_shards(at, ticket, need),
                 BorrowRequest::Units(_) => {}
             }
         }
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -94,8 +94,8 @@
         service: short_hash("lm"),
         order: Order(0),
         count: 1,
-        oldest: 5,
-        work: 200,
+        oldest_wait: 5,
+        service_time: 200,
     }];
     peers.heard(Millis(0), told);
     let mut scheduler = Scheduler::new("me", "a");
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -139,12 +139,12 @@
     let shard: BTreeSet<_> = core
         .listed()
         .filter(|row| row.1)
-        .map(|row| row.0.inner.clone())
+        .map(|row| row.0.peer_address.clone())
         .collect();
     assert!((4..=16).contains(&shard.len()), "{shard:?}");
     for (_, name) in members(40) {
         let mut told = report(&name, 1);
-        told.about.as_mut().unwrap().quarantine = vec![(55, vec![1, 2])];
+        told.info.as_mut().unwrap().quarantine = vec![(55, vec![1, 2])];
         core.heard(Millis(0), told);
     }
     assert_eq!(core.peers().count(Millis(0)), shard.len() + 1);
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -81,7 +81,7 @@
     }
     for (id, pace) in [("fast", 4), ("usual", 8)] {
         let mut row = busy(id, 0);
-        row.pace = pace;
+        row.speed_factor = pace;
         scheduler.heard(&[row]);
     }
     let peers = Peers::default();
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -81,14 +81,14 @@
     core.learn_news(Millis(0), 5, news.collect());
     core.store_answered();
     let members = core.listed().filter(|row| row.1);
-    let members = members.map(|row| row.0.inner.trim_end_matches(":2").to_owned());
+    let members = members.map(|row| row.0.peer_address.trim_end_matches(":2").to_owned());
     let members = members.collect();
     (core, members)
 }
 
 fn hear(core: &mut Core, now: u64, name: &str, reaches: bool) {
     let report = Report {
-        reaches,
+        store_reachable: reaches,
         revision: 5,
         ..report(name, now + 1)
     };
@@ -105,7 +105,7 @@
     }
     let first = core.watcher(Millis(10)).to_owned();
     assert!(members.contains(&first), "i0 is not the first of its shard");
-    assert_eq!(core.duty(Millis(10)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(10)), StoreRole::Follower);
     for name in &members {
         hear(&mut core, 100, name, *name != first);
     }
@@ -116,7 +116,7 @@
     }
     assert_eq!(core.watcher(Millis(1_010)), second);
     // Nobody is heard any more.
-    assert_eq!(core.duty(Millis(3_000)), StoreRole::Watch);
+    assert_eq!(core.duty(Millis(3_000)), StoreRole::Watcher);
 }
 
 // The store refuses a whole shard. If each of its instances went on asking, the calls that it refuses,
@@ -130,18 +130,18 @@
     }
     core.notice_store(Millis(1));
     assert!(!core.stored());
-    assert_eq!(core.duty(Millis(100)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(100)), StoreRole::Follower);
     // The store may be back for some and not for the first: others try now and then.
     for name in &members {
         hear(&mut core, 3_100, name, false);
     }
-    assert_eq!(core.duty(Millis(3_100)), StoreRole::Watch);
+    assert_eq!(core.duty(Millis(3_100)), StoreRole::Watcher);
     core.store_failed(Millis(3_110));
-    assert_eq!(core.duty(Millis(3_120)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(3_120)), StoreRole::Follower);
     hear(&mut core, 3_200, &members[0], true);
     core.notice_store(Millis(3_210));
     assert!(core.stored());
-    assert_eq!(core.duty(Millis(3_210)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(3_210)), StoreRole::Follower);
 }
 
 // A peer's reports arrive, but nothing can be taken from it: a connection to it is cut one way.
@@ -152,13 +152,13 @@
         hear(&mut core, 0, name, true);
     }
     assert!(core.heard_revision(Millis(10), 9));
-    assert_eq!(core.duty(Millis(20)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(20)), StoreRole::Follower);
     for name in &members {
         hear(&mut core, 1_600, name, true);
     }
-    assert_eq!(core.duty(Millis(1_600)), StoreRole::Watch);
+    assert_eq!(core.duty(Millis(1_600)), StoreRole::Watcher);
     core.learn_news(Millis(1_610), 9, Vec::new());
-    assert_eq!(core.duty(Millis(1_620)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(1_620)), StoreRole::Follower);
     assert!(!core.heard_revision(Millis(1_630), 9));
 }
 
@@ -171,9 +171,9 @@
     }
     core.heard_revision(Millis(10), 9);
     core.ask_store();
-    assert_eq!(core.duty(Millis(20)), StoreRole::Watch);
+    assert_eq!(core.duty(Millis(20)), StoreRole::Watcher);
     core.learn_news(Millis(30), 9, Vec::new());
-    assert_eq!(core.duty(Millis(40)), StoreRole::Follow);
+    assert_eq!(core.duty(Millis(40)), StoreRole::Follower);
 }
 
 // A process that starts in a fleet would watch the store until it hears of its peers: as many calls as
@@ -181,11 +181,11 @@
 #[test]
 fn a_process_that_starts_waits_for_its_peers_a_moment() {
     let (core, _) = member();
-    assert_eq!(core.duty(Millis(200)), StoreRole::Follow);
-    assert_eq!(core.duty(Millis(400)), StoreRole::Watch);
+    assert_eq!(core.duty(Millis(200)), StoreRole::Follower);
+    assert_eq!(core.duty(Millis(400)), StoreRole::Watcher);
     assert_eq!(
         crate::common::core("i0", 1).duty(Millis(0)),
-        StoreRole::Watch
+        StoreRole::Watcher
     );
 }
 
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -126,7 +126,7 @@
 
     fn take(&self, shell: &Rc<Shell>, report: Report, from: SocketAddr) {
         let mut name = String::new();
-        if let Some(about) = &report.about {
+        if let Some(about) = &report.info {
             let told = about
                 .peers
                 .iter()
@@ -135,7 +135,7 @@
             name.clone_from(&about.name);
         }
         let revision = report.revision;
-        if report.configuration == 0 && report.about.is_some() {
+        if report.configuration == 0 && report.info.is_some() {
             Self::introduce(shell, from);
         }
         let fields = json!({ "peer": name, "age_ms": report.age, "from": from.to_string() });
@@ -181,7 +181,7 @@
         let mut all: BTreeSet<SocketAddr> = core
             .peers()
             .fresh(now)
-            .filter_map(|peer| peer.about.place.inner.parse().ok())
+            .filter_map(|peer| peer.about.location.peer_address.parse().ok())
             .collect();
         let settings = shell.settings();
         if search {
@@ -228,7 +228,7 @@
     let some = others.choose_multiple(&mut rand::rng(), OTHERS);
     let places = members.iter().chain(some).map(|row| row.0);
     places
-        .filter_map(|place| place.inner.parse().ok())
+        .filter_map(|place| place.peer_address.parse().ok())
         .collect()
 }
 
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -19,7 +19,7 @@
 use siskinyoke_dispatch::Grant;
 use siskinyoke_dispatch::Message;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::message::QuotaRequest;
+use siskinyoke_dispatch::message::UnitsRequest;
 
 /// How many instances are asked for units at once, each of another shard, and for what part of the units.
 ///
@@ -85,7 +85,7 @@
     }
     match grant {
         Grant::Place(key) => place_granted(shell, from, id, key),
-        Grant::Nothing => no_place(shell, id),
+        Grant::Denied => no_place(shell, id),
         // Too late: they are lost, so that nothing is granted twice.
         Grant::Units(_) => {}
     }
@@ -99,7 +99,7 @@
         let id = rand::random();
         let lenders = match &need {
             BorrowRequest::RateLimitedSlot(need) => holders(shell, need.service),
-            BorrowRequest::Place(_) | BorrowRequest::Units(_) => lenders(shell, CHOICES),
+            BorrowRequest::Slot(_) | BorrowRequest::Units(_) => lenders(shell, CHOICES),
         };
         if lenders.is_empty() {
             continue;
@@ -184,8 +184,8 @@
 }
 
 /// Asks other shards for units of an organisation's quota, and returns how many they gave.
-pub async fn units(shell: &Shell, need: QuotaRequest) -> u64 {
-    let QuotaRequest {
+pub async fn units(shell: &Shell, need: UnitsRequest) -> u64 {
+    let UnitsRequest {
         organisation,
         units,
     } = need;
@@ -194,7 +194,7 @@
     if declined.is_some_and(|at| now.since(at) < DECLINED) {
         return 0;
     }
-    let part = QuotaRequest {
+    let part = UnitsRequest {
         organisation,
         units: units.div_ceil(PART),
     };
@@ -248,7 +248,9 @@
     let shards = core.other_shards();
     let some: Vec<_> = shards.choose_multiple(rng, count).collect();
     let places = some.into_iter().filter_map(|shard| shard.choose(rng));
-    places.filter_map(|it| it.inner.parse().ok()).collect()
+    places
+        .filter_map(|it| it.peer_address.parse().ok())
+        .collect()
 }
 
 // Some peers that hold a part of a rate limit of a service.
@@ -256,12 +258,12 @@
     let core = shell.core.borrow();
     let holders = core.holders(shell.now(), service);
     let some = holders.choose_multiple(&mut rand::rng(), CHOICES);
-    some.filter_map(|it| it.inner.parse().ok()).collect()
+    some.filter_map(|it| it.peer_address.parse().ok()).collect()
 }
 
 fn amount(grant: Grant) -> u64 {
     match grant {
         Grant::Units(units) => units,
-        Grant::Nothing | Grant::Place(_) => 0,
+        Grant::Denied | Grant::Place(_) => 0,
     }
 }
--- a/crates/siskinyoke-gateway/src/settings.rs
+++ b/crates/siskinyoke-gateway/src/settings.rs
@@ -155,8 +155,8 @@
     /// Returns where this instance is found.
     pub fn place(&self) -> InstanceLocation {
         InstanceLocation {
-            front: self.listen.callers.to_string(),
-            inner: self.listen.peers.to_string(),
+            caller_address: self.listen.callers.to_string(),
+            peer_address: self.listen.peers.to_string(),
             centre: self.centre.clone(),
         }
     }
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -47,7 +47,7 @@
     };
     let mut pause = PAUSE;
     loop {
-        if watcher.duty() == StoreRole::Follow {
+        if watcher.duty() == StoreRole::Follower {
             sleep(LOOK.into()).await;
             continue;
         }
@@ -85,7 +85,7 @@
             });
             self.shell.log("store_duty", fields);
             self.duty = Some(duty);
-            self.shell.watching.set(duty == StoreRole::Watch);
+            self.shell.watching.set(duty == StoreRole::Watcher);
             self.shell.renew.notify_one();
         }
         duty
