--- a/crates/siskinyoke-dispatch/src/configuration.rs
+++ b/crates/siskinyoke-dispatch/src/configuration.rs
@@ -6,7 +6,7 @@
 use siskinyoke_base::Millis;
 
 /// The shortest silence after which callers leave a stream.
-const SILENCE: Millis = Millis(2_000);
+const MIN_STREAM_TIMEOUT: Millis = Millis(2_000);
 
 /// What may be repeated of a request, and what its answer looks like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,17 +31,17 @@
     /// How long the operator lets a request take in all.
     pub timeout: Millis,
     /// The latency objective: to the whole answer, or to a stream's first event.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// The longest pause between a stream's events for which its answer is on time.
-    pub gap: Millis,
+    pub max_gap: Millis,
     /// The priority, 0 first; an organisation's own priority goes before it.
     pub priority: u8,
     /// The services that serve it, with weights.
     pub targets: Vec<(Arc<str>, u32)>,
     /// The most endpoints that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
-    pub exempt: bool,
+    pub auth_exempt: bool,
     /// Whether a stream may go on at another endpoint.
     pub resumable: bool,
 }
@@ -61,18 +61,18 @@
     /// Callers leave a stream that is silent for two seconds, four times its objective or eight
     /// times its longest pause, whichever is longest, as their platform tells them to. What waits
     /// here for longer would hold a place in the queue for nobody.
-    pub fn bearable(&self) -> Millis {
+    pub fn first_byte_timeout(&self) -> Millis {
         if self.kind != Kind::Stream {
             return self.timeout;
         }
-        let silence = SILENCE
-            .max(Millis(self.aim.0 * 4))
-            .max(Millis(self.gap.0 * 8));
+        let silence = MIN_STREAM_TIMEOUT
+            .max(Millis(self.latency_objective.0 * 4))
+            .max(Millis(self.max_gap.0 * 8));
         silence.min(self.timeout)
     }
 
     /// Picks the service for a request, spreading by weight; `draw` is any evenly spread number.
-    pub fn target(&self, draw: u64) -> Option<&Arc<str>> {
+    pub fn pick_service(&self, draw: u64) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.1)).sum();
         if total == 0 {
             return self.targets.first().map(|target| &target.0);
@@ -95,7 +95,7 @@
     /// The service's name.
     pub name: Arc<str>,
     /// The most connections that one of its endpoints takes from all callers.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// One organisation: who may call, how urgent it is and what it may use.
@@ -110,22 +110,22 @@
     /// Units that may be used at once after a pause.
     pub burst: f64,
     /// Whether a unit is a token; else it is a request.
-    pub tokens: bool,
+    pub counts_tokens: bool,
     /// The units of a request that names no tokens.
-    pub plain: f64,
+    pub default_cost: f64,
 }
 
 /// What a caller may send, and how long it may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// The longest head, in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// The longest body, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// How long a head may take to arrive.
-    pub arrival: Millis,
+    pub head_timeout: Millis,
     /// How long a connection may stay open between requests.
-    pub idle: Millis,
+    pub keepalive_timeout: Millis,
 }
 
 /// One version of the configuration, ready for look-ups.
@@ -182,12 +182,12 @@
     }
 
     /// Returns whether any organisation is configured, so that requests need a key.
-    pub fn keyed(&self) -> bool {
+    pub fn requires_key(&self) -> bool {
         !self.organisations.is_empty()
     }
 
     /// Finds the organisation that holds a key.
-    pub fn holder(&self, key: &str) -> Option<&Arc<Organisation>> {
+    pub fn organisation_by_key(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.keys.get(key).map(|at| &self.organisations[*at])
     }
 
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -15,8 +15,8 @@
 
 use crate::Configuration;
 use crate::Outcome;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::Scheduler;
 use crate::Ticket;
 use crate::budget::Budget;
@@ -120,8 +120,8 @@
     /// The refusal; the request has not run and never will.
     pub fn in_force(&self) -> Result<&Arc<Configuration>, Refusal> {
         self.configuration.as_ref().ok_or(Refusal {
-            reason: Reason::Unready,
-            after: cold_start::SOONEST,
+            reason: RefusalReason::NotReady,
+            retry_after: cold_start::MIN_RETRY_AFTER,
         })
     }
 
@@ -200,8 +200,8 @@
     pub fn admit(&mut self, now: Millis, pass: &Pass, print: u64) -> Result<Ticket, Refusal> {
         let result = if self.quarantine.refuses(now, print) {
             Err(Refusal {
-                reason: Reason::Suspect,
-                after: SUSPECT,
+                reason: RefusalReason::Quarantined,
+                retry_after: SUSPECT,
             })
         } else {
             let mut pending = pass::pending(pass, print);
@@ -233,8 +233,8 @@
                 .scheduler
                 .take_out(|pending| quarantine.refuses(now, pending.fingerprint));
             let refusal = Refusal {
-                reason: Reason::Suspect,
-                after: SUSPECT,
+                reason: RefusalReason::Quarantined,
+                retry_after: SUSPECT,
             };
             decisions.extend(refused.into_iter().map(|it| Decision::Refuse(it, refusal)));
         }
@@ -312,8 +312,8 @@
         self.quotas
             .take(now, organisation, wanted, share)
             .map_err(|after| Refusal {
-                reason: Reason::Quota,
-                after,
+                reason: RefusalReason::QuotaExceeded,
+                retry_after: after,
             })
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/pass.rs
+++ b/crates/siskinyoke-dispatch/src/core/pass.rs
@@ -7,8 +7,8 @@
 use crate::Organisation;
 use crate::Pending;
 use crate::Rank;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::Route;
 use crate::Work;
 use crate::quota;
@@ -80,8 +80,8 @@
 ) -> Result<Arc<Route>, Refusal> {
     let route = configuration.route(request.host, request.path);
     route.cloned().ok_or(Refusal {
-        reason: Reason::NoRoute,
-        after: Millis::ZERO,
+        reason: RefusalReason::NoRoute,
+        retry_after: Millis::ZERO,
     })
 }
 
@@ -90,14 +90,16 @@
     route: &Route,
     request: Request<'_>,
 ) -> Result<Option<Arc<Organisation>>, Refusal> {
-    if !configuration.keyed() {
+    if !configuration.requires_key() {
         return Ok(None);
     }
-    let holder = request.key.and_then(|key| configuration.holder(key));
-    if holder.is_none() && !route.exempt {
+    let holder = request
+        .key
+        .and_then(|key| configuration.organisation_by_key(key));
+    if holder.is_none() && !route.auth_exempt {
         return Err(Refusal {
-            reason: Reason::NoKey,
-            after: Millis::ZERO,
+            reason: RefusalReason::UnknownKey,
+            retry_after: Millis::ZERO,
         });
     }
     Ok(holder.cloned())
@@ -109,10 +111,10 @@
     organisation: Option<Arc<Organisation>>,
     request: Request<'_>,
 ) -> Result<Pass, Refusal> {
-    let Some(service) = route.target(request.draw).cloned() else {
+    let Some(service) = route.pick_service(request.draw).cloned() else {
         return Err(Refusal {
-            reason: Reason::NoEndpoint,
-            after: Millis(1000),
+            reason: RefusalReason::NoEndpoint,
+            retry_after: Millis(1000),
         });
     };
     let span = request.deadline.unwrap_or(route.timeout).min(route.timeout);
@@ -139,7 +141,9 @@
 )]
 fn units(organisation: Option<&Organisation>, tokens: Option<(u64, u64)>) -> f64 {
     match organisation {
-        Some(it) if it.tokens => tokens.map_or(it.plain, |(input, output)| (input + output) as f64),
+        Some(it) if it.counts_tokens => {
+            tokens.map_or(it.default_cost, |(input, output)| (input + output) as f64)
+        }
         Some(_) => 1.0,
         None => 0.0,
     }
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -26,7 +26,7 @@
         let Some(pending) = self.scheduler.running(ticket).cloned() else {
             return false;
         };
-        let allowed = pending.route.idempotent() && pending.sent + 1 < pending.route.attempts;
+        let allowed = pending.route.idempotent() && pending.sent + 1 < pending.route.max_attempts;
         let elsewhere = self
             .scheduler
             .elsewhere(now, &pending, &self.registry, &self.peers);
@@ -63,6 +63,6 @@
             return true;
         }
         let floor = self.floor();
-        pending.sent < pending.route.attempts && self.budget(&pending.service).take(now, floor)
+        pending.sent < pending.route.max_attempts && self.budget(&pending.service).take(now, floor)
     }
 }
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placing.rs
@@ -248,10 +248,10 @@
         let begins = float(now.since(pending.arrived)) + float(first) * pace;
         let held = health.map_or(0.0, Health::held);
         let pauses = load.parts_of(&pending.work) > SHORT && held > HELD;
-        let stalls = load.stall(unread.prompt) * pace > float(pending.route.gap);
+        let stalls = load.stall(unread.prompt) * pace > float(pending.route.max_gap);
         Cost {
             time,
-            late: begins > float(pending.route.aim) || pauses,
+            late: begins > float(pending.route.latency_objective) || pauses,
             overruns: overruns(query, pace),
             stalled: if stalls { taken } else { 0.0 },
         }
--- a/crates/siskinyoke-dispatch/src/refusal.rs
+++ b/crates/siskinyoke-dispatch/src/refusal.rs
@@ -4,48 +4,48 @@
 
 /// Why a request is turned away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RefusalReason {
     /// No configuration is known yet.
-    Unready,
+    NotReady,
     /// No route takes it.
     NoRoute,
     /// Its key is unknown.
-    NoKey,
+    UnknownKey,
     /// Its organisation has used its quota.
-    Quota,
+    QuotaExceeded,
     /// It would wait longer than it can use.
     Overload,
     /// It waited as long as it could.
-    Waited,
+    QueueTimeout,
     /// More urgent work took its place in the queue.
     Displaced,
     /// No endpoint of its service is known or fit.
     NoEndpoint,
     /// The same work crashed endpoints before.
-    Suspect,
+    Quarantined,
     /// An endpoint turned it away unrun, and no other may be asked.
-    Rejected,
+    EndpointRejected,
 }
 
-impl Reason {
+impl RefusalReason {
     /// Returns whether the same request would be turned away whenever it came back.
-    pub fn lasting(self) -> bool {
-        matches!(self, Self::NoRoute | Self::NoKey)
+    pub fn is_permanent(self) -> bool {
+        matches!(self, Self::NoRoute | Self::UnknownKey)
     }
 
     /// Returns the reason's name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Unready => "unready",
+            Self::NotReady => "unready",
             Self::NoRoute => "no_route",
-            Self::NoKey => "no_key",
-            Self::Quota => "quota",
+            Self::UnknownKey => "no_key",
+            Self::QuotaExceeded => "quota",
             Self::Overload => "overload",
-            Self::Waited => "waited",
+            Self::QueueTimeout => "waited",
             Self::Displaced => "displaced",
             Self::NoEndpoint => "no_endpoint",
-            Self::Suspect => "suspect",
-            Self::Rejected => "rejected",
+            Self::Quarantined => "suspect",
+            Self::EndpointRejected => "rejected",
         }
     }
 }
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
-    pub reason: Reason,
+    pub reason: RefusalReason,
     /// How long the caller should wait before it comes back.
-    pub after: Millis,
+    pub retry_after: Millis,
 }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -20,8 +20,8 @@
 use crate::Outcome;
 use crate::Pending;
 use crate::Rank;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::Ticket;
 use crate::demand::Demand;
 use crate::load::Load;
@@ -130,8 +130,8 @@
         let places = places(&pending.service, registry);
         if places == 0 {
             return Err(Refusal {
-                reason: Reason::NoEndpoint,
-                after: ABSENT,
+                reason: RefusalReason::NoEndpoint,
+                retry_after: ABSENT,
             });
         }
         let load = self.load(&pending.service);
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -7,8 +7,8 @@
 use super::View;
 use super::place;
 use crate::Pending;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::Ticket;
 use crate::queue::Place;
 use crate::wait;
@@ -35,8 +35,8 @@
         let load = self.load(&pending.service);
         if wait::spent(pending, view.registry.fit(&pending.service)) {
             return Some(Refusal {
-                reason: Reason::NoEndpoint,
-                after: load.stay(),
+                reason: RefusalReason::NoEndpoint,
+                retry_after: load.stay(),
             });
         }
         let waited = view.now.since(pending.arrived);
@@ -61,8 +61,8 @@
             return None;
         }
         Some(Refusal {
-            reason: Reason::Waited,
-            after: self.back(view.now, &late, wait),
+            reason: RefusalReason::QueueTimeout,
+            retry_after: self.back(view.now, &late, wait),
         })
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -238,8 +238,8 @@
         stream: pending.route.kind == Kind::Stream,
         prompt_tokens: pending.work.unread(),
         output_tokens: pending.work.expected(),
-        latency_target: small(pending.route.aim),
-        gap_target: small(pending.route.gap),
+        latency_target: small(pending.route.latency_objective),
+        gap_target: small(pending.route.max_gap),
         waited: small(now.since(pending.arrived)),
         remaining_wait: small(pending.until.since(now)),
     }
@@ -259,12 +259,12 @@
             Kind::Safe
         },
         timeout: until.since(arrived),
-        aim: span(need.latency_target),
-        gap: span(need.gap_target),
+        latency_objective: span(need.latency_target),
+        max_gap: span(need.gap_target),
         priority: 0,
         targets: Vec::new(),
-        attempts: 1,
-        exempt: true,
+        max_attempts: 1,
+        auth_exempt: true,
         resumable: false,
     };
     Pending {
--- a/crates/siskinyoke-dispatch/src/scheduler/pace.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/pace.rs
@@ -31,7 +31,7 @@
         }
         let load = self.loads.entry(pending.service.clone()).or_default();
         self.placing.paced(key, rest, load.rest(f64::from(parts)));
-        self.placing.paused(key, pause > pending.route.gap);
+        self.placing.paused(key, pause > pending.route.max_gap);
         load.paused(float(pause) / self.placing.pace(key));
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/waits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/waits.rs
@@ -5,8 +5,8 @@
 use super::Scheduler;
 use super::View;
 use crate::Pending;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::forecast::Forecast;
 use crate::load::float;
 use crate::queue::Queue;
@@ -49,8 +49,8 @@
             return Ok(pending);
         }
         Err(Refusal {
-            reason: Reason::Overload,
-            after: self.back(view.now, &pending, wait.since(bearable)),
+            reason: RefusalReason::Overload,
+            retry_after: self.back(view.now, &pending, wait.since(bearable)),
         })
     }
 
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -31,7 +31,7 @@
 /// Where more is asked for than there are places, short work first serves more callers in time; times on an
 /// endpoint differ a hundredfold.
 pub(crate) fn position(pending: &Pending, load: Load) -> Millis {
-    let most = float(pending.route.aim) * START;
+    let most = float(pending.route.latency_objective) * START;
     let behind = (float(load.stay_of(&pending.work)) * HEAD).min(most);
     pending.arrived.since(millis(most - behind))
 }
@@ -51,7 +51,7 @@
     } else {
         load.stay()
     };
-    let slack = pending.route.aim.since(run).as_secs() * 1000.0 * ON_TIME_PART;
+    let slack = pending.route.latency_objective.since(run).as_secs() * 1000.0 * ON_TIME_PART;
     whole.min(millis(slack))
 }
 
@@ -64,7 +64,12 @@
 // The longest wait after which the caller is still there for the answer.
 pub(crate) fn longest(pending: &Pending, load: Load) -> Millis {
     let whole = pending.until.since(pending.arrived).since(load.stay());
-    whole.min(pending.route.bearable().since(load.first_of(&pending.work)))
+    whole.min(
+        pending
+            .route
+            .first_byte_timeout()
+            .since(load.first_of(&pending.work)),
+    )
 }
 
 // Whether every endpoint that could take a request was tried for it: no wait can help then.
--- a/crates/siskinyoke-dispatch/src/watch.rs
+++ b/crates/siskinyoke-dispatch/src/watch.rs
@@ -7,18 +7,18 @@
 use siskinyoke_base::Millis;
 
 /// How much longer than the store holds a watch its answer may take.
-pub const MARGIN: Millis = Millis(700);
+pub const RESPONSE_MARGIN: Millis = Millis(700);
 
 /// How long the store may hold a watch at most, in a fleet of one shard and in a larger one.
 ///
 /// In a larger fleet other shards tell of changes while a watch is lost here.
-const LONGEST: [Millis; 2] = [Millis(3_500), Millis(7_000)];
+const MAX_WATCH: [Millis; 2] = [Millis(3_500), Millis(7_000)];
 
 /// How long it may hold one that follows a failed call, which is likely to be lost, too.
-const DOUBTED: Millis = Millis(300);
+const MAX_WATCH_AFTER_FAILURE: Millis = Millis(300);
 
 /// How long it takes until the next watch brings what the lost one did not: a pause, a connection, an answer.
-const RESUME: Millis = Millis(300);
+const RESUME_TIME: Millis = Millis(300);
 
 /// Returns how long the store may hold a watch.
 ///
@@ -26,8 +26,10 @@
 /// last call of the store succeeded.
 pub fn hold(settle: Millis, reaches: bool, shards: usize) -> Millis {
     if !reaches {
-        return DOUBTED;
+        return MAX_WATCH_AFTER_FAILURE;
     }
-    let most = settle.since(MARGIN + RESUME);
-    LONGEST[usize::from(shards > 1)].min(most).max(DOUBTED)
+    let most = settle.since(RESPONSE_MARGIN + RESUME_TIME);
+    MAX_WATCH[usize::from(shards > 1)]
+        .min(most)
+        .max(MAX_WATCH_AFTER_FAILURE)
 }
--- a/crates/siskinyoke-dispatch/tests/cold_start.rs
+++ b/crates/siskinyoke-dispatch/tests/cold_start.rs
@@ -40,7 +40,7 @@
     for _ in 0..2 {
         let left = (arrived + deadline).since(at);
         let hold = match way {
-            Way::Hold => cold_start::hold(Some(left)),
+            Way::Hold => cold_start::hold_timeout(Some(left)),
             Way::Reject => Millis::ZERO,
         };
         if known <= at + hold {
@@ -101,11 +101,11 @@
 #[test]
 fn no_request_is_held_for_more_than_a_quarter_of_its_time() {
     for deadline in [0, 1, 400, 1_000, 5_000, 600_000] {
-        let hold = cold_start::hold(Some(Millis(deadline)));
+        let hold = cold_start::hold_timeout(Some(Millis(deadline)));
         assert!(hold.0 * 4 <= deadline, "{deadline}: {hold}");
         assert!(hold <= Millis(1_500), "{deadline}: {hold}");
     }
-    assert!(cold_start::hold(None) <= Millis(500));
+    assert!(cold_start::hold_timeout(None) <= Millis(500));
 }
 
 // In a long outage clients that are told to come back at once do so for nothing.
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -41,12 +41,12 @@
         prefix: "/p/".into(),
         kind,
         timeout: Millis(5_000),
-        aim: Millis(500),
-        gap: Millis(400),
+        latency_objective: Millis(500),
+        max_gap: Millis(400),
         priority,
         targets: vec![("lm".into(), 1)],
-        attempts: 2,
-        exempt: false,
+        max_attempts: 2,
+        auth_exempt: false,
         resumable: kind == Kind::Stream,
     }
 }
@@ -102,18 +102,18 @@
         priority: None,
         rate,
         burst,
-        tokens: true,
-        plain: 200.0,
+        counts_tokens: true,
+        default_cost: 200.0,
     }
 }
 
 /// A configuration with one route of each kind and one organisation with the key `k`.
 pub fn configuration(version: u64, organisation: Organisation) -> Configuration {
     let limits = Limits {
-        head: 16_384,
-        body: 1_000_000,
-        arrival: Millis(3_000),
-        idle: Millis(15_000),
+        max_head: 16_384,
+        max_body: 1_000_000,
+        head_timeout: Millis(3_000),
+        keepalive_timeout: Millis(15_000),
     };
     let mut configuration = Configuration::new(version, limits);
     for (kind, prefix) in [
@@ -130,7 +130,7 @@
     }
     configuration.add_service(Service {
         name: "lm".into(),
-        connections: 100,
+        max_connections: 100,
     });
     configuration.add_organisation(organisation, &["k".to_owned()]);
     configuration
--- a/crates/siskinyoke-dispatch/tests/configuration.rs
+++ b/crates/siskinyoke-dispatch/tests/configuration.rs
@@ -11,7 +11,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Kind;
-use siskinyoke_dispatch::Reason;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Route;
 use siskinyoke_dispatch::core::Request;
 
@@ -49,7 +49,7 @@
         ..route(Kind::Safe, 0)
     };
     let to_y = (0..1_000)
-        .filter(|draw| split.target(*draw).is_some_and(|it| &**it == "y"))
+        .filter(|draw| split.pick_service(*draw).is_some_and(|it| &**it == "y"))
         .count();
     assert_eq!(to_y, 100);
 }
@@ -66,7 +66,7 @@
 fn nothing_is_denied_before_a_configuration_is_known() {
     let mut core = Core::new(identity("i", 1));
     let refusal = core.pass(Millis(0), request("/nowhere/")).unwrap_err();
-    assert_eq!(refusal.reason, Reason::Unready);
+    assert_eq!(refusal.reason, RefusalReason::NotReady);
 }
 
 #[test]
@@ -75,16 +75,22 @@
     let reason = |it: Result<_, siskinyoke_dispatch::Refusal>| it.map(drop).unwrap_err().reason;
     assert_eq!(
         reason(core.pass(Millis(0), request("/nowhere/"))),
-        Reason::NoRoute
+        RefusalReason::NoRoute
     );
     let stranger = Request {
         key: Some("x"),
         ..request("/safe/x")
     };
-    assert_eq!(reason(core.pass(Millis(0), stranger)), Reason::NoKey);
+    assert_eq!(
+        reason(core.pass(Millis(0), stranger)),
+        RefusalReason::UnknownKey
+    );
     let nobody = Request {
         key: None,
         ..request("/safe/x")
     };
-    assert_eq!(reason(core.pass(Millis(0), nobody)), Reason::NoKey);
+    assert_eq!(
+        reason(core.pass(Millis(0), nobody)),
+        RefusalReason::UnknownKey
+    );
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -17,7 +17,7 @@
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::Reason;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Request;
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestResult {
     Completed,
-    NotRun(Reason),
+    NotRun(RefusalReason),
     MayHaveRun,
     // Its instance was killed.
     ConnectionLost,
@@ -205,7 +205,7 @@
         for (number, job) in self.requests.iter().enumerate() {
             let suspect = matches!(
                 job.result,
-                Some((_, RequestResult::NotRun(Reason::Suspect)))
+                Some((_, RequestResult::NotRun(RefusalReason::Quarantined)))
             );
             if suspect && crashes(job.fingerprint) < 2 {
                 let text = format!("{number} crashed nothing twice and is held for a suspect");
@@ -453,13 +453,18 @@
             }
             None if done => job.result = Some((self.now, RequestResult::Completed)),
             None if job.has_run => job.result = Some((self.now, RequestResult::MayHaveRun)),
-            None => job.result = Some((self.now, RequestResult::NotRun(Reason::Rejected))),
+            None => {
+                job.result = Some((
+                    self.now,
+                    RequestResult::NotRun(RefusalReason::EndpointRejected),
+                ))
+            }
         }
     }
 
-    fn record_rejection(&mut self, number: usize, reason: Reason) {
+    fn record_rejection(&mut self, number: usize, reason: RefusalReason) {
         let instance = self.requests[number].instance;
-        if reason == Reason::Displaced {
+        if reason == RefusalReason::Displaced {
             self.check_displaced(number);
         }
         let job = &mut self.requests[number];
@@ -530,7 +535,7 @@
             let end = if job.has_run {
                 RequestResult::MayHaveRun
             } else {
-                RequestResult::NotRun(Reason::Waited)
+                RequestResult::NotRun(RefusalReason::QueueTimeout)
             };
             job.result = Some((self.now, end));
             if let Some(ticket) = ticket {
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -33,7 +33,7 @@
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Grant;
-use siskinyoke_dispatch::Reason;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Request;
@@ -174,7 +174,7 @@
         match passed {
             Ok(_) => self.granted.push((self.now, units as f64)),
             Err(refusal) => {
-                assert_eq!(refusal.reason, Reason::Quota);
+                assert_eq!(refusal.reason, RefusalReason::QuotaExceeded);
                 self.refused += units as f64;
             }
         }
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -237,7 +237,7 @@
         let aim = route(Kind::Stream, 0);
         job.end = if first - job.arrived as f64 > 800.0 {
             End::LateFirst
-        } else if run.pause > aim.gap.0 as f64 {
+        } else if run.pause > aim.max_gap.0 as f64 {
             End::LatePause
         } else {
             End::InTime
@@ -328,8 +328,8 @@
             name: format!("{at}").into(),
             prefix: format!("/{at}/").into(),
             timeout: Millis(NEED),
-            aim: Millis(800),
-            exempt: true,
+            latency_objective: Millis(800),
+            auth_exempt: true,
             ..(*model).clone()
         };
         configuration.add_route("host", route);
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -146,7 +146,7 @@
         }
         let decisions = world.scheduler.decide(now, &world.registry, &world.peers);
         told.extend(decisions.into_iter().filter_map(|it| match it {
-            Decision::Refuse(_, refusal) => Some((now, refusal.after)),
+            Decision::Refuse(_, refusal) => Some((now, refusal.retry_after)),
             Decision::Start(..) => None,
         }));
     }
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -11,7 +11,7 @@
 use crate::common::request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
-use siskinyoke_dispatch::Reason;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::core::Request;
 use siskinyoke_dispatch::stable_hash;
 
@@ -189,8 +189,8 @@
             break refusal;
         }
     };
-    assert_eq!(refusal.reason, Reason::Quota);
-    now += refusal.after;
+    assert_eq!(refusal.reason, RefusalReason::QuotaExceeded);
+    now += refusal.retry_after;
     assert!(core.pass(now, request("/safe/x")).is_ok());
 }
 
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -14,7 +14,7 @@
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::Reason;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::peers::Peers;
@@ -119,8 +119,8 @@
                 .err()
         })
         .expect("a long queue refuses");
-    assert_eq!(refusal.reason, Reason::Overload);
-    assert!(refusal.after > Millis::ZERO);
+    assert_eq!(refusal.reason, RefusalReason::Overload);
+    assert!(refusal.retry_after > Millis::ZERO);
     // The most urgent work is let in all the same.
     assert!(
         scheduler
@@ -156,7 +156,7 @@
     let decisions = scheduler.decide(Millis(2_600), &registry, &peers);
     let refused = decisions.iter().any(|it| {
         matches!(it, Decision::Refuse(ticket, refusal)
-            if *ticket == late && refusal.reason == Reason::Waited)
+            if *ticket == late && refusal.reason == RefusalReason::QueueTimeout)
     });
     assert!(refused, "{decisions:?}");
 }
@@ -198,7 +198,7 @@
     core.ended(Millis(5), ticket, Outcome::Broken, true)
         .unwrap();
     let decisions = core.decide(Millis(5));
-    let refused = |it: &Decision| matches!(it, Decision::Refuse(_, refusal) if refusal.reason == Reason::NoEndpoint);
+    let refused = |it: &Decision| matches!(it, Decision::Refuse(_, refusal) if refusal.reason == RefusalReason::NoEndpoint);
     assert!(decisions.iter().any(refused), "{decisions:?}");
 }
 
@@ -277,13 +277,13 @@
     assert!(one.ended(Millis(2), next, Outcome::Broken, true).is_none());
     assert_eq!(
         one.admit(Millis(3), &pass, 77).unwrap_err().reason,
-        Reason::Suspect
+        RefusalReason::Quarantined
     );
     let told = one.report(Millis(3), true);
     other.heard(Millis(3), told);
     assert_eq!(
         other.admit(Millis(3), &pass, 77).unwrap_err().reason,
-        Reason::Suspect
+        RefusalReason::Quarantined
     );
     assert!(other.admit(Millis(3), &pass, 78).is_ok());
 }
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -37,8 +37,8 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Limits;
 use siskinyoke_dispatch::Organisation;
-use siskinyoke_dispatch::Reason;
 use siskinyoke_dispatch::Refusal;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::core::Pass;
 use siskinyoke_dispatch::core::Request as Wanted;
 use siskinyoke_dispatch::stable_hash;
@@ -116,7 +116,7 @@
     if let Some(refused) = refuse_head(shell, &parts, limits) {
         return refused;
     }
-    if body.len() > limits.body {
+    if body.len() > limits.max_body {
         return refuse_body(shell, None, &BodyFault::Large);
     }
     let arrival = Arrival {
@@ -128,7 +128,7 @@
 
 fn refuse_head(shell: &Shell, parts: &Parts, limits: Limits) -> Option<Response<AnswerBody>> {
     let size = head_size(parts);
-    if size <= limits.head {
+    if size <= limits.max_head {
         return None;
     }
     shell.log("head_refused", json!({ "bytes": size }));
@@ -149,7 +149,7 @@
         Err(refused) => return *refused,
     };
     let left = pass.until.since(shell.now());
-    match collect(shell, limits.body, left, body).await {
+    match collect(shell, limits.max_body, left, body).await {
         Ok((body, held)) => {
             let parcel = parcel(shell, parts, &pass, body, held);
             admit(shell, id, pass, parcel, arrival).await
@@ -169,7 +169,7 @@
     limits: Limits,
     arrival: Arrival,
 ) -> Response<AnswerBody> {
-    let (body, held) = match collect(shell, limits.body, limits.arrival, body).await {
+    let (body, held) = match collect(shell, limits.max_body, limits.head_timeout, body).await {
         Ok(taken) => taken,
         Err(fault) => return refuse_body(shell, None, &fault),
     };
@@ -244,7 +244,7 @@
 async fn pass(shell: &Shell, wanted: Wanted<'_>) -> Result<Pass, Refusal> {
     let passed = shell.core.borrow_mut().pass(shell.now(), wanted);
     let refusal = match passed {
-        Err(refusal) if refusal.reason == Reason::Quota => refusal,
+        Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
     };
     let need = shell.core.borrow().lacks(shell.now(), wanted);
@@ -262,7 +262,7 @@
 
 fn holder(shell: &Shell, key: &str) -> Option<Arc<Organisation>> {
     let core = shell.core.borrow();
-    core.configuration()?.holder(key).cloned()
+    core.configuration()?.organisation_by_key(key).cloned()
 }
 
 fn parcel(shell: &Shell, parts: Parts, pass: &Pass, body: Bytes, held: Held) -> Parcel {
@@ -377,8 +377,8 @@
         BodyFault::Broken => Code::Malformed,
         BodyFault::Crowded => {
             let refusal = Refusal {
-                reason: Reason::Overload,
-                after: CROWDED,
+                reason: RefusalReason::Overload,
+                retry_after: CROWDED,
             };
             return refuse(shell, Known::named(id), refusal);
         }
--- a/crates/siskinyoke-gateway/src/callers/early.rs
+++ b/crates/siskinyoke-gateway/src/callers/early.rs
@@ -14,8 +14,8 @@
 use crate::held::Held;
 use crate::shell::Shell;
 use siskinyoke_dispatch::Limits;
-use siskinyoke_dispatch::Reason;
 use siskinyoke_dispatch::Refusal;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::cold_start;
 
 /// The longest body that is held before the configuration says how long one may be, in bytes.
@@ -39,7 +39,7 @@
     body: Incoming,
 ) -> Result<(Limits, Bytes, Held), Refusal> {
     let arrived = shell.now();
-    let until = arrived + cold_start::hold(shell.interface.exchange.deadline(parts));
+    let until = arrived + cold_start::hold_timeout(shell.interface.exchange.deadline(parts));
     let Some(place) = Held::take(shell, OVERHEAD) else {
         return Err(crowded());
     };
@@ -76,14 +76,14 @@
 
 fn crowded() -> Refusal {
     Refusal {
-        reason: Reason::Unready,
-        after: CROWDED,
+        reason: RefusalReason::NotReady,
+        retry_after: CROWDED,
     }
 }
 
 fn unready(shell: &Shell) -> Refusal {
     Refusal {
-        reason: Reason::Unready,
-        after: cold_start::retry_after(shell.now().since(shell.started)),
+        reason: RefusalReason::NotReady,
+        retry_after: cold_start::retry_after(shell.now().since(shell.started)),
     }
 }
--- a/crates/siskinyoke-gateway/src/first_read.rs
+++ b/crates/siskinyoke-gateway/src/first_read.rs
@@ -10,8 +10,8 @@
 use crate::store::Client;
 use crate::store::StoreError;
 use siskinyoke_base::Millis;
-use siskinyoke_dispatch::cold_start::MOST_CALLS;
-use siskinyoke_dispatch::cold_start::REPEAT;
+use siskinyoke_dispatch::cold_start::MAX_PARALLEL_READS;
+use siskinyoke_dispatch::cold_start::READ_HEDGE_DELAY;
 use siskinyoke_interface::Call;
 
 /// An answer, with the connection over which it came.
@@ -54,7 +54,7 @@
         limit: Millis,
     ) -> Result<Answered, StoreError> {
         loop {
-            if self.made < MOST_CALLS {
+            if self.made < MAX_PARALLEL_READS {
                 self.made += 1;
                 self.calls.spawn_local(once(address, call.clone(), limit));
             }
@@ -66,7 +66,7 @@
 
     // Waits until a call succeeded or all failed, or until it is time for the next one.
     async fn answered(&mut self) -> Option<Result<Answered, StoreError>> {
-        let mut again = std::pin::pin!(sleep(REPEAT.into()));
+        let mut again = std::pin::pin!(sleep(READ_HEDGE_DELAY.into()));
         loop {
             let result = tokio::select! {
                 result = self.calls.join_next() => result?,
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -12,8 +12,8 @@
 use siskinyoke_base::Code;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::Reason;
 use siskinyoke_dispatch::Refusal;
+use siskinyoke_dispatch::RefusalReason;
 
 impl Job {
     pub(super) async fn finished(&mut self) -> &'static str {
@@ -55,13 +55,13 @@
         if !self.ran {
             let full = outcome == Outcome::Full;
             let reason = if full {
-                Reason::Rejected
+                RefusalReason::EndpointRejected
             } else {
-                Reason::NoEndpoint
+                RefusalReason::NoEndpoint
             };
             return self.refused(Refusal {
                 reason,
-                after: self.load().stay(),
+                retry_after: self.load().stay(),
             });
         }
         self.tell(self.failure(Code::Broken));
@@ -76,8 +76,8 @@
             self.tell(self.failure(Code::TimedOut));
         } else {
             self.refused(Refusal {
-                reason: Reason::Waited,
-                after: self.load().stay(),
+                reason: RefusalReason::QueueTimeout,
+                retry_after: self.load().stay(),
             });
         }
     }
@@ -125,8 +125,8 @@
             "pause_ms": progress.pause.0,
             "parts": progress.parts,
             "took_ms": took.0,
-            "aim_ms": self.pass.route.aim.0,
-            "gap_ms": self.pass.route.gap.0,
+            "aim_ms": self.pass.route.latency_objective.0,
+            "gap_ms": self.pass.route.max_gap.0,
             "left_ms": self.pass.until.since(self.shell.now()).0,
             "configuration": self.shell.core.borrow().version(),
         });
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -156,7 +156,7 @@
             .core
             .borrow()
             .configuration()
-            .map_or(IDLE, |it| it.limits.idle);
+            .map_or(IDLE, |it| it.limits.keepalive_timeout);
         let quiet_for = shell.now().since(quiet.since.get());
         if !quiet.busy.get() && quiet_for >= limit {
             return;
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -207,7 +207,7 @@
             "output": request.pass.map(|it| it.work.output),
             "units": request.pass.map(|it| it.units),
             "reason": refusal.reason.as_str(),
-            "after_ms": refusal.after.0,
+            "after_ms": refusal.retry_after.0,
             "waiting": waiting,
             "running": running,
             "peers": core.peers().count(now) - 1,
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -14,7 +14,7 @@
 use crate::store::Client;
 use crate::store::StoreError;
 use siskinyoke_base::Millis;
-use siskinyoke_dispatch::watch::MARGIN;
+use siskinyoke_dispatch::watch::RESPONSE_MARGIN;
 use siskinyoke_dispatch::watchers::StoreRole;
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Call;
@@ -179,9 +179,9 @@
         let store = &*self.shell.interface.store;
         let held = self.shell.core.borrow().watch();
         let limit = if store.quiet_watch() {
-            held.max(MARGIN)
+            held.max(RESPONSE_MARGIN)
         } else {
-            held + MARGIN
+            held + RESPONSE_MARGIN
         };
         let call = store.watch(revision, held);
         let sent = self.shell.now();
--- a/crates/siskinyoke-gateway/tests/first_read.rs
+++ b/crates/siskinyoke-gateway/tests/first_read.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 
 use siskinyoke_base::Millis;
-use siskinyoke_dispatch::cold_start::MOST_CALLS;
+use siskinyoke_dispatch::cold_start::MAX_PARALLEL_READS;
 use siskinyoke_gateway::first_read::FirstRead;
 use siskinyoke_gateway::store::StoreError;
 use siskinyoke_interface::Call;
@@ -62,7 +62,7 @@
         (result.map(|it| it.0), read.made())
     });
     assert_eq!(&result.unwrap()[..], b"whole");
-    assert!((2..=MOST_CALLS).contains(&made), "{made}");
+    assert!((2..=MAX_PARALLEL_READS).contains(&made), "{made}");
 }
 
 // A store that refuses is not pressed: the caller's own pause decides when it is asked again.
@@ -87,5 +87,5 @@
         (result.map(|it| it.0), read.made())
     });
     assert!(matches!(result, Err(StoreError::Silent)));
-    assert!(made <= MOST_CALLS, "{made}");
+    assert!(made <= MAX_PARALLEL_READS, "{made}");
 }
--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -162,8 +162,8 @@
                 priority: row.tier.as_ref().map(|it| self.rank(it)).transpose()?,
                 rate: row.rate * share,
                 burst: row.burst * share,
-                tokens: row.tokens,
-                plain: PLAIN,
+                counts_tokens: row.tokens,
+                default_cost: PLAIN,
             };
             configuration.add_organisation(organisation, &row.keys);
         }
@@ -204,7 +204,7 @@
         for service in row.services.keys() {
             configuration.add_service(Service {
                 name: service.clone(),
-                connections: usize::MAX,
+                max_connections: usize::MAX,
             });
         }
         let route = |name: &str, prefix: String, kind| Route {
@@ -212,16 +212,16 @@
             prefix: prefix.into(),
             kind,
             timeout: Millis(row.timeout_ms),
-            aim: Millis(row.objective_ms),
-            gap: Millis(row.gap_ms),
+            latency_objective: Millis(row.objective_ms),
+            max_gap: Millis(row.gap_ms),
             priority: rank,
             targets: if closed {
                 Vec::new()
             } else {
                 row.services.clone().into_iter().collect()
             },
-            attempts: row.attempts.max(1),
-            exempt: row.open,
+            max_attempts: row.attempts.max(1),
+            auth_exempt: row.open,
             resumable: row.resume,
         };
         let plain = if row.idempotent {
@@ -259,10 +259,10 @@
 impl LimitsRow {
     fn decode(self) -> Limits {
         Limits {
-            head: self.head,
-            body: self.body,
-            arrival: Millis(self.arrival_ms),
-            idle: Millis(self.idle_ms),
+            max_head: self.head,
+            max_body: self.body,
+            head_timeout: Millis(self.arrival_ms),
+            keepalive_timeout: Millis(self.idle_ms),
         }
     }
 }
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -19,8 +19,8 @@
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::Reason;
 use siskinyoke_dispatch::Refusal;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_interface::Exchange;
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::Head;
@@ -163,7 +163,7 @@
     }
 
     fn refuse(&self, refusal: Refusal) -> Response<Vec<u8>> {
-        let after = (!refusal.reason.lasting()).then_some(refusal.after);
+        let after = (!refusal.reason.is_permanent()).then_some(refusal.retry_after);
         own(code(refusal.reason), after)
     }
 
@@ -184,18 +184,18 @@
 }
 
 /// Returns the result code of a refusal.
-pub fn code(reason: Reason) -> Code {
+pub fn code(reason: RefusalReason) -> Code {
     match reason {
-        Reason::Unready => Code::NoConfiguration,
-        Reason::NoRoute => Code::UnknownRoute,
-        Reason::NoKey => Code::WrongKey,
-        Reason::Quota => Code::OverQuota,
-        Reason::Overload => Code::Overloaded,
-        Reason::Waited => Code::Late,
-        Reason::Displaced => Code::Shed,
-        Reason::NoEndpoint => Code::NoEndpoint,
-        Reason::Suspect => Code::Quarantined,
-        Reason::Rejected => Code::Rejected,
+        RefusalReason::NotReady => Code::NoConfiguration,
+        RefusalReason::NoRoute => Code::UnknownRoute,
+        RefusalReason::UnknownKey => Code::WrongKey,
+        RefusalReason::QuotaExceeded => Code::OverQuota,
+        RefusalReason::Overload => Code::Overloaded,
+        RefusalReason::QueueTimeout => Code::Late,
+        RefusalReason::Displaced => Code::Shed,
+        RefusalReason::NoEndpoint => Code::NoEndpoint,
+        RefusalReason::Quarantined => Code::Quarantined,
+        RefusalReason::EndpointRejected => Code::Rejected,
     }
 }
 
--- a/crates/siskinyoke-native/tests/documents.rs
+++ b/crates/siskinyoke-native/tests/documents.rs
@@ -49,7 +49,7 @@
     assert_eq!(marks.unwrap().kind, Kind::Unsafe);
     assert_eq!(marks.unwrap().priority, 1);
     assert!(configuration.route("", "/v1/services/portal/x").is_none());
-    let school = configuration.holder("d1").unwrap();
+    let school = configuration.organisation_by_key("d1").unwrap();
     assert_eq!(school.priority, Some(1));
     assert!((school.rate - 100.0).abs() < f64::EPSILON);
 }
@@ -62,7 +62,7 @@
     assert!(nightly.targets.is_empty());
     let marking = configuration.route("", "/v1/models/qalam/").unwrap();
     assert!(!marking.targets.is_empty());
-    let school = configuration.holder("d1").unwrap();
+    let school = configuration.organisation_by_key("d1").unwrap();
     assert!((school.rate - 50.0).abs() < f64::EPSILON);
 }
 
--- a/crates/siskinyoke-native/tests/exchange.rs
+++ b/crates/siskinyoke-native/tests/exchange.rs
@@ -8,8 +8,8 @@
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::Reason;
 use siskinyoke_dispatch::Refusal;
+use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_interface::Exchange;
 use siskinyoke_interface::Verdict;
 use siskinyoke_native::exchange::Own;
@@ -131,8 +131,8 @@
 #[test]
 fn a_refusal_bears_its_code_and_when_to_come_back() {
     let response = Own.refuse(Refusal {
-        reason: Reason::Overload,
-        after: Millis(1_250),
+        reason: RefusalReason::Overload,
+        retry_after: Millis(1_250),
     });
     assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
     assert_eq!(response.headers()["siskinyoke-code"], "3000");
@@ -145,8 +145,8 @@
 #[test]
 fn a_wrong_key_is_not_told_to_come_back() {
     let response = Own.refuse(Refusal {
-        reason: Reason::NoKey,
-        after: Millis::ZERO,
+        reason: RefusalReason::UnknownKey,
+        retry_after: Millis::ZERO,
     });
     assert_eq!(response.status(), StatusCode::UNAUTHORIZED);
     assert!(!response.headers().contains_key("retry-after"));
