--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -20,8 +20,8 @@
 use crate::Outcome;
 use crate::Pending;
 use crate::Rank;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::Ticket;
 use crate::demand::Demand;
 use crate::latency_model::Load;
@@ -130,8 +130,8 @@
         let places = places(&pending.service, registry);
         if places == 0 {
             return Err(Refusal {
-                reason: Reason::NoEndpoint,
-                after: ABSENT,
+                reason: RefusalReason::NoEndpoint,
+                retry_after: ABSENT,
             });
         }
         let load = self.load(&pending.service);
@@ -304,7 +304,7 @@
     /// Returns this instance's requests at each endpoint.
     pub fn counts(&self) -> Vec<RunningRow> {
         let counts = self.counts.iter().map(|(key, busy)| RunningRow {
-            pace: self.placing.tell(*key),
+            speed_factor: self.placing.tell(*key),
             ..*busy
         });
         counts.collect()
@@ -336,7 +336,7 @@
     pub fn forget(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
         self.placing.forget(&known);
-        self.limits.forget(&known);
+        self.limits.retain_endpoints(&known);
     }
 
     // What runs at an endpoint by this instance's count.
@@ -344,8 +344,8 @@
         self.counts.entry(key).or_insert(RunningRow {
             endpoint: key.short(),
             count: 0,
-            unread: 0,
-            pace: 0,
+            prefill_tokens: 0,
+            speed_factor: 0,
         })
     }
 
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -41,12 +41,12 @@
         prefix: "/p/".into(),
         kind,
         timeout: Millis(5_000),
-        aim: Millis(500),
-        gap: Millis(400),
+        latency_objective: Millis(500),
+        max_gap: Millis(400),
         priority,
         targets: vec![("lm".into(), 1)],
-        attempts: 2,
-        exempt: false,
+        max_attempts: 2,
+        auth_exempt: false,
         resumable: kind == Kind::Stream,
     }
 }
@@ -102,18 +102,18 @@
         priority: None,
         rate,
         burst,
-        tokens: true,
-        plain: 200.0,
+        counts_tokens: true,
+        default_cost: 200.0,
     }
 }
 
 /// A configuration with one route of each kind and one organisation with the key `k`.
 pub fn configuration(version: u64, organisation: Organisation) -> Configuration {
     let limits = Limits {
-        head: 16_384,
-        body: 1_000_000,
-        arrival: Millis(3_000),
-        idle: Millis(15_000),
+        max_head: 16_384,
+        max_body: 1_000_000,
+        head_timeout: Millis(3_000),
+        keepalive_timeout: Millis(15_000),
     };
     let mut configuration = Configuration::new(version, limits);
     for (kind, prefix) in [
@@ -130,7 +130,7 @@
     }
     configuration.add_service(Service {
         name: "lm".into(),
-        connections: 100,
+        max_connections: 100,
     });
     configuration.add_organisation(organisation, &["k".to_owned()]);
     configuration
@@ -167,13 +167,13 @@
         leaving: false,
         configuration: 1,
         revision: 1,
-        reaches: true,
+        store_reachable: true,
         running: Vec::new(),
         waiting: Vec::new(),
-        spent: Vec::new(),
+        quota_used: Vec::new(),
         limits: Vec::new(),
         canaries: Vec::new(),
-        about: Some(about(name, "a")),
+        info: Some(about(name, "a")),
     }
 }
 
@@ -182,23 +182,23 @@
     RunningRow {
         endpoint: endpoint(id, 1).key().short(),
         count,
-        unread: 0,
-        pace: 8,
+        prefill_tokens: 0,
+        speed_factor: 8,
     }
 }
 
 /// Where an instance of a data centre is found.
 pub fn place(name: &str, centre: &str) -> InstanceLocation {
     InstanceLocation {
-        front: format!("{name}:1"),
-        inner: format!("{name}:2"),
+        caller_address: format!("{name}:1"),
+        peer_address: format!("{name}:2"),
         centre: centre.to_owned(),
     }
 }
 
 /// The number of the instance `iN` that is found at a place.
 pub fn number(place: &InstanceLocation) -> usize {
-    let name = place.front.trim_start_matches('i');
+    let name = place.caller_address.trim_start_matches('i');
     name.trim_end_matches(":1").parse().expect("a number")
 }
 
@@ -215,8 +215,8 @@
 pub fn about(name: &str, centre: &str) -> InstanceInfo {
     InstanceInfo {
         name: name.to_owned(),
-        place: place(name, centre),
-        leavers: Vec::new(),
+        location: place(name, centre),
+        leaving_endpoints: Vec::new(),
         quarantine: Vec::new(),
         peers: Vec::new(),
     }
