--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -80,7 +80,7 @@
     }
 
     /// Takes in what a peer knows.
-    pub fn heard(&mut self, now: Millis, rows: &[LimitRow]) {
+    pub fn merge_peer_limits(&mut self, now: Millis, rows: &[LimitRow]) {
         for row in rows {
             let at = now.since(Millis(u64::from(row.age)));
             let rate = (row.rate > 0).then(|| from_thousandths(row.rate));
@@ -154,7 +154,7 @@
         let limits: Vec<(u32, f64)> = endpoints
             .iter()
             .map(|it| it.key().short())
-            .filter_map(|key| Some((key, self.limits.get(&key)?.shard()?)))
+            .filter_map(|key| Some((key, self.limits.get(&key)?.shard_rate()?)))
             .collect();
         let peers: Vec<&InstanceInfo> = view.peers.fresh(view.now).map(|it| &it.about).collect();
         let mut names: Vec<&str> = peers.iter().map(|it| &*it.name).collect();
@@ -174,13 +174,13 @@
 
     /// Returns the requests a second that this instance's shard may send to an endpoint; none where there is no limit.
     pub fn shard_rate(&self, key: EndpointKey) -> Option<f64> {
-        self.limits.get(&key.short())?.shard()
+        self.limits.get(&key.short())?.shard_rate()
     }
 
     /// Takes the token of a request that is sent to an endpoint.
     pub fn take_token(&mut self, key: EndpointKey) {
         if let Some(limit) = self.limits.get_mut(&key.short()) {
-            limit.take();
+            limit.take_token();
         }
     }
 
--- a/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the requests a second that are this instance's shard's, none where there is no limit.
-    pub(super) fn shard(&self) -> Option<f64> {
+    pub(super) fn shard_rate(&self) -> Option<f64> {
         self.rate.map(|_| self.shard_rate)
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Takes the token of a request that is sent.
-    pub(super) fn take(&mut self) {
+    pub(super) fn take_token(&mut self) {
         self.level = (self.level - 1.0).max(0.0);
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -34,7 +34,7 @@
 
     /// Takes in the limits that a peer knows.
     pub fn hear_limits(&mut self, now: Millis, rows: &[LimitRow]) {
-        self.limits.heard(now, rows);
+        self.limits.merge_peer_limits(now, rows);
     }
 
     /// Returns the limits that were named, changed or lifted since this was last asked.
--- a/crates/siskinyoke-dispatch/tests/histories/main.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/main.rs
@@ -14,29 +14,29 @@
 use crate::world::Scenario;
 use crate::world::Simulation;
 
-fn play(usual: Range<u64>, trouble: Scenario) {
+fn check_histories(usual: Range<u64>, trouble: Scenario) {
     for seed in seeds(usual) {
         let mut world = Simulation::new(seed, trouble);
         world.run();
-        let broken = world.broken();
+        let broken = world.violations();
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
     }
 }
 
 #[test]
-fn wild_histories_keep_the_promises() {
-    play(0..150, Scenario::RandomFaults);
+fn histories_with_random_faults_keep_the_guarantees() {
+    check_histories(0..150, Scenario::RandomFaults);
 }
 
 // One request crashes each endpoint that runs it, and its caller sends it again, elsewhere. Each
 // crash takes down what runs beside it; without the news between instances it goes on for ever.
 #[test]
-fn poisoned_histories_keep_the_promises() {
-    play(0..150, Scenario::PoisonRequest);
+fn histories_with_a_poison_request_keep_the_guarantees() {
+    check_histories(0..150, Scenario::PoisonRequest);
 }
 
 // More arrives than endpoints can take, for as long as the history lasts.
 #[test]
-fn crowded_histories_keep_the_promises() {
-    play(0..100, Scenario::Overload);
+fn overloaded_histories_keep_the_guarantees() {
+    check_histories(0..100, Scenario::Overload);
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -157,7 +157,7 @@
     }
 
     /// Returns each broken promise, in words.
-    pub fn broken(&mut self) -> Vec<String> {
+    pub fn violations(&mut self) -> Vec<String> {
         for (number, job) in self.requests.iter().enumerate() {
             let once = job.path == "/unsafe/";
             if once && job.run_count > 1 {
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -41,32 +41,32 @@
 use siskinyoke_dispatch::message::UnitsRequest;
 
 /// A quota of some twenty requests a second, which eight shards share.
-const RATE: f64 = 45_000.0;
+const QUOTA_UNITS_PER_SECOND: f64 = 45_000.0;
 
 /// As in the gateway: how many instances are asked at once.
-const ASKED: usize = 5;
-const CHOICES: usize = 2;
+const UNIT_LENDER_COUNT: usize = 5;
+const SLOT_LENDER_COUNT: usize = 2;
 
 /// How long every request runs, and how often instances report.
-const WORK: u64 = 200;
-const REPORTS: u64 = 10;
+const SERVICE_TIME_MS: u64 = 200;
+const REPORT_INTERVAL_MS: u64 = 10;
 
-struct Job {
-    arrived: u64,
+struct SimulatedRequest {
+    arrived_ms: u64,
     /// When it was sent to an endpoint, or refused.
-    started: Option<u64>,
-    refused: bool,
+    started_ms: Option<u64>,
+    rejected: bool,
     /// How long it was held before it was refused.
-    held: u64,
+    queued_ms: u64,
 }
 
-struct Run {
-    at: usize,
+struct RunningRequest {
+    instance: usize,
     ticket: Ticket,
     endpoint: Endpoint,
-    until: u64,
+    ends_ms: u64,
     /// Who lent the place, in answer to which question.
-    lent: Option<(usize, u64)>,
+    lender: Option<(usize, u64)>,
 }
 
 /// A fleet of shards, all well and all heard in their shard.
@@ -75,16 +75,16 @@
     now: u64,
     cores: Vec<Core>,
     /// The other instances of each one's shard.
-    members: Vec<Vec<usize>>,
+    shard_peers: Vec<Vec<usize>>,
     /// Whether shards lend to each other.
-    lends: bool,
+    lending: bool,
     granted: Vec<(u64, f64)>,
     refused: f64,
-    jobs: BTreeMap<(usize, Ticket), Job>,
-    running: Vec<Run>,
+    unfinished: BTreeMap<(usize, Ticket), SimulatedRequest>,
+    running: Vec<RunningRequest>,
     /// The most that one endpoint ran at once.
-    most: usize,
-    over: Vec<Job>,
+    peak_running: usize,
+    finished: Vec<SimulatedRequest>,
 }
 
 impl Fleet {
@@ -92,7 +92,13 @@
         let names: Vec<String> = (0..size).map(|at| format!("i{at}")).collect();
         let make = |at: usize| {
             let mut core = Core::new(identity(&names[at], at as u64 + 1));
-            core.configure(Millis(0), configuration(1, organisation(RATE, RATE)));
+            core.configure(
+                Millis(0),
+                configuration(
+                    1,
+                    organisation(QUOTA_UNITS_PER_SECOND, QUOTA_UNITS_PER_SECOND),
+                ),
+            );
             let fleet = names
                 .iter()
                 .map(|it| StoreUpdate::Instance(it.clone(), place(it, "a")));
@@ -109,32 +115,32 @@
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
-            members: members.collect(),
+            shard_peers: members.collect(),
             cores,
-            lends,
+            lending: lends,
             granted: Vec::new(),
             refused: 0.0,
-            jobs: BTreeMap::new(),
+            unfinished: BTreeMap::new(),
             running: Vec::new(),
-            most: 0,
-            over: Vec::new(),
+            peak_running: 0,
+            finished: Vec::new(),
         }
     }
 
-    fn tell(&mut self) {
+    fn exchange_reports(&mut self) {
         let now = Millis(self.now);
         let mut reports = Vec::new();
         for core in &mut self.cores {
             reports.push(core.report(now, true));
         }
         for (at, core) in self.cores.iter_mut().enumerate() {
-            for in_shard in &self.members[at] {
+            for in_shard in &self.shard_peers[at] {
                 core.heard(now, reports[*in_shard].clone());
             }
         }
     }
 
-    fn others(&mut self, at: usize, count: usize) -> Vec<usize> {
+    fn choose_lenders(&mut self, at: usize, count: usize) -> Vec<usize> {
         let shards = self.cores[at].other_shards();
         let some: Vec<_> = shards.choose_multiple(&mut self.rng, count).collect();
         let places = some
@@ -144,7 +150,7 @@
     }
 
     // Asks for a quota, as the gateway does: the own shard first, then some instances of others.
-    fn pending(&mut self, at: usize, units: u64) {
+    fn request_quota(&mut self, at: usize, units: u64) {
         let now = Millis(self.now);
         let wanted = Request {
             tokens: Some((units, 0)),
@@ -152,7 +158,7 @@
             ..request("/stream/x")
         };
         let mut passed = self.cores[at].pass(now, wanted);
-        if self.lends
+        if self.lending
             && passed.is_err()
             && let Some(need) = self.cores[at].lacks(now, wanted)
         {
@@ -162,7 +168,7 @@
             };
             let need = BorrowRequest::Units(part);
             let mut sum = 0;
-            for other in self.others(at, ASKED) {
+            for other in self.choose_lenders(at, UNIT_LENDER_COUNT) {
                 if let Grant::Units(given) = self.cores[other].lend(now, 0, need) {
                     sum += given;
                 }
@@ -181,27 +187,27 @@
     }
 
     // Plays requests for so many seconds that come evenly to all instances and want `part` of the quota.
-    fn use_quota(&mut self, seconds: u64, part: f64) {
+    fn generate_quota_load(&mut self, seconds: u64, part: f64) {
         const MEAN: f64 = 2_200.0;
         let spread: f64 = 0.9;
         let law = LogNormal::new(MEAN.ln() - spread * spread / 2.0, spread).expect("a spread");
-        let chance = part * RATE / MEAN / 1_000.0;
+        let chance = part * QUOTA_UNITS_PER_SECOND / MEAN / 1_000.0;
         for _ in 0..seconds * 1_000 {
             self.now += 1;
-            if self.now.is_multiple_of(REPORTS) {
-                self.tell();
+            if self.now.is_multiple_of(REPORT_INTERVAL_MS) {
+                self.exchange_reports();
             }
             let mut due = chance;
             while due > 0.0 && self.rng.random_bool(due.min(1.0)) {
                 let at = self.rng.random_range(0..self.cores.len());
                 let units = law.sample(&mut self.rng).clamp(50.0, 30_000.0);
-                self.pending(at, units as u64);
+                self.request_quota(at, units as u64);
                 due -= 1.0;
             }
         }
     }
 
-    fn most_granted(&self) -> f64 {
+    fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
             let window = from..from + MEASURE.window.0;
             let inside = self.granted.iter().filter(|it| window.contains(&it.0));
@@ -212,23 +218,23 @@
     }
 
     // Plays requests for so many ms that come to these instances, `rate` a second.
-    fn serve(&mut self, length: u64, at: &[usize], rate: f64) {
+    fn generate_load(&mut self, length: u64, at: &[usize], rate: f64) {
         let end = self.now + length;
         while self.now < end {
             self.now += 5;
-            if self.now.is_multiple_of(REPORTS) {
-                self.tell();
+            if self.now.is_multiple_of(REPORT_INTERVAL_MS) {
+                self.exchange_reports();
             }
             if self.now.is_multiple_of(200) {
                 for core in &mut self.cores {
                     core.sweep(Millis(self.now));
                 }
             }
-            self.finish();
+            self.finish_requests();
             for _ in 0..5 {
                 if self.rng.random_bool(rate / 1_000.0) {
                     let at = *at.choose(&mut self.rng).expect("an instance");
-                    self.arrive(at);
+                    self.submit(at);
                 }
             }
             for at in 0..self.cores.len() {
@@ -240,12 +246,12 @@
     // A calm time, in which instances get to know how long work takes.
     fn warm_up(&mut self) {
         let all: Vec<usize> = (0..self.cores.len()).collect();
-        self.serve(3_000, &all, 150.0);
-        self.most = 0;
-        self.over.clear();
+        self.generate_load(3_000, &all, 150.0);
+        self.peak_running = 0;
+        self.finished.clear();
     }
 
-    fn arrive(&mut self, at: usize) {
+    fn submit(&mut self, at: usize) {
         let now = Millis(self.now);
         let wanted = Request {
             tokens: Some((1, 1)),
@@ -253,18 +259,18 @@
         };
         let pass = self.cores[at].pass(now, wanted).expect("it may");
         let print = self.rng.random();
-        let job = Job {
-            arrived: self.now,
-            started: None,
-            refused: false,
-            held: 0,
+        let job = SimulatedRequest {
+            arrived_ms: self.now,
+            started_ms: None,
+            rejected: false,
+            queued_ms: 0,
         };
         match self.cores[at].admit(now, &pass, print) {
             Ok(ticket) => {
-                self.jobs.insert((at, ticket), job);
+                self.unfinished.insert((at, ticket), job);
             }
-            Err(_) => self.over.push(Job {
-                refused: true,
+            Err(_) => self.finished.push(SimulatedRequest {
+                rejected: true,
                 ..job
             }),
         }
@@ -276,21 +282,21 @@
             match decision {
                 Decision::Start(ticket, endpoint) => self.start(at, ticket, &endpoint, None),
                 Decision::Refuse(ticket, _) => {
-                    let job = self.jobs.remove(&(at, ticket)).expect("it waited");
-                    self.over.push(Job {
-                        refused: true,
-                        held: self.now - job.arrived,
+                    let job = self.unfinished.remove(&(at, ticket)).expect("it waited");
+                    self.finished.push(SimulatedRequest {
+                        rejected: true,
+                        queued_ms: self.now - job.arrived_ms,
                         ..job
                     });
                 }
             }
         }
-        if !self.lends {
+        if !self.lending {
             return;
         }
         for (ticket, need) in self.cores[at].needs(now) {
             let mut found = false;
-            for other in self.others(at, CHOICES) {
+            for other in self.choose_lenders(at, SLOT_LENDER_COUNT) {
                 let id = self.rng.random();
                 let Grant::Place(key) = self.cores[other].lend(now, id, need) else {
                     continue;
@@ -316,52 +322,58 @@
         endpoint: &Endpoint,
         lent: Option<(usize, u64)>,
     ) {
-        let job = self.jobs.get_mut(&(at, ticket)).expect("it waited");
-        job.started = Some(self.now);
-        let until = self.now + WORK;
-        self.running.push(Run {
-            at,
+        let job = self.unfinished.get_mut(&(at, ticket)).expect("it waited");
+        job.started_ms = Some(self.now);
+        let until = self.now + SERVICE_TIME_MS;
+        self.running.push(RunningRequest {
+            instance: at,
             ticket,
             endpoint: endpoint.clone(),
-            until,
-            lent,
+            ends_ms: until,
+            lender: lent,
         });
         let same = self
             .running
             .iter()
             .filter(|it| it.endpoint.id == endpoint.id);
-        self.most = self.most.max(same.count());
+        self.peak_running = self.peak_running.max(same.count());
     }
 
-    fn finish(&mut self) {
+    fn finish_requests(&mut self) {
         let now = self.now;
         let (over, running) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|it| it.until <= now);
+            .partition(|it| it.ends_ms <= now);
         self.running = running;
         for run in over {
-            let Run {
-                at, ticket, lent, ..
+            let RunningRequest {
+                instance,
+                ticket,
+                lender,
+                ..
             } = run;
-            self.cores[at].ended(Millis(now), ticket, done(), false);
-            if let Some((lender, id)) = lent {
+            self.cores[instance].ended(Millis(now), ticket, done(), false);
+            if let Some((lender, id)) = lender {
                 self.cores[lender].returned(id);
             }
-            let job = self.jobs.remove(&(at, ticket)).expect("it ran");
-            self.over.push(job);
+            let job = self.unfinished.remove(&(instance, ticket)).expect("it ran");
+            self.finished.push(job);
         }
     }
 
     // The part of the requests that were sent to an endpoint within so many ms.
-    fn prompt(&self, limit: u64) -> f64 {
-        let good = |job: &&Job| job.started.is_some_and(|at| at - job.arrived <= limit);
-        let good = self.over.iter().filter(good).count();
-        good as f64 / self.over.len() as f64
+    fn share_started_within(&self, limit: u64) -> f64 {
+        let good = |job: &&SimulatedRequest| {
+            job.started_ms
+                .is_some_and(|at| at - job.arrived_ms <= limit)
+        };
+        let good = self.finished.iter().filter(good).count();
+        good as f64 / self.finished.len() as f64
     }
 
     // The instances of the shard of the first one.
     fn shard(&self) -> Vec<usize> {
-        self.members[0].iter().copied().chain([0]).collect()
+        self.shard_peers[0].iter().copied().chain([0]).collect()
     }
 }
 
@@ -369,10 +381,10 @@
 // of the bucket; by chance, or after one large request, it is empty, and requests are refused that the organisation
 // has a right to. Refused without lending: 0.044 of the units.
 #[test]
-fn an_quota_that_is_not_used_up_refuses_nothing() {
+fn a_partly_used_quota_rejects_almost_nothing() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed, 64, 16, true);
-        fleet.use_quota(20, 0.6);
+        fleet.generate_quota_load(20, 0.6);
         let granted: f64 = fleet.granted.iter().map(|it| it.1).sum();
         let part = fleet.refused / (granted + fleet.refused);
         assert!(part <= 0.01, "seed {seed}: {part} refused");
@@ -384,9 +396,10 @@
 #[test]
 fn what_is_lent_is_not_granted_twice() {
     let mut fleet = Fleet::new(1, 64, 16, true);
-    fleet.use_quota(20, 4.0);
-    let allowed = (RATE * 8.0 + RATE) * (1.0 + MEASURE.overage) + MEASURE.slack;
-    let most = fleet.most_granted();
+    fleet.generate_quota_load(20, 4.0);
+    let allowed = (QUOTA_UNITS_PER_SECOND * 8.0 + QUOTA_UNITS_PER_SECOND) * (1.0 + MEASURE.overage)
+        + MEASURE.slack;
+    let most = fleet.max_granted_in_window();
     assert!(most <= allowed, "{most} of {allowed}");
     assert!(most >= allowed * 0.7, "{most} of {allowed}");
 }
@@ -399,8 +412,8 @@
         let mut fleet = Fleet::new(1, 24, 20, lends);
         let full = fleet.shard();
         fleet.warm_up();
-        fleet.serve(10_000, &full, 220.0);
-        (fleet.prompt(200), fleet.most)
+        fleet.generate_load(10_000, &full, 220.0);
+        (fleet.share_started_within(200), fleet.peak_running)
     };
     let (alone, alone_most) = played(false);
     let (lending, lending_most) = played(true);
@@ -416,14 +429,14 @@
         let mut fleet = Fleet::new(1, 24, 20, lends);
         let all: Vec<usize> = (0..24).collect();
         fleet.warm_up();
-        fleet.serve(5_000, &all, 900.0);
+        fleet.generate_load(5_000, &all, 900.0);
         fleet
     };
     let (alone, lending) = (played(false), played(true));
-    let served = |fleet: &Fleet| fleet.over.iter().filter(|job| !job.refused).count();
-    assert!(served(&alone) * 5 < alone.over.len() * 4, "no window");
+    let served = |fleet: &Fleet| fleet.finished.iter().filter(|job| !job.rejected).count();
+    assert!(served(&alone) * 5 < alone.finished.len() * 4, "no window");
     assert!(served(&lending) * 100 >= served(&alone) * 97);
-    let held = |fleet: &Fleet| fleet.over.iter().map(|job| job.held).max();
+    let held = |fleet: &Fleet| fleet.finished.iter().map(|job| job.queued_ms).max();
     assert!(held(&lending) <= held(&alone), "{:?}", held(&lending));
 }
 
@@ -432,7 +445,7 @@
 #[test]
 fn a_place_that_is_not_returned_is_taken_back() {
     let mut fleet = Fleet::new(1, 24, 20, true);
-    fleet.tell();
+    fleet.exchange_reports();
     let need = SlotRequest {
         service: siskinyoke_dispatch::report::short_hash("lm"),
         stream: false,
