--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -96,7 +96,7 @@
             return false;
         }
         self.started.get_or_insert(now);
-        let share = self.peers.share(now);
+        let share = self.peers.fleet_share(now);
         self.quotas
             .configure(now, configuration.organisations(), share);
         self.configuration = Some(Arc::new(configuration));
@@ -301,8 +301,8 @@
         let Some(organisation) = &pass.organisation else {
             return Ok(());
         };
-        let share = self.peers.share(now);
-        let crowd = f64::from(u32::try_from(self.peers.count(now)).unwrap_or(u32::MAX));
+        let share = self.peers.fleet_share(now);
+        let crowd = f64::from(u32::try_from(self.peers.instance_count(now)).unwrap_or(u32::MAX));
         let wanted = QuotaRequest {
             units: pass.units,
             instances: crowd,
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -58,7 +58,7 @@
     pub fn other_shards(&self) -> Vec<Vec<&InstanceLocation>> {
         let mut shards: BTreeMap<usize, Vec<&InstanceLocation>> = BTreeMap::new();
         for (name, place) in self.instances.iter() {
-            let home = shards::home(name, self.shards);
+            let home = shards::shard_of(name, self.shards);
             if home != self.shard {
                 shards.entry(home).or_default().push(place);
             }
@@ -73,7 +73,7 @@
             .peers
             .fresh(now)
             .filter(|it| it.report.ready && !it.report.leaving);
-        let members = peers.map(|peer| &peer.about.location);
+        let members = peers.map(|peer| &peer.info.location);
         let others = self.listed().filter(|row| !row.1).map(|row| row.0);
         let others = others.filter(|_| self.shards > 1);
         let ready = members
@@ -111,7 +111,7 @@
         let all: Vec<&String> = self
             .peers
             .fresh(now)
-            .map(|peer| &peer.about.location.peer_address)
+            .map(|peer| &peer.info.location.peer_address)
             .collect();
         let skip = usize::try_from(self.number).unwrap_or(0) % all.len().max(1);
         all.iter()
@@ -132,23 +132,24 @@
 
     // Finds out which shard of the fleet this instance belongs to.
     pub(super) fn settle(&mut self) {
-        self.peers.listed(self.fleet().len());
+        self.peers.set_listed_count(self.fleet().len());
         let shards = shards::count(self.fleet().len());
         let mut sizes = vec![0; shards];
         for name in self.fleet() {
-            sizes[shards::home(name, shards)] += 1;
+            sizes[shards::shard_of(name, shards)] += 1;
         }
-        self.shard = shards::home(&self.me.name, shards);
+        self.shard = shards::shard_of(&self.me.name, shards);
         self.shards = shards;
         self.registry.settle(self.shard, sizes);
         if shards > 1 {
             let own = self.shard;
-            self.peers.retain(|name| shards::home(name, shards) == own);
+            self.peers
+                .retain(|name| shards::shard_of(name, shards) == own);
         }
     }
 
     pub(super) fn in_shard(&self, name: &str) -> bool {
-        shards::home(name, self.shards) == self.shard
+        shards::shard_of(name, self.shards) == self.shard
     }
 
     // The part of the retries beside the budget's ratio that is this instance's.
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -40,17 +40,17 @@
         match need {
             BorrowRequest::Slot(need) => {
                 let given = self.scheduler.lend(&view, id, &need);
-                given.map_or(Grant::Denied, Grant::Place)
+                given.map_or(Grant::Denied, Grant::Slot)
             }
             BorrowRequest::RateLimitedSlot(need) => {
                 let given = self.scheduler.lend_token(&view, &need);
-                given.map_or(Grant::Denied, Grant::Place)
+                given.map_or(Grant::Denied, Grant::Slot)
             }
             BorrowRequest::Units(UnitsRequest {
                 organisation,
                 units,
             }) => {
-                let share = self.peers.share(now);
+                let share = self.peers.fleet_share(now);
                 match self.quotas.lend(now, organisation, units, share) {
                     0 => Grant::Denied,
                     units => Grant::Units(units),
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::watchers::Candidate;
 use crate::watchers::StoreRole;
-use crate::watchers::watcher;
+use crate::watchers::select_watcher;
 use siskinyoke_base::Millis;
 
 /// How long a process that started waits to hear of its peers before it watches the store itself.
@@ -67,13 +67,13 @@
                     self.depart(now, &name);
                     fleet = true;
                 }
-                StoreUpdate::Order(order) => self.begin_rollout(now, order),
+                StoreUpdate::RolloutOrder(order) => self.begin_rollout(now, order),
                 StoreUpdate::RolloutOrderRemoved(service) => {
                     if let Some(rollout) = self.registry.rollout(&service) {
                         rollout.withdraw();
                     }
                 }
-                StoreUpdate::Status(service, status) => progress.push((service, status)),
+                StoreUpdate::RolloutStatus(service, status) => progress.push((service, status)),
                 StoreUpdate::Endpoint(_) | StoreUpdate::EndpointRemoved(_) => endpoints.push(item),
             }
         }
@@ -139,14 +139,14 @@
     pub fn watcher(&self, now: Millis) -> &str {
         let me = Candidate {
             name: &self.me.name,
-            reaches: self.view.reaches,
+            store_reachable: self.view.reaches,
         };
         let peers = self.peers.fresh(now).filter(|peer| !peer.report.leaving);
         let peers = peers.map(|peer| Candidate {
-            name: &peer.about.name,
-            reaches: peer.report.store_reachable,
+            name: &peer.info.name,
+            store_reachable: peer.report.store_reachable,
         });
-        watcher(me, peers)
+        select_watcher(me, peers)
     }
 
     /// Decides whether this instance watches the store itself.
@@ -156,7 +156,7 @@
     pub fn duty(&self, now: Millis) -> StoreRole {
         let view = &self.view;
         let within = |since: Option<Millis>, span| since.is_some_and(|it| now.since(it) < span);
-        let alone = self.peers.count(now) == 1;
+        let alone = self.peers.instance_count(now) == 1;
         let watches = if view.revision == 0 {
             true
         } else if alone && within(view.known, START) {
--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -33,14 +33,14 @@
         self.hear_canaries(now, &report, in_shard);
         self.hear_limits(now, &report.limits);
         if !in_shard {
-            self.peers.dismiss(source);
+            self.peers.remove(source);
             return false;
         }
         let spent = report.quota_used.clone();
         self.scheduler.heard(&report.running);
         let young = Millis(report.age) <= self.age(now) + TOGETHER;
         match self.peers.heard(now, report) {
-            Received::Nothing => return false,
+            Received::Ignored => return false,
             Received::NewProcess(before) => {
                 if let Some(before) = before {
                     self.quotas.forget_peer(before);
--- a/crates/siskinyoke-dispatch/src/message.rs
+++ b/crates/siskinyoke-dispatch/src/message.rs
@@ -78,5 +78,5 @@
     Units(u64),
     /// A place at this endpoint, counted as taken until it is returned.
     #[serde(rename = "Place")]
-    Place(EndpointKey),
+    Slot(EndpointKey),
 }
--- a/crates/siskinyoke-dispatch/src/news.rs
+++ b/crates/siskinyoke-dispatch/src/news.rs
@@ -19,9 +19,9 @@
     /// An instance's entry is gone.
     InstanceRemoved(String),
     /// A service's traffic is to move to another version.
-    Order(Order),
+    RolloutOrder(Order),
     /// The order for a service is withdrawn.
     RolloutOrderRemoved(Arc<str>),
     /// How far the order for a service has come.
-    Status(Arc<str>, Status),
+    RolloutStatus(Arc<str>, Status),
 }
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -28,15 +28,15 @@
     /// Its latest report.
     pub report: Report,
     /// What it told last of itself.
-    pub about: InstanceInfo,
+    pub info: InstanceInfo,
     /// When that came.
-    pub heard: Millis,
+    pub received_at: Millis,
 }
 
 impl Peer {
     /// Returns whether the peer is heard of at present.
-    pub fn fresh(&self, now: Millis) -> bool {
-        now.since(self.heard) <= REPORT_TTL
+    pub fn is_fresh(&self, now: Millis) -> bool {
+        now.since(self.received_at) <= REPORT_TTL
     }
 }
 
@@ -44,7 +44,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Received {
     /// Nothing: it is older than what is known, or from a peer that has not said who it is.
-    Nothing,
+    Ignored,
     /// The next report of a known peer.
     Update,
     /// The first report of a peer's start; the start before it, if any, is over.
@@ -60,7 +60,7 @@
 
 impl Peers {
     /// Takes note of how many instances there are by the store's list, this one included.
-    pub fn listed(&mut self, count: usize) {
+    pub fn set_listed_count(&mut self, count: usize) {
         self.listed = count;
     }
 
@@ -69,24 +69,24 @@
         let about = report.info.take();
         if let Some(peer) = self.known.get_mut(&report.source) {
             if peer.report.number >= report.number {
-                return Received::Nothing;
+                return Received::Ignored;
             }
-            peer.about = about.unwrap_or_else(|| peer.about.clone());
+            peer.info = about.unwrap_or_else(|| peer.info.clone());
             peer.report = report;
-            peer.heard = now;
+            peer.received_at = now;
             return Received::Update;
         }
         let Some(about) = about else {
-            return Received::Nothing;
+            return Received::Ignored;
         };
         let before = self
             .known
             .values()
-            .find(|peer| peer.about.name == about.name);
+            .find(|peer| peer.info.name == about.name);
         // The last report of the start before may come late. Ages tell the two apart, and need
         // no time of day, which may step back between two starts.
-        if before.is_some_and(|peer| peer.fresh(now) && peer.report.age < report.age) {
-            return Received::Nothing;
+        if before.is_some_and(|peer| peer.is_fresh(now) && peer.report.age < report.age) {
+            return Received::Ignored;
         }
         let before = before.map(|peer| peer.report.source);
         if let Some(source) = before {
@@ -96,8 +96,8 @@
             report.source,
             Peer {
                 report,
-                about,
-                heard: now,
+                info: about,
+                received_at: now,
             },
         );
         Received::NewProcess(before)
@@ -105,11 +105,11 @@
 
     /// Keeps the peers whose name belongs to this instance's shard.
     pub fn retain(&mut self, in_shard: impl Fn(&str) -> bool) {
-        self.known.retain(|_, peer| in_shard(&peer.about.name));
+        self.known.retain(|_, peer| in_shard(&peer.info.name));
     }
 
     /// Forgets a peer that is none of this instance's shard.
-    pub fn dismiss(&mut self, source: u64) {
+    pub fn remove(&mut self, source: u64) {
         self.known.remove(&source);
     }
 
@@ -117,7 +117,7 @@
     pub fn sweep(&mut self, now: Millis) -> Vec<u64> {
         let mut gone = Vec::new();
         self.known.retain(|_, peer| {
-            let silent = now.since(peer.heard);
+            let silent = now.since(peer.received_at);
             let keep = silent < PEER_RETENTION && !(peer.report.leaving && silent > REPORT_TTL);
             if !keep {
                 gone.push(peer.report.source);
@@ -129,14 +129,14 @@
 
     /// Returns the peers that are heard at present.
     pub fn fresh(&self, now: Millis) -> impl Iterator<Item = &Peer> {
-        self.known.values().filter(move |peer| peer.fresh(now))
+        self.known.values().filter(move |peer| peer.is_fresh(now))
     }
 
     /// Returns the requests that peers run at each endpoint, by shortened key, and their prompt tokens still to be
     /// read.
     ///
     /// Summed up once a decision: looking through all reports for each endpoint grows with the square of them.
-    pub fn running(&self, now: Millis) -> Map<u32, (u32, u32)> {
+    pub fn running_by_endpoint(&self, now: Millis) -> Map<u32, (u32, u32)> {
         let mut sums: Map<u32, (u32, u32)> = Map::default();
         for row in self.fresh(now).flat_map(|peer| &peer.report.running) {
             let sum = sums.entry(row.endpoint).or_default();
@@ -150,9 +150,9 @@
     pub fn waiting(&self, now: Millis, service: u32) -> impl Iterator<Item = WaitingRow> {
         self.known
             .values()
-            .filter(move |peer| now.since(peer.heard) <= QUEUE_TTL)
+            .filter(move |peer| now.since(peer.received_at) <= QUEUE_TTL)
             .flat_map(move |peer| {
-                let age = u32::try_from(now.since(peer.heard).0).unwrap_or(u32::MAX);
+                let age = u32::try_from(now.since(peer.received_at).0).unwrap_or(u32::MAX);
                 peer.report.waiting.iter().map(move |row| WaitingRow {
                     oldest_wait: row.oldest_wait.saturating_add(age),
                     ..*row
@@ -165,14 +165,14 @@
     ///
     /// 1 while every peer is heard. Cut off from all, it is one part of them all. The store's list
     /// counts too: a process that has just started hears nobody yet, and is not alone for that.
-    pub fn share(&self, now: Millis) -> f64 {
+    pub fn fleet_share(&self, now: Millis) -> f64 {
         let known = (self.known.len() + 1).max(self.listed);
         let heard = self.fresh(now).count() + 1;
         ratio(heard, known)
     }
 
     /// Returns the number of instances that are heard, this one with them.
-    pub fn count(&self, now: Millis) -> usize {
+    pub fn instance_count(&self, now: Millis) -> usize {
         self.fresh(now).count() + 1
     }
 }
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -130,7 +130,7 @@
             return;
         }
         let peers = view.peers.fresh(view.now);
-        let mut names: Vec<&str> = peers.map(|peer| &*peer.about.name).collect();
+        let mut names: Vec<&str> = peers.map(|peer| &*peer.info.name).collect();
         names.push(&self.instance);
         for (endpoint, limit) in &mut self.limits {
             let Some(rate) = limit.rate() else { continue };
@@ -156,7 +156,7 @@
             .map(|it| it.key().short())
             .filter_map(|key| Some((key, self.limits.get(&key)?.shard_rate()?)))
             .collect();
-        let peers: Vec<&InstanceInfo> = view.peers.fresh(view.now).map(|it| &it.about).collect();
+        let peers: Vec<&InstanceInfo> = view.peers.fresh(view.now).map(|it| &it.info).collect();
         let mut names: Vec<&str> = peers.iter().map(|it| &*it.name).collect();
         names.push(&self.instance);
         let holds = |name: &str| {
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -78,9 +78,9 @@
                 StoreUpdate::EndpointRemoved(id) => self.listing.remove(now, &id),
                 StoreUpdate::Instance(..)
                 | StoreUpdate::InstanceRemoved(_)
-                | StoreUpdate::Order(_)
+                | StoreUpdate::RolloutOrder(_)
                 | StoreUpdate::RolloutOrderRemoved(_)
-                | StoreUpdate::Status(..) => {}
+                | StoreUpdate::RolloutStatus(..) => {}
             }
         }
         self.choose();
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -134,7 +134,7 @@
         if awake.is_empty() {
             return Vec::new();
         }
-        let running = view.peers.running(view.now);
+        let running = view.peers.running_by_endpoint(view.now);
         let all = awake.iter().map(|it| self.placing.pace(it.key()));
         let fastest = all.fold(f64::INFINITY, f64::min);
         awake
--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -81,7 +81,7 @@
         let capacity = awake.map(|it| self.capacity(it, &load));
         let demand = self.demands.get(&pending.service);
         let before = demand.map_or(0.0, |it| it.before(view.now, pending.rank, pending.late));
-        let instances = u32::try_from(view.peers.count(view.now)).unwrap_or(u32::MAX);
+        let instances = u32::try_from(view.peers.instance_count(view.now)).unwrap_or(u32::MAX);
         Forecast {
             capacity: capacity.sum(),
             before: before * f64::from(instances),
--- a/crates/siskinyoke-dispatch/src/shards.rs
+++ b/crates/siskinyoke-dispatch/src/shards.rs
@@ -29,7 +29,7 @@
 /// Returns the shard of an instance.
 ///
 /// It depends on nothing but its name, so that no restart of another moves it.
-pub fn home(name: &str, shards: usize) -> usize {
+pub fn shard_of(name: &str, shards: usize) -> usize {
     usize::try_from(stable_hash(&name) >> 32).unwrap_or(0) % shards.max(1)
 }
 
--- a/crates/siskinyoke-dispatch/src/watchers.rs
+++ b/crates/siskinyoke-dispatch/src/watchers.rs
@@ -37,14 +37,17 @@
     /// Its name.
     pub name: &'a str,
     /// Whether it reaches the store, as far as it knows.
-    pub reaches: bool,
+    pub store_reachable: bool,
 }
 
 /// Returns which instance is to watch, among this one and the peers that it hears.
 ///
 /// Where none reaches the store, it is the first of them all, which goes on trying.
-pub fn watcher<'a>(me: Candidate<'a>, peers: impl Iterator<Item = Candidate<'a>>) -> &'a str {
-    let order = |it: &Candidate<'a>| (!it.reaches, stable_hash(&it.name), it.name);
+pub fn select_watcher<'a>(
+    me: Candidate<'a>,
+    peers: impl Iterator<Item = Candidate<'a>>,
+) -> &'a str {
+    let order = |it: &Candidate<'a>| (!it.store_reachable, stable_hash(&it.name), it.name);
     peers
         .chain([me])
         .min_by_key(order)
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -298,7 +298,7 @@
             let mut found = false;
             for other in self.choose_lenders(at, SLOT_LENDER_COUNT) {
                 let id = self.rng.random();
-                let Grant::Place(key) = self.cores[other].lend(now, id, need) else {
+                let Grant::Slot(key) = self.cores[other].lend(now, id, need) else {
                     continue;
                 };
                 match self.cores[at].place_granted(now, ticket, key) {
@@ -457,7 +457,7 @@
         remaining_wait: 4_000,
     };
     let given = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Slot(need));
-    assert!(matches!(given, Grant::Place(_)), "{given:?}");
+    assert!(matches!(given, Grant::Slot(_)), "{given:?}");
     let count = |core: &Core| -> u16 { core.scheduler().counts().iter().map(|it| it.count).sum() };
     assert_eq!(count(&fleet.cores[0]), 1);
     fleet.cores[0].sweep(Millis(4_100));
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -18,7 +18,7 @@
         peers.heard(Millis(0), report("p", 5)),
         Received::NewProcess(None)
     );
-    assert_eq!(peers.heard(Millis(1), report("p", 4)), Received::Nothing);
+    assert_eq!(peers.heard(Millis(1), report("p", 4)), Received::Ignored);
     assert_eq!(peers.heard(Millis(1), report("p", 6)), Received::Update);
 }
 
@@ -29,8 +29,8 @@
         info: None,
         ..report("p", 1)
     };
-    assert_eq!(peers.heard(Millis(0), unnamed), Received::Nothing);
-    assert_eq!(peers.count(Millis(0)), 1);
+    assert_eq!(peers.heard(Millis(0), unnamed), Received::Ignored);
+    assert_eq!(peers.instance_count(Millis(0)), 1);
 }
 
 // An instance was killed and started again; a last report of the start before is still on its
@@ -53,19 +53,19 @@
         peers.heard(Millis(100), after),
         Received::NewProcess(Some(1))
     );
-    assert_eq!(peers.heard(Millis(120), before), Received::Nothing);
-    assert_eq!(peers.count(Millis(120)), 2);
+    assert_eq!(peers.heard(Millis(120), before), Received::Ignored);
+    assert_eq!(peers.instance_count(Millis(120)), 2);
 }
 
 #[test]
 fn a_process_that_just_started_is_not_alone_for_hearing_nobody() {
     let mut peers = Peers::default();
-    peers.listed(4);
-    assert!((peers.share(Millis(0)) - 0.25).abs() < 1e-9);
+    peers.set_listed_count(4);
+    assert!((peers.fleet_share(Millis(0)) - 0.25).abs() < 1e-9);
     for name in ["a", "b", "c"] {
         peers.heard(Millis(0), report(name, 1));
     }
-    assert!((peers.share(Millis(0)) - 1.0).abs() < 1e-9);
+    assert!((peers.fleet_share(Millis(0)) - 1.0).abs() < 1e-9);
 }
 
 #[test]
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -356,7 +356,7 @@
                 continue;
             }
             let id = self.rng.random();
-            let Grant::Place(key) = self.cores[lender].lend(now, id, need) else {
+            let Grant::Slot(key) = self.cores[lender].lend(now, id, need) else {
                 continue;
             };
             if let Some(endpoint) = self.cores[at].place_granted(now, ticket, key) {
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -122,8 +122,8 @@
             revision: 8,
         };
         let news = vec![
-            StoreUpdate::Status("lm".into(), status),
-            StoreUpdate::Order(order("v2", 5)),
+            StoreUpdate::RolloutStatus("lm".into(), status),
+            StoreUpdate::RolloutOrder(order("v2", 5)),
             StoreUpdate::Endpoint(of("v1")),
             StoreUpdate::Endpoint(of("v2")),
         ];
@@ -146,7 +146,7 @@
 fn a_state_is_written_only_while_its_order_stands() {
     let mut core = Core::new(identity("i1", 1));
     let news = vec![
-        StoreUpdate::Order(order("v2", 5)),
+        StoreUpdate::RolloutOrder(order("v2", 5)),
         StoreUpdate::Endpoint(of("v1")),
     ];
     core.learn_news(Millis(0), 6, news);
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -225,7 +225,7 @@
             span: Millis(SPAN),
             revision: self.revision() + 1,
         };
-        self.changes.push(StoreUpdate::Order(order));
+        self.changes.push(StoreUpdate::RolloutOrder(order));
         for at in ENDPOINTS..2 * ENDPOINTS {
             self.changes
                 .push(StoreUpdate::Endpoint(self.endpoints[at].clone()));
@@ -468,7 +468,8 @@
                 version: due.order.version,
                 revision,
             };
-            self.changes.push(StoreUpdate::Status("lm".into(), status));
+            self.changes
+                .push(StoreUpdate::RolloutStatus("lm".into(), status));
         }
     }
 
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -92,11 +92,11 @@
     for (centre, name) in members(68) {
         core.list(&name, place(&name, &centre));
     }
-    let before = core.peers().share(Millis(0));
+    let before = core.peers().fleet_share(Millis(0));
     for number in 50..68 {
         core.unlist(Millis(5_000), &format!("i{number}"));
     }
-    assert!((core.peers().share(Millis(9_000)) - before).abs() < 1e-9);
+    assert!((core.peers().fleet_share(Millis(9_000)) - before).abs() < 1e-9);
 }
 
 #[test]
@@ -147,7 +147,7 @@
         told.info.as_mut().unwrap().quarantine = vec![(55, vec![1, 2])];
         core.heard(Millis(0), told);
     }
-    assert_eq!(core.peers().count(Millis(0)), shard.len() + 1);
+    assert_eq!(core.peers().instance_count(Millis(0)), shard.len() + 1);
     let pass = core.pass(Millis(0), common::request("/safe/x")).unwrap();
     assert!(core.admit(Millis(0), &pass, 55).is_err());
 }
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -12,7 +12,7 @@
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::watchers::Candidate;
 use siskinyoke_dispatch::watchers::StoreRole;
-use siskinyoke_dispatch::watchers::watcher;
+use siskinyoke_dispatch::watchers::select_watcher;
 
 const NAMES: [&str; 4] = ["i0", "i1", "i2", "i3"];
 
@@ -28,10 +28,10 @@
 fn followed(reach: u32, hearing: u32, at: usize) -> usize {
     let candidate = |at: usize| Candidate {
         name: NAMES[at],
-        reaches: reaches(reach, at),
+        store_reachable: reaches(reach, at),
     };
     let peers = (0..NAMES.len()).filter(|other| *other != at && hears(hearing, at, *other));
-    let name = watcher(candidate(at), peers.map(candidate));
+    let name = select_watcher(candidate(at), peers.map(candidate));
     NAMES
         .iter()
         .position(|it| *it == name)
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -53,7 +53,7 @@
     shell.metrics.state("running", count(running));
     shell
         .metrics
-        .state("peers", count(core.peers().count(shell.now()) - 1));
+        .state("peers", count(core.peers().instance_count(shell.now()) - 1));
     shell
         .metrics
         .state("store", f64::from(u8::from(core.stored())));
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -60,7 +60,7 @@
     let changed = shell.core.borrow_mut().notice_store(shell.now());
     let Some(away) = changed else { return };
     let event = if away { "store_away" } else { "store_back" };
-    let peers = shell.core.borrow().peers().count(shell.now()) - 1;
+    let peers = shell.core.borrow().peers().instance_count(shell.now()) - 1;
     shell.log(event, json!({ "peers": peers }));
 }
 
@@ -85,11 +85,11 @@
             let Some(value) = item.value else {
                 return Some(StoreUpdate::RolloutOrderRemoved(service.into()));
             };
-            order(shell, service, &value, item.revision).map(StoreUpdate::Order)
+            order(shell, service, &value, item.revision).map(StoreUpdate::RolloutOrder)
         }
         Entry::Status(service) => {
             let status = state(shell, service, &item.value?, item.revision)?;
-            Some(StoreUpdate::Status(service.into(), status))
+            Some(StoreUpdate::RolloutStatus(service.into(), status))
         }
         Entry::Other => None,
     }
@@ -171,9 +171,9 @@
         StoreUpdate::EndpointRemoved(id) => shell.log("endpoint_gone", json!({ "endpoint": id })),
         StoreUpdate::Instance(..)
         | StoreUpdate::InstanceRemoved(_)
-        | StoreUpdate::Order(_)
+        | StoreUpdate::RolloutOrder(_)
         | StoreUpdate::RolloutOrderRemoved(_)
-        | StoreUpdate::Status(..) => {}
+        | StoreUpdate::RolloutStatus(..) => {}
     }
 }
 
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -181,7 +181,7 @@
         let mut all: BTreeSet<SocketAddr> = core
             .peers()
             .fresh(now)
-            .filter_map(|peer| peer.about.location.peer_address.parse().ok())
+            .filter_map(|peer| peer.info.location.peer_address.parse().ok())
             .collect();
         let settings = shell.settings();
         if search {
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -84,7 +84,7 @@
         return;
     }
     match grant {
-        Grant::Place(key) => place_granted(shell, from, id, key),
+        Grant::Slot(key) => place_granted(shell, from, id, key),
         Grant::Denied => no_place(shell, id),
         // Too late: they are lost, so that nothing is granted twice.
         Grant::Units(_) => {}
@@ -216,7 +216,7 @@
 /// Answers an instance of another shard.
 pub fn answer(shell: &Shell, from: SocketAddr, id: u64, need: BorrowRequest) {
     let grant = shell.core.borrow_mut().lend(shell.now(), id, need);
-    if let Grant::Place(_) = grant {
+    if let Grant::Slot(_) = grant {
         // Peers must not give the same place away.
         shell.changed.notify_one();
     }
@@ -264,6 +264,6 @@
 fn amount(grant: Grant) -> u64 {
     match grant {
         Grant::Units(units) => units,
-        Grant::Denied | Grant::Place(_) => 0,
+        Grant::Denied | Grant::Slot(_) => 0,
     }
 }
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -58,7 +58,7 @@
             "before": before,
             "rate": rate,
             "source": if from_peer { "peer" } else { "answer" },
-            "peers": core.peers().count(shell.now()) - 1,
+            "peers": core.peers().instance_count(shell.now()) - 1,
         });
         drop(core);
         shell.log("rate_limit", fields);
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -80,7 +80,7 @@
             let fields = json!({
                 "duty": duty.as_str(),
                 "watcher": core.watcher(now),
-                "peers": core.peers().count(now) - 1,
+                "peers": core.peers().instance_count(now) - 1,
                 "revision": core.revision(),
             });
             self.shell.log("store_duty", fields);
