--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -78,8 +78,8 @@
     shard_peers: Vec<Vec<usize>>,
     /// Whether shards lend to each other.
     lending: bool,
-    granted: Vec<(u64, f64)>,
-    refused: f64,
+    granted_units: Vec<(u64, f64)>,
+    rejected_units: f64,
     unfinished: BTreeMap<(usize, Ticket), SimulatedRequest>,
     running: Vec<RunningRequest>,
     /// The most that one endpoint ran at once.
@@ -118,8 +118,8 @@
             shard_peers: members.collect(),
             cores,
             lending: lends,
-            granted: Vec::new(),
-            refused: 0.0,
+            granted_units: Vec::new(),
+            rejected_units: 0.0,
             unfinished: BTreeMap::new(),
             running: Vec::new(),
             peak_running: 0,
@@ -178,10 +178,10 @@
             }
         }
         match passed {
-            Ok(_) => self.granted.push((self.now, units as f64)),
+            Ok(_) => self.granted_units.push((self.now, units as f64)),
             Err(refusal) => {
                 assert_eq!(refusal.reason, RefusalReason::QuotaExceeded);
-                self.refused += units as f64;
+                self.rejected_units += units as f64;
             }
         }
     }
@@ -210,10 +210,13 @@
     fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
             let window = from..from + MEASURE.window.0;
-            let inside = self.granted.iter().filter(|it| window.contains(&it.0));
+            let inside = self
+                .granted_units
+                .iter()
+                .filter(|it| window.contains(&it.0));
             inside.map(|it| it.1).sum()
         };
-        let starts = self.granted.iter().step_by(20);
+        let starts = self.granted_units.iter().step_by(20);
         starts.map(|it| sum(it.0)).fold(0.0, f64::max)
     }
 
@@ -372,7 +375,7 @@
     }
 
     // The instances of the shard of the first one.
-    fn shard(&self) -> Vec<usize> {
+    fn first_shard(&self) -> Vec<usize> {
         self.shard_peers[0].iter().copied().chain([0]).collect()
     }
 }
@@ -385,8 +388,8 @@
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed, 64, 16, true);
         fleet.generate_quota_load(20, 0.6);
-        let granted: f64 = fleet.granted.iter().map(|it| it.1).sum();
-        let part = fleet.refused / (granted + fleet.refused);
+        let granted: f64 = fleet.granted_units.iter().map(|it| it.1).sum();
+        let part = fleet.rejected_units / (granted + fleet.rejected_units);
         assert!(part <= 0.01, "seed {seed}: {part} refused");
     }
 }
@@ -410,7 +413,7 @@
 fn one_full_shard_uses_the_places_of_idle_ones() {
     let played = |lends| {
         let mut fleet = Fleet::new(1, 24, 20, lends);
-        let full = fleet.shard();
+        let full = fleet.first_shard();
         fleet.warm_up();
         fleet.generate_load(10_000, &full, 220.0);
         (fleet.share_started_within(200), fleet.peak_running)
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -15,29 +15,29 @@
 use siskinyoke_dispatch::core::Request;
 use siskinyoke_dispatch::stable_hash;
 
-const RATE: f64 = 100_000.0;
-const BURST: f64 = 100_000.0;
+const RATE_UNITS_PER_SECOND: f64 = 100_000.0;
+const BURST_UNITS: f64 = 100_000.0;
 
 /// Some instances that take as much as they are allowed, and tell each other every 40 ms.
 struct Fleet {
     cores: Vec<Core>,
     grants: Vec<(u64, f64)>,
     // Instances do not hear each other before this time.
-    deaf: u64,
+    isolated_until: u64,
     // The organisation's rate and burst.
     limits: (f64, f64),
 }
 
 impl Fleet {
     fn start(count: usize, now: u64, deaf: u64) -> Self {
-        Self::start_with(count, now, deaf, (RATE, BURST))
+        Self::start_with(count, now, deaf, (RATE_UNITS_PER_SECOND, BURST_UNITS))
     }
 
     fn start_with(count: usize, now: u64, deaf: u64, limits: (f64, f64)) -> Self {
         let mut fleet = Self {
             cores: Vec::new(),
             grants: Vec::new(),
-            deaf: now + deaf,
+            isolated_until: now + deaf,
             limits,
         };
         fleet.restart(count, now, deaf);
@@ -45,7 +45,7 @@
     }
 
     fn restart(&mut self, count: usize, now: u64, deaf: u64) {
-        self.deaf = now + deaf;
+        self.isolated_until = now + deaf;
         let (rate, burst) = self.limits;
         let make = |at| {
             let mut core = Core::new(identity(&format!("i{at}"), now * 100 + at as u64));
@@ -61,10 +61,10 @@
     }
 
     // Every instance tries a request each `gap` ms, from `from` to `to`.
-    fn saturate(&mut self, from: u64, to: u64, gap: u64) {
+    fn send_requests(&mut self, from: u64, to: u64, gap: u64) {
         for now in from..to {
-            if now % 40 == 0 && now >= self.deaf {
-                self.exchange(now);
+            if now % 40 == 0 && now >= self.isolated_until {
+                self.exchange_reports(now);
             }
             if now % gap != 0 {
                 continue;
@@ -87,7 +87,7 @@
         }
     }
 
-    fn exchange(&mut self, now: u64) {
+    fn exchange_reports(&mut self, now: u64) {
         let reports: Vec<_> = self
             .cores
             .iter_mut()
@@ -101,7 +101,7 @@
     }
 
     // The most that was granted in any window.
-    fn most(&self) -> f64 {
+    fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
             let window = from..from + MEASURE.window.0;
             let inside = self.grants.iter().filter(|it| window.contains(&it.0));
@@ -111,28 +111,28 @@
     }
 }
 
-fn allowed() -> f64 {
-    allowed_of(RATE, BURST)
+fn allowed_units() -> f64 {
+    allowed_units_for(RATE_UNITS_PER_SECOND, BURST_UNITS)
 }
 
-fn allowed_of(rate: f64, burst: f64) -> f64 {
+fn allowed_units_for(rate: f64, burst: f64) -> f64 {
     (rate * 8.0 + burst) * 1.1 + MEASURE.slack
 }
 
 #[test]
 fn all_instances_together_keep_to_the_quota_and_use_most_of_it() {
     let mut fleet = Fleet::start(7, 0, 0);
-    fleet.saturate(0, 30_000, 5);
+    fleet.send_requests(0, 30_000, 5);
     assert!(
-        fleet.most() <= allowed(),
+        fleet.max_granted_in_window() <= allowed_units(),
         "{} of {}",
-        fleet.most(),
-        allowed()
+        fleet.max_granted_in_window(),
+        allowed_units()
     );
     assert!(
-        fleet.most() >= 0.9 * (RATE * 8.0 + BURST),
+        fleet.max_granted_in_window() >= 0.9 * (RATE_UNITS_PER_SECOND * 8.0 + BURST_UNITS),
         "{}",
-        fleet.most()
+        fleet.max_granted_in_window()
     );
 }
 
@@ -143,14 +143,14 @@
 #[test]
 fn a_kill_of_all_instances_grants_nothing_twice() {
     let mut fleet = Fleet::start(8, 0, 400);
-    fleet.saturate(0, 4_000, 5);
+    fleet.send_requests(0, 4_000, 5);
     fleet.restart(8, 4_100, 400);
-    fleet.saturate(4_100, 16_000, 5);
+    fleet.send_requests(4_100, 16_000, 5);
     assert!(
-        fleet.most() <= allowed(),
+        fleet.max_granted_in_window() <= allowed_units(),
         "{} of {}",
-        fleet.most(),
-        allowed()
+        fleet.max_granted_in_window(),
+        allowed_units()
     );
 }
 
@@ -159,23 +159,23 @@
 #[test]
 fn sides_of_a_cut_share_the_quota() {
     let mut fleet = Fleet::start(6, 0, 0);
-    fleet.saturate(0, 9_000, 5);
+    fleet.send_requests(0, 9_000, 5);
     let mut far = Fleet {
         cores: fleet.cores.split_off(3),
         grants: Vec::new(),
-        deaf: 0,
-        limits: (RATE, BURST),
+        isolated_until: 0,
+        limits: (RATE_UNITS_PER_SECOND, BURST_UNITS),
     };
     for from in (9_000..20_000).step_by(40) {
-        fleet.saturate(from, from + 40, 5);
-        far.saturate(from, from + 40, 5);
+        fleet.send_requests(from, from + 40, 5);
+        far.send_requests(from, from + 40, 5);
     }
     fleet.grants.append(&mut far.grants);
     assert!(
-        fleet.most() <= allowed(),
+        fleet.max_granted_in_window() <= allowed_units(),
         "{} of {}",
-        fleet.most(),
-        allowed()
+        fleet.max_granted_in_window(),
+        allowed_units()
     );
 }
 
@@ -198,7 +198,10 @@
 #[test]
 fn a_lower_limit_binds_at_once() {
     let mut core = Core::new(identity("i", 1));
-    core.configure(Millis(0), configuration(1, organisation(RATE, BURST)));
+    core.configure(
+        Millis(0),
+        configuration(1, organisation(RATE_UNITS_PER_SECOND, BURST_UNITS)),
+    );
     core.configure(Millis(10_000), configuration(2, organisation(0.0001, 10.0)));
     let passed = (0..100)
         .filter(|at| core.pass(Millis(10_000 + at), request("/safe/x")).is_ok())
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn units_of_a_request_that_never_ran_are_given_back() {
+fn units_of_a_request_that_never_ran_are_refunded() {
     let mut core = Core::new(identity("i", 1));
     core.configure(Millis(0), configuration(1, organisation(1_000.0, 1_000.0)));
     for _ in 0..1_000 {
@@ -228,7 +231,7 @@
     wanted.tokens = Some((37_000, 0));
     for now in (0..20_000).step_by(50) {
         if now % 100 == 0 {
-            fleet.exchange(now);
+            fleet.exchange_reports(now);
         }
         for (at, core) in fleet.cores.iter_mut().enumerate() {
             wanted.draw = stable_hash(&(at, now));
@@ -238,10 +241,10 @@
         }
     }
     assert!(
-        fleet.most() <= allowed(),
+        fleet.max_granted_in_window() <= allowed_units(),
         "{} of {}",
-        fleet.most(),
-        allowed()
+        fleet.max_granted_in_window(),
+        allowed_units()
     );
 }
 
@@ -252,11 +255,11 @@
     let (rate, burst) = (40_000.0, 144_000.0);
     let mut fleet = Fleet::start_with(4, 0, 0, (rate, burst));
     // Four instances, 1,000 units each every 66 ms: 485,000 in a window, of 620,000.
-    fleet.saturate(0, 30_000, 66);
+    fleet.send_requests(0, 30_000, 66);
     let late: Vec<_> = fleet.grants.iter().filter(|it| it.0 >= 10_000).collect();
     let asked = 4 * (30_000 - 10_000) / 66;
     assert!(late.len() * 100 >= asked * 97, "{} of {asked}", late.len());
-    assert!(fleet.most() <= allowed_of(rate, burst));
+    assert!(fleet.max_granted_in_window() <= allowed_units_for(rate, burst));
 }
 
 // The same organisation takes all that it is given, and all instances are killed meanwhile.
@@ -265,13 +268,13 @@
     let (rate, burst) = (40_000.0, 144_000.0);
     for killed in [4_000, 9_000, 12_000] {
         let mut fleet = Fleet::start_with(4, 0, 0, (rate, burst));
-        fleet.saturate(0, killed, 10);
+        fleet.send_requests(0, killed, 10);
         fleet.restart(4, killed + 300, 300);
-        fleet.saturate(killed + 300, 25_000, 10);
+        fleet.send_requests(killed + 300, 25_000, 10);
         assert!(
-            fleet.most() <= allowed_of(rate, burst),
+            fleet.max_granted_in_window() <= allowed_units_for(rate, burst),
             "{killed}: {}",
-            fleet.most()
+            fleet.max_granted_in_window()
         );
     }
 }
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -27,171 +27,173 @@
 use siskinyoke_dispatch::core::Request;
 use siskinyoke_dispatch::message::SlotRequest;
 
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
 /// When the endpoint names its limit, and when a play ends.
-const NAMED: std::ops::Range<u64> = 4_000..20_000;
-const END: u64 = 30_000;
+const LIMIT_NAMED_MS: std::ops::Range<u64> = 4_000..20_000;
+const END_MS: u64 = 30_000;
 
 /// When nobody asks for anything, where that is played.
-const PAUSE: std::ops::Range<u64> = 5_000..15_000;
+const PAUSE_MS: std::ops::Range<u64> = 5_000..15_000;
 
 /// The window of the bound, how long after the first naming it begins to hold, and how long an instance has had to know.
-const WINDOW: u64 = 4_000;
-const STABLE: u64 = 3_000;
-const KNOWN: u64 = 500;
+const WINDOW_MS: u64 = 4_000;
+const SETTLING_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 500;
 
 /// How long a request runs, and the slots of an endpoint.
-const STAY: u64 = 200;
-const SLOTS: u32 = 4;
+const SERVICE_TIME_MS: u64 = 200;
+const SLOTS_PER_ENDPOINT: u32 = 4;
 
 /// The most instances of a fleet of one shard.
-const ONE_SHARD: usize = 11;
+const MAX_SINGLE_SHARD_SIZE: usize = 11;
 
 /// As in the gateway: how many holders or shards are asked at once, and how many instances of others are told.
-const CHOICES: usize = 2;
-const OTHERS: usize = 3;
+const LENDER_COUNT: usize = 2;
+const FOREIGN_PEER_COUNT: usize = 3;
 
 /// Requests that may come in one step.
-const TRIES: u32 = 4;
+const MAX_ARRIVALS_PER_STEP: u32 = 4;
 
 /// The endpoint for which the bound is checked.
-const CHECKED: &str = "e0";
+const CHECKED_ENDPOINT: &str = "e0";
 
 /// What is played.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub struct Scenario {
     /// Instances.
-    pub size: usize,
+    pub instances: usize,
     /// The limit, in requests a second.
-    pub rate: f64,
+    pub limit_rate: f64,
     /// Endpoints.
     pub endpoints: usize,
     /// How many of them name the limit; the bound is checked for the first.
-    pub limited: usize,
+    pub limited_endpoints: usize,
     /// Requests a second over all instances.
-    pub per_s: f64,
+    pub arrival_rate: f64,
     /// Whether instances start anew, freeze and are cut off, and reports are lost.
-    pub wild: bool,
+    pub random_faults: bool,
     /// Whether nobody asks for anything for some seconds after the naming.
     pub pause: bool,
 }
 
 // A request at an endpoint.
-struct Run {
+struct RunningRequest {
     instance: usize,
     ticket: Ticket,
     endpoint: String,
-    sent: u64,
-    ends: u64,
+    sent_ms: u64,
+    ends_ms: u64,
     // The instance of another shard that gave the place, and the question.
     lender: Option<(usize, u64)>,
 }
 
-struct Letter {
-    due: u64,
-    to: usize,
+struct InFlightReport {
+    due_ms: u64,
+    recipient: usize,
     report: Report,
 }
 
 /// A fleet in virtual time before endpoints of which one names a limit for a while.
 pub struct Fleet {
     rng: ChaCha8Rng,
-    plan: Plan,
+    scenario: Scenario,
     now: u64,
     cores: Vec<Core>,
-    frozen: Vec<u64>,
-    runs: Vec<Run>,
-    letters: Vec<Letter>,
-    cuts: BTreeMap<(usize, usize), u64>,
+    frozen_until: Vec<u64>,
+    running: Vec<RunningRequest>,
+    in_flight: Vec<InFlightReport>,
+    partitions: BTreeMap<(usize, usize), u64>,
     // When each instance, in its present start, passed on an answer that named the limit.
-    told: Vec<Option<u64>>,
+    learned_at: Vec<Option<u64>>,
     // Until when an instance is excused.
-    excused: Vec<u64>,
+    excused_until: Vec<u64>,
     // When the limited endpoint got requests, from instances that had been told.
-    arrivals: Vec<u64>,
-    all: Vec<u64>,
+    checked_arrivals: Vec<u64>,
+    all_arrivals: Vec<u64>,
     // When those with a limit got any.
-    named: Vec<u64>,
+    limited_arrivals: Vec<u64>,
     /// Requests that were refused when they came.
     pub refused: u64,
     /// Each broken promise, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Requests a second that the limited endpoint got while it named its limit.
-    pub used: f64,
+    pub checked_rate: f64,
     /// Requests a second that all endpoints with a limit got meanwhile.
-    pub together: f64,
+    pub limited_rate: f64,
     /// Requests a second that it got in the last seconds.
-    pub after: f64,
+    pub final_rate: f64,
 }
 
 impl Fleet {
     /// Plays a seed to its end.
-    pub fn play(seed: u64, plan: Plan) -> Self {
+    pub fn run(seed: u64, plan: Scenario) -> Self {
         let mut fleet = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            plan,
+            scenario: plan,
             now: 0,
             cores: Vec::new(),
-            frozen: vec![0; plan.size],
-            runs: Vec::new(),
-            letters: Vec::new(),
-            cuts: BTreeMap::new(),
-            told: vec![None; plan.size],
-            excused: vec![0; plan.size],
-            arrivals: Vec::new(),
-            all: Vec::new(),
-            named: Vec::new(),
-            together: 0.0,
+            frozen_until: vec![0; plan.instances],
+            running: Vec::new(),
+            in_flight: Vec::new(),
+            partitions: BTreeMap::new(),
+            learned_at: vec![None; plan.instances],
+            excused_until: vec![0; plan.instances],
+            checked_arrivals: Vec::new(),
+            all_arrivals: Vec::new(),
+            limited_arrivals: Vec::new(),
+            limited_rate: 0.0,
             refused: 0,
-            broken: Vec::new(),
-            used: 0.0,
-            after: 0.0,
+            violations: Vec::new(),
+            checked_rate: 0.0,
+            final_rate: 0.0,
         };
-        fleet.cores = (0..plan.size).map(|at| fleet.start(at)).collect();
-        while fleet.now < END {
-            fleet.now += STEP;
+        fleet.cores = (0..plan.instances)
+            .map(|at| fleet.start_instance(at))
+            .collect();
+        while fleet.now < END_MS {
+            fleet.now += STEP_MS;
             fleet.step();
         }
         let rate = |sent: &[u64], from: u64, to: u64| {
             let count = sent.iter().filter(|it| (from..to).contains(it)).count();
-            float(count) / Millis(to - from).as_secs()
+            to_f64(count) / Millis(to - from).as_secs()
         };
-        let begin = NAMED.start + STABLE;
-        let used = rate(&fleet.all, begin, NAMED.end);
-        let together = rate(&fleet.named, begin, NAMED.end);
-        let after = rate(&fleet.all, END - 4_000, END);
-        fleet.used = used;
-        fleet.together = together;
-        fleet.after = after;
+        let begin = LIMIT_NAMED_MS.start + SETTLING_MS;
+        let used = rate(&fleet.all_arrivals, begin, LIMIT_NAMED_MS.end);
+        let together = rate(&fleet.limited_arrivals, begin, LIMIT_NAMED_MS.end);
+        let after = rate(&fleet.all_arrivals, END_MS - 4_000, END_MS);
+        fleet.checked_rate = used;
+        fleet.limited_rate = together;
+        fleet.final_rate = after;
         fleet
     }
 
-    fn start(&mut self, at: usize) -> Core {
+    fn start_instance(&mut self, at: usize) -> Core {
         let mut core = Core::new(identity(&format!("i{at}"), self.rng.random()));
         let now = Millis(self.now);
         core.configure(now, configuration(1, organisation(0.0, 0.0)));
-        for other in 0..self.plan.size {
+        for other in 0..self.scenario.instances {
             let name = format!("i{other}");
             core.list(&name, place(&name, "a"));
         }
-        for number in 0..self.plan.endpoints {
+        for number in 0..self.scenario.endpoints {
             core.registry()
-                .put(now, endpoint(&format!("e{number}"), SLOTS));
+                .put(now, endpoint(&format!("e{number}"), SLOTS_PER_ENDPOINT));
         }
         core
     }
 
     fn step(&mut self) {
-        if self.plan.wild {
-            self.harm();
+        if self.scenario.random_faults {
+            self.inject_faults();
         }
-        self.arrive();
-        self.work();
-        for at in 0..self.plan.size {
-            if self.frozen[at] <= self.now {
+        self.generate_arrivals();
+        self.finish_requests();
+        for at in 0..self.scenario.instances {
+            if self.frozen_until[at] <= self.now {
                 self.decide(at);
-                self.tell(at);
+                self.send_reports(at);
             }
         }
         self.deliver();
@@ -199,43 +201,44 @@
 
     fn limited(&self, endpoint: &str) -> bool {
         let number: usize = endpoint[1..].parse().expect("a number");
-        number < self.plan.limited
+        number < self.scenario.limited_endpoints
     }
 
-    fn harm(&mut self) {
-        let at = self.rng.random_range(0..self.plan.size);
+    fn inject_faults(&mut self) {
+        let at = self.rng.random_range(0..self.scenario.instances);
         let until = self.now + self.rng.random_range(200..3_000);
         if self.rng.random_bool(0.003) {
-            self.frozen[at] = until;
-            self.excused[at] = until + STABLE;
+            self.frozen_until[at] = until;
+            self.excused_until[at] = until + SETTLING_MS;
         }
         if self.rng.random_bool(0.002) {
-            self.cores[at] = self.start(at);
-            self.runs.retain(|it| it.instance != at);
-            self.told[at] = None;
-            self.excused[at] = self.now + STABLE;
+            self.cores[at] = self.start_instance(at);
+            self.running.retain(|it| it.instance != at);
+            self.learned_at[at] = None;
+            self.excused_until[at] = self.now + SETTLING_MS;
         }
         if self.rng.random_bool(0.005) {
-            let other = self.rng.random_range(0..self.plan.size);
-            self.cuts.insert((at, other), until);
+            let other = self.rng.random_range(0..self.scenario.instances);
+            self.partitions.insert((at, other), until);
             for node in [at, other] {
-                self.excused[node] = self.excused[node].max(until + STABLE);
+                self.excused_until[node] = self.excused_until[node].max(until + SETTLING_MS);
             }
         }
     }
 
-    fn arrive(&mut self) {
-        if self.plan.pause && PAUSE.contains(&self.now) {
+    fn generate_arrivals(&mut self) {
+        if self.scenario.pause && PAUSE_MS.contains(&self.now) {
             return;
         }
         // So many tries a step make even arrivals with some chance in them.
-        let chance = self.plan.per_s * Millis(STEP).as_secs() / f64::from(TRIES);
-        for _ in 0..TRIES {
+        let chance = self.scenario.arrival_rate * Millis(STEP_MS).as_secs()
+            / f64::from(MAX_ARRIVALS_PER_STEP);
+        for _ in 0..MAX_ARRIVALS_PER_STEP {
             if !self.rng.random_bool(chance) {
                 continue;
             }
-            let at = self.rng.random_range(0..self.plan.size);
-            if self.frozen[at] > self.now {
+            let at = self.rng.random_range(0..self.scenario.instances);
+            if self.frozen_until[at] > self.now {
                 continue;
             }
             let now = Millis(self.now);
@@ -251,20 +254,23 @@
     }
 
     // Runs end; an answer of the limited endpoint names its limit.
-    fn work(&mut self) {
+    fn finish_requests(&mut self) {
         let now = self.now;
-        let (over, left) = std::mem::take(&mut self.runs)
-            .into_iter()
-            .partition(|it: &Run| it.ends <= now && self.frozen[it.instance] <= now);
-        self.runs = left;
+        let (over, left) =
+            std::mem::take(&mut self.running)
+                .into_iter()
+                .partition(|it: &RunningRequest| {
+                    it.ends_ms <= now && self.frozen_until[it.instance] <= now
+                });
+        self.running = left;
         for run in over {
-            let named = self.limited(&run.endpoint) && NAMED.contains(&run.ends);
+            let named = self.limited(&run.endpoint) && LIMIT_NAMED_MS.contains(&run.ends_ms);
             let core = &mut self.cores[run.instance];
-            let rate = named.then_some(self.plan.rate);
-            let answering = endpoint(&run.endpoint, SLOTS);
-            core.note_limit(Millis(now), &answering, Millis(run.sent), rate);
+            let rate = named.then_some(self.scenario.limit_rate);
+            let answering = endpoint(&run.endpoint, SLOTS_PER_ENDPOINT);
+            core.note_limit(Millis(now), &answering, Millis(run.sent_ms), rate);
             if named {
-                self.told[run.instance].get_or_insert(now);
+                self.learned_at[run.instance].get_or_insert(now);
             }
             // Some fail, so that others are tried.
             if let Some((lender, id)) = run.lender {
@@ -307,19 +313,19 @@
         endpoint: &Endpoint,
         lender: Option<(usize, u64)>,
     ) {
-        self.runs.push(Run {
+        self.running.push(RunningRequest {
             instance: at,
             ticket,
             endpoint: endpoint.id.to_string(),
-            sent: self.now,
-            ends: self.now + STAY,
+            sent_ms: self.now,
+            ends_ms: self.now + SERVICE_TIME_MS,
             lender,
         });
         if self.limited(&endpoint.id) {
-            self.named.push(self.now);
+            self.limited_arrivals.push(self.now);
         }
-        if &*endpoint.id == CHECKED {
-            self.arrived(at);
+        if &*endpoint.id == CHECKED_ENDPOINT {
+            self.record_arrival(at);
         }
     }
 
@@ -327,7 +333,7 @@
     fn ask_holders(&mut self, at: usize, ticket: Ticket, need: SlotRequest) {
         let now = Millis(self.now);
         let holders = self.cores[at].holders(now, need.service);
-        let some = holders.choose_multiple(&mut self.rng, CHOICES);
+        let some = holders.choose_multiple(&mut self.rng, LENDER_COUNT);
         let some: Vec<usize> = some.map(|it| number(it)).collect();
         if !self.ask(at, ticket, BorrowRequest::RateLimitedSlot(need), &some) {
             self.cores[at].token_declined(now, ticket);
@@ -337,7 +343,9 @@
     // Asks instances of some other shards for a place.
     fn ask_shards(&mut self, at: usize, ticket: Ticket, need: BorrowRequest) {
         let shards = self.cores[at].other_shards();
-        let some: Vec<_> = shards.choose_multiple(&mut self.rng, CHOICES).collect();
+        let some: Vec<_> = shards
+            .choose_multiple(&mut self.rng, LENDER_COUNT)
+            .collect();
         let some = some.into_iter().filter_map(|it| it.choose(&mut self.rng));
         let some: Vec<usize> = some.map(|it| number(it)).collect();
         if !self.ask(at, ticket, need, &some) {
@@ -350,9 +358,9 @@
         let now = Millis(self.now);
         let mut started = false;
         for &lender in lenders {
-            let ways = [(at, lender), (lender, at)].map(|it| self.cuts.get(&it).copied());
+            let ways = [(at, lender), (lender, at)].map(|it| self.partitions.get(&it).copied());
             let cut = ways.into_iter().flatten().any(|it| it > self.now);
-            if cut || self.frozen[lender] > self.now {
+            if cut || self.frozen_until[lender] > self.now {
                 continue;
             }
             let id = self.rng.random();
@@ -369,34 +377,34 @@
         started
     }
 
-    fn arrived(&mut self, at: usize) {
+    fn record_arrival(&mut self, at: usize) {
         let now = self.now;
-        self.all.push(now);
-        let told = self.told[at].is_some_and(|it| it + KNOWN <= now);
+        self.all_arrivals.push(now);
+        let told = self.learned_at[at].is_some_and(|it| it + PROPAGATION_MS <= now);
         // Where nothing is lost, peers have heard of it.
-        let all = !self.plan.wild && self.plan.size <= ONE_SHARD;
-        let known = told || (all && now >= NAMED.start + 2 * KNOWN);
-        if !known || self.excused[at] > now || now > NAMED.end {
+        let all = !self.scenario.random_faults && self.scenario.instances <= MAX_SINGLE_SHARD_SIZE;
+        let known = told || (all && now >= LIMIT_NAMED_MS.start + 2 * PROPAGATION_MS);
+        if !known || self.excused_until[at] > now || now > LIMIT_NAMED_MS.end {
             return;
         }
-        self.arrivals.push(now);
-        if now < NAMED.start + STABLE {
+        self.checked_arrivals.push(now);
+        if now < LIMIT_NAMED_MS.start + SETTLING_MS {
             return;
         }
         let recent = self
-            .arrivals
+            .checked_arrivals
             .iter()
-            .filter(|it| **it + WINDOW > now)
+            .filter(|it| **it + WINDOW_MS > now)
             .count();
-        let most = 1.5 * self.plan.rate * Millis(WINDOW).as_secs() + 5.0;
-        if float(recent) > most && self.broken.len() < 3 {
-            self.broken.push(format!(
-                "{now}: {recent} requests in {WINDOW} ms, {most} allowed"
+        let most = 1.5 * self.scenario.limit_rate * Millis(WINDOW_MS).as_secs() + 5.0;
+        if to_f64(recent) > most && self.violations.len() < 3 {
+            self.violations.push(format!(
+                "{now}: {recent} requests in {WINDOW_MS} ms, {most} allowed"
             ));
         }
     }
 
-    fn tell(&mut self, at: usize) {
+    fn send_reports(&mut self, at: usize) {
         if !(self.now + 10 * at as u64).is_multiple_of(50) {
             return;
         }
@@ -404,18 +412,23 @@
         let report = self.cores[at].report(Millis(self.now), whole);
         let listed = self.cores[at].listed();
         let (members, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
-        let some = others.choose_multiple(&mut self.rng, OTHERS).copied();
+        let some = others
+            .choose_multiple(&mut self.rng, FOREIGN_PEER_COUNT)
+            .copied();
         let to = members.into_iter().chain(some.filter(|_| whole));
         let to: Vec<usize> = to.map(|row| number(row.0)).collect();
         for to in to {
-            let cut = self.cuts.get(&(at, to)).is_some_and(|it| *it > self.now);
-            let lost = self.plan.wild && self.rng.random_bool(0.05);
+            let cut = self
+                .partitions
+                .get(&(at, to))
+                .is_some_and(|it| *it > self.now);
+            let lost = self.scenario.random_faults && self.rng.random_bool(0.05);
             if cut || lost {
                 continue;
             }
-            self.letters.push(Letter {
-                due: self.now + self.rng.random_range(1..30),
-                to,
+            self.in_flight.push(InFlightReport {
+                due_ms: self.now + self.rng.random_range(1..30),
+                recipient: to,
                 report: report.clone(),
             });
         }
@@ -423,18 +436,18 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.letters)
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|it| it.due <= now);
-        self.letters = later;
+            .partition(|it| it.due_ms <= now);
+        self.in_flight = later;
         for letter in due {
-            if self.frozen[letter.to] <= now {
-                self.cores[letter.to].heard(Millis(now), letter.report);
+            if self.frozen_until[letter.recipient] <= now {
+                self.cores[letter.recipient].heard(Millis(now), letter.report);
             }
         }
     }
 }
 
-fn float(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).expect("a small count"))
 }
--- a/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
@@ -11,18 +11,18 @@
 use crate::common::place;
 use crate::common::seeds;
 use crate::fleet::Fleet;
-use crate::fleet::Plan;
+use crate::fleet::Scenario;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
 
-const CALM: Plan = Plan {
-    size: 8,
-    rate: 1.5,
+const BASE_SCENARIO: Scenario = Scenario {
+    instances: 8,
+    limit_rate: 1.5,
     endpoints: 4,
-    per_s: 60.0,
-    wild: false,
+    arrival_rate: 60.0,
+    random_faults: false,
     pause: false,
-    limited: 1,
+    limited_endpoints: 1,
 };
 
 // Guards against each instance keeping to a limit alone, and against many instances' first requests.
@@ -31,8 +31,12 @@
     for size in [1, 3, 8, 11] {
         for rate in [0.2, 1.2, 1.5, 6.3, 25.0] {
             for seed in seeds(0..1) {
-                let plan = Plan { size, rate, ..CALM };
-                keeps_to_limit(seed, plan);
+                let plan = Scenario {
+                    instances: size,
+                    limit_rate: rate,
+                    ..BASE_SCENARIO
+                };
+                check_limit(seed, plan);
             }
         }
     }
@@ -40,57 +44,57 @@
 
 // Guards against tokens that all instances gathered in a calm and spend at the same moment.
 #[test]
-fn a_limit_holds_at_the_end_of_a_calm() {
+fn a_limit_holds_after_an_idle_period() {
     for rate in [0.5, 0.8, 1.5] {
         for seed in seeds(0..5) {
-            let plan = Plan {
-                size: 11,
-                rate,
-                per_s: 110.0,
+            let plan = Scenario {
+                instances: 11,
+                limit_rate: rate,
+                arrival_rate: 110.0,
                 pause: true,
-                ..CALM
+                ..BASE_SCENARIO
             };
-            keeps_to_limit(seed, plan);
+            check_limit(seed, plan);
         }
     }
 }
 
 // Guards against a limit that is exceeded where instances start anew, freeze, are cut off or lose reports.
 #[test]
-fn a_limit_holds_while_instances_come_and_go() {
+fn a_limit_holds_under_random_faults() {
     for rate in [0.5, 1.5, 6.3, 25.0] {
         for seed in seeds(0..4) {
-            let plan = Plan {
-                rate,
-                wild: true,
-                ..CALM
+            let plan = Scenario {
+                limit_rate: rate,
+                random_faults: true,
+                ..BASE_SCENARIO
             };
-            keeps_to_limit(seed, plan);
+            check_limit(seed, plan);
         }
     }
 }
 
 // Guards against a limit that starves the endpoint, or that outlives its naming.
 #[test]
-fn an_endpoint_gets_what_it_takes_and_all_again_afterwards() {
-    for rate in [1.5, 6.3, 25.0] {
+fn an_endpoint_gets_its_limit_and_full_load_once_lifted() {
+    for limit_rate in [1.5, 6.3, 25.0] {
         for seed in seeds(0..3) {
-            let plan = Plan {
-                rate,
-                per_s: 110.0,
-                ..CALM
+            let plan = Scenario {
+                limit_rate,
+                arrival_rate: 110.0,
+                ..BASE_SCENARIO
             };
-            let fleet = Fleet::play(seed, plan);
-            let expected = rate.min(20.0);
+            let fleet = Fleet::run(seed, plan);
+            let expected = limit_rate.min(20.0);
             assert!(
-                fleet.used >= expected * 0.6,
+                fleet.checked_rate >= expected * 0.6,
                 "{plan:?} {seed}: {} a second",
-                fleet.used
+                fleet.checked_rate
             );
             assert!(
-                fleet.after >= 10.0,
+                fleet.final_rate >= 10.0,
                 "{plan:?} {seed}: {} a second afterwards",
-                fleet.after
+                fleet.final_rate
             );
         }
     }
@@ -101,19 +105,19 @@
 fn limits_of_all_endpoints_are_used_up() {
     for (rate, per_s) in [(1.2, 95.0), (2.5, 95.0), (6.3, 95.0), (2.5, 25.0)] {
         for seed in seeds(0..1) {
-            let plan = Plan {
-                rate,
-                per_s,
+            let plan = Scenario {
+                limit_rate: rate,
+                arrival_rate: per_s,
                 endpoints: 12,
-                limited: 12,
-                ..CALM
+                limited_endpoints: 12,
+                ..BASE_SCENARIO
             };
-            let fleet = Fleet::play(seed, plan);
+            let fleet = Fleet::run(seed, plan);
             let wanted = (rate * 12.0).min(per_s);
             assert!(
-                fleet.together >= wanted * 0.9,
+                fleet.limited_rate >= wanted * 0.9,
                 "{plan:?} {seed}: {} a second",
-                fleet.together
+                fleet.limited_rate
             );
         }
     }
@@ -125,15 +129,15 @@
     for (size, endpoints) in [(17, 24), (26, 3)] {
         for rate in [1.2, 6.3] {
             for seed in seeds(0..1) {
-                let plan = Plan {
-                    size,
-                    rate,
+                let plan = Scenario {
+                    instances: size,
+                    limit_rate: rate,
                     endpoints,
-                    limited: endpoints.div_ceil(2),
-                    per_s: 150.0,
-                    ..CALM
+                    limited_endpoints: endpoints.div_ceil(2),
+                    arrival_rate: 150.0,
+                    ..BASE_SCENARIO
                 };
-                keeps_to_limit(seed, plan);
+                check_limit(seed, plan);
             }
         }
     }
@@ -141,7 +145,7 @@
 
 // Guards against instances that know the same limit in different roundings and tell each other of changes without end.
 #[test]
-fn a_limit_with_many_decimals_is_no_news_at_peers() {
+fn rounding_a_limit_causes_no_change_at_peers() {
     let named = endpoint("e0", 4);
     let mut cores = ["i0", "i1"].map(|name| {
         let mut core = Core::new(identity(name, 1));
@@ -210,11 +214,11 @@
     }
 }
 
-fn keeps_to_limit(seed: u64, plan: Plan) {
-    let fleet = Fleet::play(seed, plan);
+fn check_limit(seed: u64, plan: Scenario) {
+    let fleet = Fleet::run(seed, plan);
     assert!(
-        fleet.broken.is_empty(),
+        fleet.violations.is_empty(),
         "{plan:?} {seed}: {:#?}",
-        fleet.broken
+        fleet.violations
     );
 }
