--- a/crates/siskinyoke-dispatch/benches/decide.rs
+++ b/crates/siskinyoke-dispatch/benches/decide.rs
@@ -62,14 +62,14 @@
 
 /// A report to the peers, and taking one in.
 #[divan::bench(args = [10, 100, 1_000])]
-fn report(bencher: Bencher<'_, '_>, endpoints: u64) {
+fn send_report(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = full(10, endpoints);
     bencher.bench_local(|| black_box(core.report(Millis(1), false)));
 }
 
 /// Taking in a peer's report, which names each endpoint.
 #[divan::bench(args = [10, 100, 1_000])]
-fn hear(bencher: Bencher<'_, '_>, endpoints: u64) {
+fn receive_report(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = fleet(endpoints);
     let mut number = 1;
     bencher.bench_local(|| {
@@ -96,7 +96,7 @@
     let mut core = fleet(endpoints);
     let slots = endpoints * u64::from(SLOTS);
     for print in 0..slots + waiting {
-        enter(&mut core, Millis(0), print);
+        admit(&mut core, Millis(0), print);
         if print < slots {
             core.decide(Millis(0));
         }
@@ -113,15 +113,15 @@
     report
 }
 
-fn enter(core: &mut Core, now: Millis, print: u64) {
+fn admit(core: &mut Core, now: Millis, fingerprint: u64) {
     let Ok(pass) = core.pass(now, common::request("/stream/x")) else {
         return;
     };
-    black_box(core.admit(now, &pass, print).is_ok());
+    black_box(core.admit(now, &pass, fingerprint).is_ok());
 }
 
 fn serve(core: &mut Core, now: Millis) {
-    enter(core, now, now.0);
+    admit(core, now, now.0);
     for decision in core.decide(now) {
         if let Decision::Start(ticket, _) = decision {
             core.began(now, ticket);
--- a/crates/siskinyoke-dispatch/src/budget.rs
+++ b/crates/siskinyoke-dispatch/src/budget.rs
@@ -7,7 +7,7 @@
 /// The window in which requests and their retries are counted, in ms.
 ///
 /// Shorter than the platform's ten seconds, so that any ten seconds hold whole windows.
-const WINDOW: Millis = Millis(5_000);
+const BUDGET_WINDOW: Millis = Millis(5_000);
 
 /// One service's retries and requests over a sliding window.
 ///
@@ -15,13 +15,13 @@
 /// the same part without any exchange. What goes wrong without it: a failing service gets twice
 /// its load just when it can carry least.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     ratio: f64,
     requests: VecDeque<Millis>,
     retries: VecDeque<Millis>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Makes a budget of a part of the requests.
     pub fn new(ratio: f64) -> Self {
         Self {
@@ -32,17 +32,17 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Millis) {
-        expire(&mut self.requests, now);
+    pub fn record_request(&mut self, now: Millis) {
+        drop_expired(&mut self.requests, now);
         self.requests.push_back(now);
     }
 
     /// Takes one retry if the budget, with a `floor` for quiet times, has it.
-    pub fn take(&mut self, now: Millis, floor: f64) -> bool {
-        expire(&mut self.requests, now);
-        expire(&mut self.retries, now);
-        let allowed = self.ratio * count(&self.requests) + floor;
-        if count(&self.retries) + 1.0 > allowed {
+    pub fn try_take(&mut self, now: Millis, min_retries: f64) -> bool {
+        drop_expired(&mut self.requests, now);
+        drop_expired(&mut self.retries, now);
+        let allowed = self.ratio * count_f64(&self.requests) + min_retries;
+        if count_f64(&self.retries) + 1.0 > allowed {
             return false;
         }
         self.retries.push_back(now);
@@ -50,8 +50,11 @@
     }
 }
 
-fn expire(times: &mut VecDeque<Millis>, now: Millis) {
-    while times.front().is_some_and(|time| now.since(*time) > WINDOW) {
+fn drop_expired(times: &mut VecDeque<Millis>, now: Millis) {
+    while times
+        .front()
+        .is_some_and(|time| now.since(*time) > BUDGET_WINDOW)
+    {
         times.pop_front();
     }
 }
@@ -60,6 +63,6 @@
     clippy::cast_precision_loss,
     reason = "a window holds thousands, not 2^52"
 )]
-fn count(times: &VecDeque<Millis>) -> f64 {
+fn count_f64(times: &VecDeque<Millis>) -> f64 {
     times.len() as f64
 }
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -19,7 +19,7 @@
 use crate::RefusalReason;
 use crate::Scheduler;
 use crate::Ticket;
-use crate::budget::Budget;
+use crate::budget::RetryBudget;
 use crate::cold_start;
 use crate::listing::Listing;
 use crate::peers::Peers;
@@ -56,7 +56,7 @@
     shard: usize,
     shards: usize,
     quotas: Quotas,
-    budgets: Map<Arc<str>, Budget>,
+    budgets: Map<Arc<str>, RetryBudget>,
     quarantine: Quarantine,
     view: store::StoreView,
     leaving: bool,
@@ -162,7 +162,7 @@
     /// The refusal; the request has not run and never will.
     pub fn pass(&mut self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
         let pass = self.examine(now, request)?;
-        self.budget(&pass.service).request(now);
+        self.budget(&pass.service).record_request(now);
         self.take_quota(now, &pass, pass::chance(request.draw), 0)?;
         Ok(pass)
     }
@@ -231,7 +231,7 @@
             let quarantine = &self.quarantine;
             let refused = self
                 .scheduler
-                .take_out(|pending| quarantine.refuses(now, pending.fingerprint));
+                .cancel_matching(|pending| quarantine.refuses(now, pending.fingerprint));
             let refusal = Refusal {
                 reason: RefusalReason::Quarantined,
                 retry_after: SUSPECT,
@@ -251,7 +251,7 @@
         outcome: Outcome,
         more: bool,
     ) -> Option<Ticket> {
-        let pending = self.scheduler.ended(now, ticket, outcome)?;
+        let pending = self.scheduler.attempt_ended(now, ticket, outcome)?;
         self.sample(now, &pending, outcome);
         match outcome {
             Outcome::Broken => {
@@ -266,7 +266,7 @@
         if !more || !self.may_retry(now, &pending, outcome) {
             return None;
         }
-        Some(self.scheduler.again(pending))
+        Some(self.scheduler.requeue(pending))
     }
 
     /// Takes note that the first part of a running request's answer came.
@@ -277,7 +277,7 @@
     /// Takes out a request, waiting or running, whose caller left.
     pub fn cancel(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.cancel(ticket);
-        self.scheduler.ended(now, ticket, Outcome::Left);
+        self.scheduler.attempt_ended(now, ticket, Outcome::Left);
     }
 
     /// Does what is due with time: drops what is gone.
@@ -287,8 +287,8 @@
         for source in self.peers.sweep(now) {
             self.quotas.forget_peer(source);
         }
-        self.scheduler.forget(&self.registry);
-        self.scheduler.sweep_loans(now);
+        self.scheduler.prune_endpoints(&self.registry);
+        self.scheduler.sweep_lent_slots(now);
     }
 
     fn take_quota(
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -11,7 +11,7 @@
 use crate::core::Request;
 use crate::message::UnitsRequest;
 use crate::report::short_hash;
-use crate::scheduler::View;
+use crate::scheduler::ClusterView;
 use siskinyoke_base::Millis;
 
 impl Core {
@@ -32,14 +32,14 @@
     ///
     /// `id` names the question, by which a place is returned.
     pub fn lend(&mut self, now: Millis, id: u64, need: BorrowRequest) -> Grant {
-        let view = View {
+        let view = ClusterView {
             now,
             registry: &self.registry,
             peers: &self.peers,
         };
         match need {
             BorrowRequest::Slot(need) => {
-                let given = self.scheduler.lend(&view, id, &need);
+                let given = self.scheduler.lend_slot(&view, id, &need);
                 given.map_or(Grant::Denied, Grant::Slot)
             }
             BorrowRequest::RateLimitedSlot(need) => {
@@ -64,12 +64,12 @@
         if !self.registry.divided() && self.scheduler.limits().active_count() == 0 {
             return Vec::new();
         }
-        let view = View {
+        let view = ClusterView {
             now,
             registry: &self.registry,
             peers: &self.peers,
         };
-        self.scheduler.needs(&view)
+        self.scheduler.borrow_needs(&view)
     }
 
     /// Starts a waiting request at a place that another shard gave, and returns its endpoint; nothing if
@@ -81,17 +81,17 @@
         key: EndpointKey,
     ) -> Option<Arc<Endpoint>> {
         let endpoint = self.registry.find(key)?.clone();
-        let started = self.scheduler.place_granted(now, ticket, &endpoint);
+        let started = self.scheduler.slot_granted(now, ticket, &endpoint);
         started.then_some(endpoint)
     }
 
     /// Takes note that the shards that were asked had no place for a request.
     pub fn place_declined(&mut self, now: Millis, ticket: Ticket) {
-        self.scheduler.place_declined(now, ticket);
+        self.scheduler.slot_declined(now, ticket);
     }
 
     /// Takes a place back that was given to another shard.
     pub fn returned(&mut self, id: u64) {
-        self.scheduler.returned(id);
+        self.scheduler.reclaim_slot(id);
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/core/rate_limits.rs
@@ -8,7 +8,7 @@
 use crate::rate_limits::LimitChange;
 use crate::report::InstanceLocation;
 use crate::report::LimitRow;
-use crate::scheduler::View;
+use crate::scheduler::ClusterView;
 use siskinyoke_base::Millis;
 
 impl Core {
@@ -21,7 +21,7 @@
         sent: Millis,
         rate: Option<f64>,
     ) {
-        self.scheduler.note_limit(now, endpoint.key(), sent, rate);
+        self.scheduler.record_limit(now, endpoint.key(), sent, rate);
     }
 
     /// Returns the endpoint of a shortened key, if it is known.
@@ -35,22 +35,22 @@
             .iter()
             .filter(|it| self.endpoint(it.endpoint).is_some());
         let known: Vec<LimitRow> = known.copied().collect();
-        self.scheduler.hear_limits(now, &known);
+        self.scheduler.record_peer_limits(now, &known);
     }
 
     /// Returns the limits that were named, changed or lifted since this was last asked.
     pub fn limit_changes(&mut self) -> Vec<LimitChange> {
-        self.scheduler.limit_changes()
+        self.scheduler.take_limit_changes()
     }
 
     /// Returns the peers that may give a token of a rate limit for a service's requests, by its hashed name.
     pub fn holders(&self, now: Millis, service: u32) -> Vec<&InstanceLocation> {
-        let view = View {
+        let view = ClusterView {
             now,
             registry: &self.registry,
             peers: &self.peers,
         };
-        self.scheduler.holders(&view, service)
+        self.scheduler.token_holders(&view, service)
     }
 
     /// Takes note that the holders that were asked had no token for a request.
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -5,7 +5,7 @@
 use crate::Outcome;
 use crate::Pending;
 use crate::Ticket;
-use crate::budget::Budget;
+use crate::budget::RetryBudget;
 use crate::core::Core;
 use siskinyoke_base::Millis;
 
@@ -29,19 +29,19 @@
         let allowed = pending.route.idempotent() && pending.sent + 1 < pending.route.max_attempts;
         let elsewhere = self
             .scheduler
-            .elsewhere(now, &pending, &self.registry, &self.peers);
+            .has_alternative(now, &pending, &self.registry, &self.peers);
         let floor = self.floor();
         allowed
             && elsewhere
             && now < pending.until
-            && self.budget(&pending.service).take(now, floor)
+            && self.budget(&pending.service).try_take(now, floor)
     }
 
-    pub(super) fn budget(&mut self, service: &Arc<str>) -> &mut Budget {
+    pub(super) fn budget(&mut self, service: &Arc<str>) -> &mut RetryBudget {
         let ratio = self.me.retries * RETRIES;
         self.budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::new(ratio))
+            .or_insert_with(|| RetryBudget::new(ratio))
     }
 
     pub(super) fn may_retry(&mut self, now: Millis, pending: &Pending, outcome: Outcome) -> bool {
@@ -63,6 +63,7 @@
             return true;
         }
         let floor = self.floor();
-        pending.sent < pending.route.max_attempts && self.budget(&pending.service).take(now, floor)
+        pending.sent < pending.route.max_attempts
+            && self.budget(&pending.service).try_take(now, floor)
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -8,7 +8,7 @@
 use crate::Report;
 use crate::core::Core;
 use crate::core::pass::chance;
-use crate::latency_model::Load;
+use crate::latency_model::LatencyModel;
 use crate::report::short_hash;
 use crate::rollout::Order;
 use crate::rollout::Phase;
@@ -108,7 +108,7 @@
         let Some(new) = self.compared(&pending.service, *key) else {
             return;
         };
-        let load = self.scheduler.load(&pending.service);
+        let load = self.scheduler.latency_model(&pending.service);
         let Some(bad) = bad(outcome, pending, load) else {
             return;
         };
@@ -136,15 +136,15 @@
 }
 
 // Whether an answer speaks against its endpoint's version; nothing if it says nothing of it.
-fn bad(outcome: Outcome, pending: &Pending, load: Load) -> Option<bool> {
+fn bad(outcome: Outcome, pending: &Pending, load: LatencyModel) -> Option<bool> {
     match outcome {
         Outcome::Failed | Outcome::Broken | Outcome::Silent => Some(true),
         Outcome::Done { took, parts: 0, .. } => Some(slow(took, load.stay())),
         Outcome::Done {
             first, took, parts, ..
         } => {
-            let late = slow(first, load.first_of(&pending.work));
-            let rest = load.rest(f64::from(parts));
+            let late = slow(first, load.first_part_time(&pending.work));
+            let rest = load.remaining_time(f64::from(parts));
             Some(late || slow(took.since(first), rest))
         }
         Outcome::Full | Outcome::Moved | Outcome::Unreached | Outcome::Left => None,
--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -37,7 +37,7 @@
             return false;
         }
         let spent = report.quota_used.clone();
-        self.scheduler.heard(&report.running);
+        self.scheduler.record_peer_usage(&report.running);
         let young = Millis(report.age) <= self.age(now) + TOGETHER;
         match self.peers.heard(now, report) {
             Received::Ignored => return false,
@@ -82,7 +82,7 @@
             revision: self.view.revision,
             store_reachable: self.view.reaches,
             running: self.scheduler.counts(),
-            waiting: self.scheduler.summary(now),
+            waiting: self.scheduler.queue_summary(now),
             quota_used: self.quotas.usage(since),
             limits: self.scheduler.limits().report_rows(now, since),
             canaries: self.canaries(now),
--- a/crates/siskinyoke-dispatch/src/forecast.rs
+++ b/crates/siskinyoke-dispatch/src/forecast.rs
@@ -1,13 +1,13 @@
 //! How long a waiting request is expected to wait.
 
-use crate::latency_model::millis;
+use crate::latency_model::millis_from_f64;
 use siskinyoke_base::Millis;
 
 /// The smallest part of the places that is taken to be left for a rank.
 ///
 /// Demand is measured over seconds, so that a peak that ends now still counts; a twentieth keeps the
 /// forecast finite, and far beyond what any caller waits.
-const LEAST: f64 = 0.05;
+const MIN_CAPACITY_RATIO: f64 = 0.05;
 
 /// What the places of a service are up against.
 ///
@@ -15,17 +15,17 @@
 /// ten times as long as the queue before it suggests. Without that, requests of the last tiers are held for
 /// seconds in a peak and refused then.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Forecast {
+pub struct WaitForecast {
     /// Places, each counted by its endpoint's pace.
     pub capacity: f64,
     /// Places that the requests keep busy which go before this one and are still to arrive.
     pub before: f64,
 }
 
-impl Forecast {
+impl WaitForecast {
     /// Returns how long a request waits behind so much work, in ms of one place of the usual pace.
-    pub fn wait(&self, ahead: f64) -> Millis {
-        let left = (self.capacity - self.before).max(self.capacity * LEAST);
-        millis(ahead / left.max(LEAST))
+    pub fn wait(&self, queued_ms: f64) -> Millis {
+        let available = (self.capacity - self.before).max(self.capacity * MIN_CAPACITY_RATIO);
+        millis_from_f64(queued_ms / available.max(MIN_CAPACITY_RATIO))
     }
 }
--- a/crates/siskinyoke-dispatch/src/overload_window.rs
+++ b/crates/siskinyoke-dispatch/src/overload_window.rs
@@ -5,7 +5,7 @@
 /// How long no request may have been refused for a peak to be over.
 ///
 /// Requests come in clumps, some tenths of a second apart.
-const OVER: Millis = Millis(700);
+const OVERLOAD_END_GAP: Millis = Millis(700);
 
 /// How long requests of one rank have been refused for want of places.
 ///
@@ -13,18 +13,20 @@
 /// callers that are told less come back in vain, and have no third try.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OverloadWindow {
-    since: Millis,
-    last: Option<Millis>,
+    started_at: Millis,
+    last_refusal: Option<Millis>,
 }
 
 impl OverloadWindow {
     /// Takes note of a refusal, and returns for how long there have been some.
-    pub fn refused(&mut self, now: Millis) -> Millis {
-        let goes_on = self.last.is_some_and(|last| now.since(last) < OVER);
-        if !goes_on {
-            self.since = now;
+    pub fn record_refusal(&mut self, now: Millis) -> Millis {
+        let continues = self
+            .last_refusal
+            .is_some_and(|last| now.since(last) < OVERLOAD_END_GAP);
+        if !continues {
+            self.started_at = now;
         }
-        self.last = Some(now);
-        now.since(self.since)
+        self.last_refusal = Some(now);
+        now.since(self.started_at)
     }
 }
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placing.rs
@@ -9,8 +9,8 @@
 use crate::Pending;
 use crate::cost::Cost;
 use crate::health::Health;
-use crate::latency_model::Load;
-use crate::latency_model::float;
+use crate::latency_model::LatencyModel;
+use crate::latency_model::millis_to_f64;
 use crate::report::RunningRow;
 use crate::stable_hash;
 use siskinyoke_base::Map;
@@ -70,7 +70,7 @@
     /// The request.
     pub pending: &'a Pending,
     /// How its service's requests fare.
-    pub load: &'a Load,
+    pub load: &'a LatencyModel,
     /// Whether it can wait for another endpoint and still be on time.
     pub can_wait: bool,
 }
@@ -126,7 +126,7 @@
     /// Takes note that something took `time` on an endpoint that usually takes `usual`.
     pub fn paced(&mut self, key: EndpointKey, time: Millis, usual: Millis) {
         if usual > Millis::ZERO {
-            let pace = float(time) / float(usual);
+            let pace = millis_to_f64(time) / millis_to_f64(usual);
             self.health.entry(key).or_default().paced(pace);
         }
     }
@@ -242,16 +242,17 @@
             };
         }
         let unread = pending.work.behind(candidate.unread);
-        let first = load.first_of(&unread);
-        let delay = first.since(load.first_of(&pending.work));
-        let time = time + pace * float(delay) / float(load.stay()).max(1.0);
-        let begins = float(now.since(pending.arrived)) + float(first) * pace;
+        let first = load.first_part_time(&unread);
+        let delay = first.since(load.first_part_time(&pending.work));
+        let time = time + pace * millis_to_f64(delay) / millis_to_f64(load.stay()).max(1.0);
+        let begins = millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * pace;
         let held = health.map_or(0.0, Health::held);
-        let pauses = load.parts_of(&pending.work) > SHORT && held > HELD;
-        let stalls = load.stall(unread.prompt) * pace > float(pending.route.max_gap);
+        let pauses = load.expected_parts(&pending.work) > SHORT && held > HELD;
+        let stalls =
+            load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.max_gap);
         Cost {
             time,
-            late: begins > float(pending.route.latency_objective) || pauses,
+            late: begins > millis_to_f64(pending.route.latency_objective) || pauses,
             overruns: overruns(query, pace),
             stalled: if stalls { taken } else { 0.0 },
         }
@@ -260,7 +261,7 @@
 
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
 fn overruns(query: &Query<'_>, pace: f64) -> bool {
-    let stay = float(query.load.stay_of(&query.pending.work)) * pace;
+    let stay = millis_to_f64(query.load.service_time_of(&query.pending.work)) * pace;
     let margin = if query.can_wait { MARGIN } else { 1.0 };
-    stay * margin > float(query.pending.until.since(query.now))
+    stay * margin > millis_to_f64(query.pending.until.since(query.now))
 }
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -8,33 +8,33 @@
 use siskinyoke_base::Millis;
 
 /// Where a request stands in the queue: order, then turn, then ticket.
-pub type Place = (Order, Millis, Ticket);
+pub type QueueKey = (Order, Millis, Ticket);
 
 /// Requests of one service that wait for a place.
 #[derive(Debug, Default)]
 pub struct Queue {
-    places: BTreeSet<Place>,
+    keys: BTreeSet<QueueKey>,
 }
 
 impl Queue {
     /// Adds a request.
-    pub fn push(&mut self, place: Place) {
-        self.places.insert(place);
+    pub fn push(&mut self, key: QueueKey) {
+        self.keys.insert(key);
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, place: Place) {
-        self.places.remove(&place);
+    pub fn remove(&mut self, place: QueueKey) {
+        self.keys.remove(&place);
     }
 
     /// Returns the places in order.
-    pub fn iter(&self) -> impl Iterator<Item = Place> {
-        self.places.iter().copied()
+    pub fn iter(&self) -> impl Iterator<Item = QueueKey> {
+        self.keys.iter().copied()
     }
 
     /// Returns whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.keys.is_empty()
     }
 
     /// Sums up what waits, by order; `stay` is how long each takes.
@@ -45,7 +45,7 @@
         stay: impl Fn(Ticket) -> Millis,
     ) -> Vec<WaitingRow> {
         let mut rows: Vec<WaitingRow> = Vec::new();
-        for (order, position, ticket) in &self.places {
+        for (order, position, ticket) in &self.keys {
             let work = u32::try_from(stay(*ticket).0).unwrap_or(u32::MAX);
             match rows.last_mut() {
                 Some(row) if row.order == *order => {
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -16,7 +16,7 @@
 use crate::report::InstanceInfo;
 use crate::report::InstanceLocation;
 use crate::report::LimitRow;
-use crate::scheduler::View;
+use crate::scheduler::ClusterView;
 use crate::stable_hash;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
@@ -125,7 +125,7 @@
     }
 
     /// Works out this instance's parts, by who is heard now.
-    pub(crate) fn update_rates(&mut self, view: &View<'_>) {
+    pub(crate) fn update_rates(&mut self, view: &ClusterView<'_>) {
         if self.limits.is_empty() {
             return;
         }
@@ -148,7 +148,7 @@
     /// Returns the peers that hold a part of the limit of any of these endpoints.
     pub(crate) fn holders<'a>(
         &self,
-        view: &View<'a>,
+        view: &ClusterView<'a>,
         endpoints: &[Arc<Endpoint>],
     ) -> Vec<&'a InstanceLocation> {
         let limits: Vec<(u32, f64)> = endpoints
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 
 use crate::Endpoint;
-use crate::latency_model::float;
-use crate::latency_model::millis;
+use crate::latency_model::millis_from_f64;
+use crate::latency_model::millis_to_f64;
 use crate::report::CanaryReport;
 use crate::report::short_hash;
 use siskinyoke_base::Map;
@@ -368,8 +368,8 @@
         if self.phase == Phase::Trial {
             return canary;
         }
-        let [begin, end] = [RAMP, MOVED].map(|it| float(self.part(it)));
-        let age = float(now.since(self.begun));
+        let [begin, end] = [RAMP, MOVED].map(|it| millis_to_f64(self.part(it)));
+        let age = millis_to_f64(now.since(self.begun));
         ((age - begin) / (end - begin)).clamp(canary, MOST)
     }
 
@@ -385,7 +385,7 @@
     }
 
     fn part(&self, part: f64) -> Millis {
-        millis(float(self.order.span) * part)
+        millis_from_f64(millis_to_f64(self.order.span) * part)
     }
 
     fn judge(&mut self, now: Millis) {
--- a/crates/siskinyoke-dispatch/src/rollout/judge.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/judge.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use crate::latency_model::float;
+use crate::latency_model::millis_to_f64;
 use crate::report::CanaryRow;
 use siskinyoke_base::Millis;
 
@@ -177,7 +177,7 @@
 
 // What is left of an answer that came so long ago.
 fn left(age: Millis) -> f64 {
-    (-float(age) / float(MEMORY)).exp()
+    (-millis_to_f64(age) / millis_to_f64(MEMORY)).exp()
 }
 
 #[expect(
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -24,14 +24,14 @@
 use crate::RefusalReason;
 use crate::Ticket;
 use crate::demand::Demand;
-use crate::latency_model::Load;
-use crate::latency_model::float;
-use crate::latency_model::millis;
+use crate::latency_model::LatencyModel;
+use crate::latency_model::millis_from_f64;
+use crate::latency_model::millis_to_f64;
 use crate::overload_window::OverloadWindow;
 use crate::peers::Peers;
 use crate::placing::Placing;
-use crate::queue::Place;
 use crate::queue::Queue;
+use crate::queue::QueueKey;
 use crate::rate_limits::RateLimits;
 use crate::registry::Registry;
 use crate::report::RunningRow;
@@ -43,7 +43,7 @@
 use siskinyoke_base::Millis;
 
 /// When a caller should come back whose service has no endpoint: new ones are known within that.
-const ABSENT: Millis = Millis(500);
+const NO_ENDPOINT_RETRY_AFTER: Millis = Millis(500);
 
 /// What was decided of a waiting request.
 #[derive(Debug, Clone)]
@@ -59,25 +59,25 @@
 struct Running {
     pending: Pending,
     key: EndpointKey,
-    sent: Millis,
+    sent_at: Millis,
     // What went before it at its endpoint when it was sent.
-    ahead: Ahead,
+    ahead: Backlog,
     // When the first part of its answer came.
     began: Option<Millis>,
 }
 
 // What goes before a request at its endpoint.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Ahead {
+pub(crate) struct Backlog {
     // Prompt tokens of others that are still to be read.
-    unread: f64,
+    prompt_tokens: f64,
     // How long it is expected to wait there for a slot.
-    queued: Millis,
+    slot_wait: Millis,
 }
 
 // What the decisions of one moment look at.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct View<'a> {
+pub(crate) struct ClusterView<'a> {
     pub(crate) now: Millis,
     pub(crate) registry: &'a Registry,
     pub(crate) peers: &'a Peers,
@@ -90,16 +90,16 @@
     queues: BTreeMap<Arc<str>, Queue>,
     waiting: Map<Ticket, Pending>,
     running: Map<Ticket, Running>,
-    counts: BTreeMap<EndpointKey, RunningRow>,
-    loads: Map<Arc<str>, Load>,
+    in_flight: BTreeMap<EndpointKey, RunningRow>,
+    latencies: Map<Arc<str>, LatencyModel>,
     demands: Map<Arc<str>, Demand>,
     overloads: Map<(Arc<str>, Rank), OverloadWindow>,
-    limits: RateLimits,
+    rate_limits: RateLimits,
     // Places given to other shards, by the question that asked for each.
-    loans: Map<u64, lending::Loan>,
+    lent_slots: Map<u64, lending::LentSlot>,
     // When other shards were last asked for a place, by request, and what they said, by service.
     asked: Map<Ticket, Millis>,
-    answers: Map<Arc<str>, lending::LastAnswer>,
+    last_replies: Map<Arc<str>, lending::LastReply>,
     // When holders of rate limits last had no token, by service.
     token_refusals: Map<Arc<str>, Millis>,
     last: u64,
@@ -110,7 +110,7 @@
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
             placing: Placing::new(name, centre),
-            limits: RateLimits::new(name),
+            rate_limits: RateLimits::new(name),
             ..Self::default()
         }
     }
@@ -131,37 +131,37 @@
         if places == 0 {
             return Err(Refusal {
                 reason: RefusalReason::NoEndpoint,
-                retry_after: ABSENT,
+                retry_after: NO_ENDPOINT_RETRY_AFTER,
             });
         }
-        let load = self.load(&pending.service);
+        let load = self.latency_model(&pending.service);
         let pending = Pending {
-            position: wait::position(&pending, load),
+            position: wait::queue_position(&pending, load),
             ..pending
         };
         let demand = self.demands.entry(pending.service.clone()).or_default();
-        demand.asked(now, pending.rank, load.stay_of(&pending.work));
-        let view = View {
+        demand.record(now, pending.rank, load.service_time_of(&pending.work));
+        let view = ClusterView {
             now,
             registry,
             peers,
         };
-        if self.on_time(&view, &pending) {
+        if self.expected_on_time(&view, &pending) {
             return Ok(self.enqueue(pending));
         }
         // Another shard may have a place: it is asked before the request is refused.
-        if registry.divided() && !self.declined(now, &pending.service) {
+        if registry.divided() && !self.recently_declined(now, &pending.service) {
             return Ok(self.enqueue(Pending {
                 pressed: true,
                 ..pending
             }));
         }
-        let pending = self.as_late(&view, pending)?;
+        let pending = self.admit_late(&view, pending)?;
         Ok(self.enqueue(pending))
     }
 
     /// Lets a request wait for another endpoint after one did not serve it.
-    pub fn again(&mut self, pending: Pending) -> Ticket {
+    pub fn requeue(&mut self, pending: Pending) -> Ticket {
         self.enqueue(Pending {
             late: false,
             pressed: false,
@@ -172,16 +172,16 @@
 
     /// Decides what can be decided now.
     pub fn decide(&mut self, now: Millis, registry: &Registry, peers: &Peers) -> Vec<Decision> {
-        let view = View {
+        let view = ClusterView {
             now,
             registry,
             peers,
         };
-        self.limits.update_rates(&view);
+        self.rate_limits.update_rates(&view);
         let mut decisions = Vec::new();
         let services: Vec<Arc<str>> = self.queues.keys().cloned().collect();
         for service in services {
-            self.start(&view, &service, &mut decisions);
+            self.start_waiting(&view, &service, &mut decisions);
             self.expire(&view, &service, &mut decisions);
         }
         self.queues.retain(|_, queue| !queue.is_empty());
@@ -189,22 +189,27 @@
     }
 
     /// Takes note that a request's stay at its endpoint ended, and returns the request.
-    pub fn ended(&mut self, now: Millis, ticket: Ticket, outcome: Outcome) -> Option<Pending> {
+    pub fn attempt_ended(
+        &mut self,
+        now: Millis,
+        ticket: Ticket,
+        outcome: Outcome,
+    ) -> Option<Pending> {
         let Running {
             mut pending,
             key,
-            sent,
+            sent_at,
             began,
             ..
         } = self.running.remove(&ticket)?;
         pending.sent += u32::from(outcome != Outcome::Unreached);
         if began.is_none() {
-            self.read(key, &pending);
+            self.drop_unread(key, &pending);
         }
-        if let Some(busy) = self.counts.get_mut(&key) {
+        if let Some(busy) = self.in_flight.get_mut(&key) {
             busy.count = busy.count.saturating_sub(1);
         }
-        self.counts.retain(|_, busy| busy.count > 0);
+        self.in_flight.retain(|_, busy| busy.count > 0);
         self.placing.ended(now, key, outcome);
         if let Outcome::Done {
             first,
@@ -214,11 +219,11 @@
         } = outcome
         {
             if began.is_none() {
-                self.saw_first(key, &pending, now.since(sent));
+                self.record_first_part(key, &pending, now.since(sent_at));
             }
-            self.saw_rest(key, &pending, took.since(first), parts, pause);
-            let load = self.loads.entry(pending.service.clone()).or_default();
-            load.finished(&pending.work, first, took, parts);
+            self.record_remaining_parts(key, &pending, took.since(first), parts, pause);
+            let load = self.latencies.entry(pending.service.clone()).or_default();
+            load.record_completion(&pending.work, first, took, parts);
         }
         Some(pending)
     }
@@ -229,16 +234,16 @@
             return;
         };
         running.began = Some(now);
-        let (key, first) = (running.key, now.since(running.sent));
+        let (key, first) = (running.key, now.since(running.sent_at));
         let pending = running.pending.clone();
-        self.read(key, &pending);
-        self.saw_first(key, &pending, first);
+        self.drop_unread(key, &pending);
+        self.record_first_part(key, &pending, first);
     }
 
     /// Returns how long the endpoint of a running request may stay silent.
     pub fn stall_timeout(&self, ticket: Ticket) -> Millis {
         let Some(running) = self.running.get(&ticket) else {
-            return stall_timeout::PAUSE;
+            return stall_timeout::STREAM_STALL_TIMEOUT;
         };
         let Running {
             pending,
@@ -247,10 +252,12 @@
             ..
         } = running;
         let usual = self
-            .load(&pending.service)
-            .first_of(&pending.work.behind(ahead.unread))
-            + ahead.queued;
-        stall_timeout::limit(millis(float(usual) * self.placing.pace(*key)))
+            .latency_model(&pending.service)
+            .first_part_time(&pending.work.behind(ahead.prompt_tokens))
+            + ahead.slot_wait;
+        stall_timeout::first_part_timeout(millis_from_f64(
+            millis_to_f64(usual) * self.placing.pace(*key),
+        ))
     }
 
     /// Takes a waiting request out, as its caller left.
@@ -264,8 +271,8 @@
     }
 
     /// Takes out waiting requests that must not run any more.
-    pub fn take_out(&mut self, wanted: impl Fn(&Pending) -> bool) -> Vec<Ticket> {
-        let found = self.waiting.iter().filter(|row| wanted(row.1));
+    pub fn cancel_matching(&mut self, matches: impl Fn(&Pending) -> bool) -> Vec<Ticket> {
+        let found = self.waiting.iter().filter(|row| matches(row.1));
         let tickets: Vec<Ticket> = found.map(|row| *row.0).collect();
         for ticket in &tickets {
             self.cancel(*ticket);
@@ -279,31 +286,31 @@
     }
 
     /// Returns whether an endpoint that was not tried has a place for a request.
-    pub fn elsewhere(
+    pub fn has_alternative(
         &self,
         now: Millis,
         pending: &Pending,
         registry: &Registry,
         peers: &Peers,
     ) -> bool {
-        let view = View {
+        let view = ClusterView {
             now,
             registry,
             peers,
         };
-        let free = self.free(&view, &pending.service);
+        let free = self.free_endpoints(&view, &pending.service);
         free.iter()
             .any(|candidate| !pending.tried.contains(&candidate.endpoint.key()))
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
-    pub fn heard(&mut self, rows: &[RunningRow]) {
+    pub fn record_peer_usage(&mut self, rows: &[RunningRow]) {
         self.placing.heard(rows);
     }
 
     /// Returns this instance's requests at each endpoint.
     pub fn counts(&self) -> Vec<RunningRow> {
-        let counts = self.counts.iter().map(|(key, busy)| RunningRow {
+        let counts = self.in_flight.iter().map(|(key, busy)| RunningRow {
             speed_factor: self.placing.tell(*key),
             ..*busy
         });
@@ -311,37 +318,37 @@
     }
 
     /// Sums up what waits here.
-    pub fn summary(&self, now: Millis) -> Vec<WaitingRow> {
+    pub fn queue_summary(&self, now: Millis) -> Vec<WaitingRow> {
         self.queues
             .iter()
             .flat_map(|(service, queue)| {
-                let load = self.load(service);
-                let stay = |ticket| load.stay_of(&self.waiting[&ticket].work);
+                let load = self.latency_model(service);
+                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].work);
                 queue.summary(now, short_hash(service), stay)
             })
             .collect()
     }
 
     /// Returns how many requests wait and how many run.
-    pub fn size(&self) -> (usize, usize) {
+    pub fn request_counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.running.len())
     }
 
     /// Returns how a service's requests fared lately.
-    pub fn load(&self, service: &str) -> Load {
-        self.loads.get(service).copied().unwrap_or_default()
+    pub fn latency_model(&self, service: &str) -> LatencyModel {
+        self.latencies.get(service).copied().unwrap_or_default()
     }
 
     /// Forgets endpoints that are gone.
-    pub fn forget(&mut self, registry: &Registry) {
+    pub fn prune_endpoints(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
         self.placing.forget(&known);
-        self.limits.retain_endpoints(&known);
+        self.rate_limits.retain_endpoints(&known);
     }
 
     // What runs at an endpoint by this instance's count.
-    fn busy(&mut self, key: EndpointKey) -> &mut RunningRow {
-        self.counts.entry(key).or_insert(RunningRow {
+    fn usage_mut(&mut self, key: EndpointKey) -> &mut RunningRow {
+        self.in_flight.entry(key).or_insert(RunningRow {
             endpoint: key.short(),
             count: 0,
             prefill_tokens: 0,
@@ -367,6 +374,6 @@
         .sum()
 }
 
-fn place(ticket: Ticket, pending: &Pending) -> Place {
+fn place(ticket: Ticket, pending: &Pending) -> QueueKey {
     (pending.order(), pending.position, ticket)
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -2,27 +2,27 @@
 
 use std::sync::Arc;
 
+use super::ClusterView;
 use super::Decision;
 use super::Scheduler;
-use super::View;
 use super::place;
 use crate::Pending;
 use crate::Refusal;
 use crate::RefusalReason;
 use crate::Ticket;
-use crate::queue::Place;
+use crate::queue::QueueKey;
 use crate::wait;
 
 impl Scheduler {
     pub(super) fn expire(
         &mut self,
-        view: &View<'_>,
+        view: &ClusterView<'_>,
         service: &Arc<str>,
         decisions: &mut Vec<Decision>,
     ) {
-        let waiting: Vec<Place> = self.queues[service].iter().collect();
+        let waiting: Vec<QueueKey> = self.queues[service].iter().collect();
         for (_, _, ticket) in waiting {
-            if let Some(refusal) = self.overdue(view, ticket) {
+            if let Some(refusal) = self.check_expired(view, ticket) {
                 self.cancel(ticket);
                 decisions.push(Decision::Refuse(ticket, refusal));
             }
@@ -30,24 +30,24 @@
     }
 
     // Finds out whether a request has waited enough; one that can still be of use late is put off.
-    fn overdue(&mut self, view: &View<'_>, ticket: Ticket) -> Option<Refusal> {
+    fn check_expired(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let pending = &self.waiting[&ticket];
-        let load = self.load(&pending.service);
-        if wait::spent(pending, view.registry.fit(&pending.service)) {
+        let load = self.latency_model(&pending.service);
+        if wait::all_tried(pending, view.registry.fit(&pending.service)) {
             return Some(Refusal {
                 reason: RefusalReason::NoEndpoint,
                 retry_after: load.stay(),
             });
         }
         let waited = view.now.since(pending.arrived);
-        if pending.pressed && self.declined(view.now, &pending.service) {
-            return self.turned_down(view, ticket);
+        if pending.pressed && self.recently_declined(view.now, &pending.service) {
+            return self.resolve_declined(view, ticket);
         }
         if !pending.late && waited < wait::queue_timeout(pending, load) {
             return None;
         }
         let bearable = wait::late_timeout(pending, load);
-        let settled = pending.late || wait::urgent(pending);
+        let settled = pending.late || wait::is_retry(pending);
         if settled && waited < bearable {
             return None;
         }
@@ -55,34 +55,34 @@
             late: true,
             ..pending.clone()
         };
-        let wait = self.wait(view, &late);
+        let wait = self.expected_wait(view, &late);
         if !settled && waited + wait <= bearable {
-            self.put_off(ticket);
+            self.mark_late(ticket);
             return None;
         }
         Some(Refusal {
             reason: RefusalReason::QueueTimeout,
-            retry_after: self.back(view.now, &late, wait),
+            retry_after: self.retry_after(view.now, &late, wait),
         })
     }
 
     // What becomes of a request for which only another shard might have had a place, and none had.
-    fn turned_down(&mut self, view: &View<'_>, ticket: Ticket) -> Option<Refusal> {
+    fn resolve_declined(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let pending = self.waiting.get_mut(&ticket)?;
         pending.pressed = false;
         let pending = pending.clone();
-        if self.on_time(view, &pending) {
+        if self.expected_on_time(view, &pending) {
             return None;
         }
-        if let Err(refusal) = self.as_late(view, pending) {
+        if let Err(refusal) = self.admit_late(view, pending) {
             return Some(refusal);
         }
-        self.put_off(ticket);
+        self.mark_late(ticket);
         None
     }
 
     // Moves a request behind what can still be on time.
-    fn put_off(&mut self, ticket: Ticket) {
+    fn mark_late(&mut self, ticket: Ticket) {
         let Some(pending) = self.waiting.get_mut(&ticket) else {
             return;
         };
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -7,9 +7,9 @@
 
 use std::sync::Arc;
 
-use super::Ahead;
+use super::Backlog;
+use super::ClusterView;
 use super::Scheduler;
-use super::View;
 use super::starting::left;
 use crate::BorrowRequest;
 use crate::Endpoint;
@@ -20,8 +20,8 @@
 use crate::Route;
 use crate::Ticket;
 use crate::Work;
-use crate::latency_model::float;
-use crate::latency_model::millis;
+use crate::latency_model::millis_from_f64;
+use crate::latency_model::millis_to_f64;
 use crate::message::SlotRequest;
 use crate::placing::Candidate;
 use crate::placing::Query;
@@ -34,55 +34,57 @@
 const PAUSE: Millis = Millis(10);
 
 /// How often other shards are asked for a place for the same request.
-const AGAIN: Millis = Millis(40);
+const BORROW_INTERVAL: Millis = Millis(40);
 
 /// How many requests other shards are asked for at a time.
-const MOST: usize = 4;
+const MAX_BORROW_QUERIES: usize = 4;
 
 /// How long other shards are taken to have no place after those asked had none.
 ///
 /// In a peak of the whole fleet all are full, and each question is for nothing.
-pub(super) const DECLINED: Millis = Millis(100);
+pub(super) const DECLINED_BACKOFF: Millis = Millis(100);
 
 /// The part of a shard's places that is kept for its own requests.
 ///
 /// Instances of one shard give places away at the same moment, before they hear of each other.
-const KEPT: u32 = 8;
+const RESERVED_SLOTS_DIVISOR: u32 = 8;
 
 /// How much longer than expected a request may keep a place that was given to it, and what is added.
 ///
 /// The word that returns a place may be lost.
-const KEEPS: f64 = 3.0;
-const GRACE: Millis = Millis(1_000);
+const LOAN_DURATION_RATIO: f64 = 3.0;
+const LOAN_GRACE: Millis = Millis(1_000);
 
 /// A place that was given to another shard.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Loan {
+pub(super) struct LentSlot {
     key: EndpointKey,
-    prompt: u32,
+    prompt_tokens: u32,
     // When its prompt is expected to be read, and when it is taken back unasked.
-    reads: Option<Millis>,
-    until: Millis,
+    prompt_end: Option<Millis>,
+    expires_at: Millis,
 }
 
 /// Whether other shards had a place for a service's request, and when they said so.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LastAnswer {
+pub(super) struct LastReply {
     at: Millis,
-    found: bool,
+    granted: bool,
 }
 
 impl Scheduler {
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
-    pub(crate) fn needs(&mut self, view: &View<'_>) -> Vec<(Ticket, BorrowRequest)> {
+    pub(crate) fn borrow_needs(&mut self, view: &ClusterView<'_>) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let askable = self.queues.iter().flat_map(|(service, queue)| {
-            let place = view.registry.divided() && !self.declined(now, service);
-            let reserved = self.asks_holders(view, service);
+            let place = view.registry.divided() && !self.recently_declined(now, service);
+            let reserved = self.should_ask_holders(view, service);
             let tickets = queue.iter().filter(move |_| place || reserved);
             tickets.map(move |it| (it.2, place, reserved))
         });
-        let due = askable.filter(|row| self.due(now, row.0)).take(MOST);
+        let due = askable
+            .filter(|row| self.borrow_due(now, row.0))
+            .take(MAX_BORROW_QUERIES);
         let mut needs = Vec::new();
         for (ticket, place, reserved) in due {
             let need = place_need(now, &self.waiting[&ticket]);
@@ -100,9 +102,9 @@
     /// Gives a place to a request of another shard, if there are some to spare.
     ///
     /// None are while requests wait here or at peers, and the last of them are kept.
-    pub(crate) fn lend(
+    pub(crate) fn lend_slot(
         &mut self,
-        view: &View<'_>,
+        view: &ClusterView<'_>,
         id: u64,
         need: &SlotRequest,
     ) -> Option<EndpointKey> {
@@ -111,62 +113,66 @@
         if waits || view.peers.waiting(view.now, need.service).next().is_some() {
             return None;
         }
-        let candidates = self.free(view, &service);
-        let awake = self.awake(view.now, view.registry.fit(&service));
+        let candidates = self.free_endpoints(view, &service);
+        let awake = self.available(view.now, view.registry.fit(&service));
         let all: u32 = awake.iter().map(|it| it.slots).sum();
-        if left(&candidates) <= all / KEPT + 1 {
+        if left(&candidates) <= all / RESERVED_SLOTS_DIVISOR + 1 {
             return None;
         }
-        let load = self.load(&service);
-        let guest = guest(view.now, &service, need);
-        let key = self.best_for(view.now, &guest, &candidates)?;
-        self.limits.take_token(key);
+        let load = self.latency_model(&service);
+        let guest = borrower_request(view.now, &service, need);
+        let key = self.best_endpoint(view.now, &guest, &candidates)?;
+        self.rate_limits.take_token(key);
         let pace = self.placing.pace(key);
-        let stay = millis(float(load.stay_of(&guest.work)) * pace * KEEPS) + GRACE;
-        let given = Loan {
+        let stay = millis_from_f64(
+            millis_to_f64(load.service_time_of(&guest.work)) * pace * LOAN_DURATION_RATIO,
+        ) + LOAN_GRACE;
+        let given = LentSlot {
             key,
-            prompt: guest.work.unread(),
-            reads: Some(view.now + millis(float(load.first_of(&guest.work)) * pace)),
-            until: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
+            prompt_tokens: guest.work.unread(),
+            prompt_end: Some(
+                view.now + millis_from_f64(millis_to_f64(load.first_part_time(&guest.work)) * pace),
+            ),
+            expires_at: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
         };
-        let busy = self.busy(key);
+        let busy = self.usage_mut(key);
         busy.count += 1;
-        busy.prefill_tokens += given.prompt;
-        self.loans.insert(id, given);
+        busy.prefill_tokens += given.prompt_tokens;
+        self.lent_slots.insert(id, given);
         Some(key)
     }
 
     /// Takes a place back that was given to another shard.
-    pub fn returned(&mut self, id: u64) {
-        let Some(loan) = self.loans.remove(&id) else {
+    pub fn reclaim_slot(&mut self, id: u64) {
+        let Some(loan) = self.lent_slots.remove(&id) else {
             return;
         };
-        let busy = self.busy(loan.key);
+        let busy = self.usage_mut(loan.key);
         busy.count = busy.count.saturating_sub(1);
-        if loan.reads.is_some() {
-            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt);
+        if loan.prompt_end.is_some() {
+            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
         }
-        self.counts.retain(|_, busy| busy.count > 0);
+        self.in_flight.retain(|_, busy| busy.count > 0);
     }
 
     /// Takes back what was not returned in time, and counts prompts as read that should be.
-    pub(crate) fn sweep_loans(&mut self, now: Millis) {
-        let over = self.loans.iter().filter(|row| row.1.until <= now);
+    pub(crate) fn sweep_lent_slots(&mut self, now: Millis) {
+        let over = self.lent_slots.iter().filter(|row| row.1.expires_at <= now);
         let over: Vec<u64> = over.map(|row| *row.0).collect();
         for id in over {
-            self.returned(id);
+            self.reclaim_slot(id);
         }
-        for loan in self.loans.values_mut() {
-            if loan.reads.take_if(|at| *at <= now).is_some()
-                && let Some(busy) = self.counts.get_mut(&loan.key)
+        for loan in self.lent_slots.values_mut() {
+            if loan.prompt_end.take_if(|at| *at <= now).is_some()
+                && let Some(busy) = self.in_flight.get_mut(&loan.key)
             {
-                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt);
+                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
             }
         }
     }
 
     /// Starts a waiting request at a place that another shard gave; returns whether it still waited.
-    pub(crate) fn place_granted(
+    pub(crate) fn slot_granted(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -178,34 +184,34 @@
         if pending.service != endpoint.service || pending.tried.contains(&endpoint.key()) {
             return false;
         }
-        let found = LastAnswer {
+        let found = LastReply {
             at: now,
-            found: true,
+            granted: true,
         };
-        self.answers.insert(pending.service.clone(), found);
-        self.begin(now, ticket, endpoint, Ahead::default(), false);
+        self.last_replies.insert(pending.service.clone(), found);
+        self.send_to(now, ticket, endpoint, Backlog::default(), false);
         true
     }
 
     /// Takes note that the shards that were asked had no place for a request.
-    pub fn place_declined(&mut self, now: Millis, ticket: Ticket) {
+    pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
         if let Some(pending) = self.waiting.get(&ticket) {
-            let nothing = LastAnswer {
+            let nothing = LastReply {
                 at: now,
-                found: false,
+                granted: false,
             };
-            self.answers.insert(pending.service.clone(), nothing);
+            self.last_replies.insert(pending.service.clone(), nothing);
         }
     }
 
     // Finds the best of some endpoints for a request of another instance.
-    pub(super) fn best_for(
+    pub(super) fn best_endpoint(
         &self,
         now: Millis,
         guest: &Pending,
         candidates: &[Candidate],
     ) -> Option<EndpointKey> {
-        let load = self.load(&guest.service);
+        let load = self.latency_model(&guest.service);
         let query = Query {
             now,
             pending: guest,
@@ -217,17 +223,17 @@
     }
 
     // Whether others are to be asked for a place for a request now.
-    fn due(&self, now: Millis, ticket: Ticket) -> bool {
+    fn borrow_due(&self, now: Millis, ticket: Ticket) -> bool {
         let pending = &self.waiting[&ticket];
         let asked = self.asked.get(&ticket);
-        let again = asked.is_none_or(|at| now.since(*at) >= AGAIN);
+        let again = asked.is_none_or(|at| now.since(*at) >= BORROW_INTERVAL);
         again && (pending.pressed || now.since(pending.arrived) >= PAUSE)
     }
 
     // Whether other shards are taken to have no place.
-    pub(super) fn declined(&self, now: Millis, service: &str) -> bool {
-        let last = self.answers.get(service);
-        last.is_some_and(|it| !it.found && now.since(it.at) < DECLINED)
+    pub(super) fn recently_declined(&self, now: Millis, service: &str) -> bool {
+        let last = self.last_replies.get(service);
+        last.is_some_and(|it| !it.granted && now.since(it.at) < DECLINED_BACKOFF)
     }
 }
 
@@ -246,7 +252,7 @@
 }
 
 // Another shard's request, as far as the choice of an endpoint needs it.
-pub(super) fn guest(now: Millis, service: &Arc<str>, need: &SlotRequest) -> Pending {
+pub(super) fn borrower_request(now: Millis, service: &Arc<str>, need: &SlotRequest) -> Pending {
     let span = |ms: u32| Millis(u64::from(ms));
     let arrived = now.since(span(need.waited));
     let until = now + span(need.remaining_wait);
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -3,22 +3,23 @@
 use super::Scheduler;
 use crate::EndpointKey;
 use crate::Pending;
-use crate::latency_model::float;
+use crate::latency_model::millis_to_f64;
 use siskinyoke_base::Millis;
 
 /// Parts of an answer beyond which their pauses tell the endpoint's pace.
 ///
 /// Fewer come together, or with the pauses of one prompt that is read beside them.
-const FEW: u32 = 4;
+const MIN_PARTS_FOR_SPEED: u32 = 4;
 
 impl Scheduler {
-    pub(super) fn saw_first(&mut self, key: EndpointKey, pending: &Pending, first: Millis) {
-        let load = self.loads.entry(pending.service.clone()).or_default();
-        self.placing.paced(key, first, load.first_of(&pending.work));
-        load.began(&pending.work, first);
+    pub(super) fn record_first_part(&mut self, key: EndpointKey, pending: &Pending, first: Millis) {
+        let load = self.latencies.entry(pending.service.clone()).or_default();
+        self.placing
+            .paced(key, first, load.first_part_time(&pending.work));
+        load.record_first_part(&pending.work, first);
     }
 
-    pub(super) fn saw_rest(
+    pub(super) fn record_remaining_parts(
         &mut self,
         key: EndpointKey,
         pending: &Pending,
@@ -26,18 +27,19 @@
         parts: u32,
         pause: Millis,
     ) {
-        if parts <= FEW {
+        if parts <= MIN_PARTS_FOR_SPEED {
             return;
         }
-        let load = self.loads.entry(pending.service.clone()).or_default();
-        self.placing.paced(key, rest, load.rest(f64::from(parts)));
+        let load = self.latencies.entry(pending.service.clone()).or_default();
+        self.placing
+            .paced(key, rest, load.remaining_time(f64::from(parts)));
         self.placing.paused(key, pause > pending.route.max_gap);
-        load.paused(float(pause) / self.placing.pace(key));
+        load.record_pause(millis_to_f64(pause) / self.placing.pace(key));
     }
 
     // The prompt of a request at an endpoint is read, or no longer to be read.
-    pub(super) fn read(&mut self, key: EndpointKey, pending: &Pending) {
-        if let Some(busy) = self.counts.get_mut(&key) {
+    pub(super) fn drop_unread(&mut self, key: EndpointKey, pending: &Pending) {
+        if let Some(busy) = self.in_flight.get_mut(&key) {
             busy.prefill_tokens = busy.prefill_tokens.saturating_sub(pending.work.unread());
         }
     }
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -1,14 +1,14 @@
 //! What the rate limits of endpoints mean for requests that are to be placed.
 
+use super::ClusterView;
 use super::Scheduler;
-use super::View;
-use super::lending::DECLINED;
-use super::lending::guest;
+use super::lending::DECLINED_BACKOFF;
+use super::lending::borrower_request;
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Ticket;
-use crate::latency_model::Load;
-use crate::latency_model::float;
+use crate::latency_model::LatencyModel;
+use crate::latency_model::millis_to_f64;
 use crate::message::SlotRequest;
 use crate::rate_limits::LimitChange;
 use crate::rate_limits::RateLimits;
@@ -16,57 +16,61 @@
 use crate::report::LimitRow;
 use siskinyoke_base::Millis;
 
-const MS_PER_S: f64 = 1_000.0;
+const MS_PER_SECOND: f64 = 1_000.0;
 
 impl Scheduler {
     /// Returns the rate limits that are known.
     pub fn limits(&self) -> &RateLimits {
-        &self.limits
+        &self.rate_limits
     }
 
     /// Takes in an answer of an endpoint to a request that was sent at `sent`, with the limit that it names.
-    pub fn note_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis, rate: Option<f64>) {
+    pub fn record_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis, rate: Option<f64>) {
         match rate {
-            Some(rate) => self.limits.observe_limit(now, key, rate),
-            None => self.limits.observe_no_limit(now, key, sent),
+            Some(rate) => self.rate_limits.observe_limit(now, key, rate),
+            None => self.rate_limits.observe_no_limit(now, key, sent),
         }
     }
 
     /// Takes in the limits that a peer knows.
-    pub fn hear_limits(&mut self, now: Millis, rows: &[LimitRow]) {
-        self.limits.merge_peer_limits(now, rows);
+    pub fn record_peer_limits(&mut self, now: Millis, rows: &[LimitRow]) {
+        self.rate_limits.merge_peer_limits(now, rows);
     }
 
     /// Returns the limits that were named, changed or lifted since this was last asked.
-    pub fn limit_changes(&mut self) -> Vec<LimitChange> {
-        self.limits.take_changes()
+    pub fn take_limit_changes(&mut self) -> Vec<LimitChange> {
+        self.rate_limits.take_changes()
     }
 
     /// Gives a token of a rate limit to a peer's request, unless requests wait here.
     pub(crate) fn lend_token(
         &mut self,
-        view: &View<'_>,
+        view: &ClusterView<'_>,
         need: &SlotRequest,
     ) -> Option<EndpointKey> {
         let service = view.registry.service(need.service)?;
         if self.queues.get(&service).is_some_and(|it| !it.is_empty()) {
             return None;
         }
-        self.limits.update_rates(view);
-        let mut candidates = self.free(view, &service);
+        self.rate_limits.update_rates(view);
+        let mut candidates = self.free_endpoints(view, &service);
         candidates.retain(|it| it.reserved);
-        let guest = guest(view.now, &service, need);
-        let key = self.best_for(view.now, &guest, &candidates)?;
-        self.limits.take_token(key);
+        let guest = borrower_request(view.now, &service, need);
+        let key = self.best_endpoint(view.now, &guest, &candidates)?;
+        self.rate_limits.take_token(key);
         Some(key)
     }
 
     /// Returns the peers that may give a token for a service's requests.
-    pub(crate) fn holders<'a>(&self, view: &View<'a>, service: u32) -> Vec<&'a InstanceLocation> {
+    pub(crate) fn token_holders<'a>(
+        &self,
+        view: &ClusterView<'a>,
+        service: u32,
+    ) -> Vec<&'a InstanceLocation> {
         let Some(service) = view.registry.service(service) else {
             return Vec::new();
         };
-        self.limits.holders(view, view.registry.fit(&service))
+        self.rate_limits.holders(view, view.registry.fit(&service))
     }
 
     /// Takes note that the holders that were asked had no token for a request.
@@ -77,20 +81,20 @@
     }
 
     // Whether holders of rate limits are to be asked for tokens.
-    pub(super) fn asks_holders(&self, view: &View<'_>, service: &str) -> bool {
+    pub(super) fn should_ask_holders(&self, view: &ClusterView<'_>, service: &str) -> bool {
         let refused = self.token_refusals.get(service);
-        let refused = refused.is_some_and(|at| view.now.since(*at) < DECLINED);
+        let refused = refused.is_some_and(|at| view.now.since(*at) < DECLINED_BACKOFF);
         let mut endpoints = view.registry.fit(service).iter();
-        !refused && endpoints.any(|it| self.limits.tokens(it.key()).is_some())
+        !refused && endpoints.any(|it| self.rate_limits.tokens(it.key()).is_some())
     }
 
     // The slots of an endpoint, each counted by its pace, of which a limit leaves as many as it keeps busy.
-    pub(super) fn capacity(&self, endpoint: &Endpoint, load: &Load) -> f64 {
+    pub(super) fn effective_slots(&self, endpoint: &Endpoint, load: &LatencyModel) -> f64 {
         let key = endpoint.key();
         let slots = f64::from(endpoint.slots) / self.placing.pace(key);
-        let limit = self.limits.shard_rate(key);
+        let limit = self.rate_limits.shard_rate(key);
         limit.map_or(slots, |rate| {
-            slots.min(rate * float(load.stay()) / MS_PER_S)
+            slots.min(rate * millis_to_f64(load.stay()) / MS_PER_SECOND)
         })
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -2,20 +2,20 @@
 
 use std::sync::Arc;
 
-use super::Ahead;
+use super::Backlog;
+use super::ClusterView;
 use super::Decision;
 use super::Running;
 use super::Scheduler;
-use super::View;
 use super::place;
 use crate::Endpoint;
 use crate::Ticket;
-use crate::latency_model::Load;
+use crate::latency_model::LatencyModel;
 use crate::pending::Order;
 use crate::placing::Candidate;
 use crate::placing::Placing;
 use crate::placing::Query;
-use crate::queue::Place;
+use crate::queue::QueueKey;
 use crate::report::WaitingRow;
 use crate::report::short_hash;
 use crate::wait;
@@ -25,23 +25,23 @@
 ///
 /// One that starts has all its places free; every instance sends its next requests there, and if it is a slow
 /// one, they wait there for seconds. Its first answer, some tenth of a second later, tells its pace.
-const TRIAL: u32 = 4;
-const FEWEST: u32 = 2;
+const UNKNOWN_SPEED_DIVISOR: u32 = 4;
+const MIN_UNKNOWN_SPEED_SLOTS: u32 = 2;
 
 /// The pace up to which an endpoint is given one request more than it runs at once.
 ///
 /// Its slots come free most often, and each stands idle until the end of an answer is known here and the next
 /// request has arrived there. At slower endpoints the request would wait for longer than that.
-const FAST: f64 = 0.8;
+const MAX_FAST_SPEED_FACTOR: f64 = 0.8;
 
 // The endpoints that may take requests of a service now.
-struct Open {
+struct OpenEndpoints {
     free: Vec<Candidate>,
     // Those of the version on trial.
     canaries: Vec<Candidate>,
 }
 
-impl Open {
+impl OpenEndpoints {
     // Finds the best endpoint for a request, and says whether it is of the version on trial.
     //
     // Where that version has no slot, the standing one serves what was drawn for it.
@@ -61,7 +61,7 @@
     }
 
     // Whether there are free places that are not left to peers' more urgent requests.
-    fn others(&self) -> bool {
+    fn has_private_slots(&self) -> bool {
         let free = self.free.iter();
         let mut own = free.filter(|it| it.slow || it.reserved);
         own.any(|it| it.left > 0) || self.canaries.iter().any(|it| it.left > 0)
@@ -70,22 +70,22 @@
 
 impl Scheduler {
     // Gives free places to waiting requests, in their order.
-    pub(super) fn start(
+    pub(super) fn start_waiting(
         &mut self,
-        view: &View<'_>,
+        view: &ClusterView<'_>,
         service: &Arc<str>,
         decisions: &mut Vec<Decision>,
     ) {
         let now = view.now;
-        let load = self.load(service);
+        let load = self.latency_model(service);
         let rows: Vec<WaitingRow> = view.peers.waiting(now, short_hash(service)).collect();
-        let waiting: Vec<Place> = self.queues[service].iter().collect();
-        let mut open = self.open(view, service, waiting.len());
+        let waiting: Vec<QueueKey> = self.queues[service].iter().collect();
+        let mut open = self.open_endpoints(view, service, waiting.len());
         for (order, position, ticket) in waiting {
             // Peers' more urgent requests wait for endpoints of a usual pace, so slow ones are not left to
             // them.
             let usual = left(&open.free) > before(&rows, order, now.since(position));
-            if !usual && !open.others() {
+            if !usual && !open.has_private_slots() {
                 break;
             }
             let pending = &self.waiting[&ticket];
@@ -103,34 +103,39 @@
             let ahead = ahead(candidate, load);
             candidate.left -= 1;
             candidate.unread += pending.work.prompt;
-            self.limits.take_token(endpoint.key());
-            self.begin(now, ticket, &endpoint, ahead, canary);
+            self.rate_limits.take_token(endpoint.key());
+            self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
         }
     }
 
-    fn open(&self, view: &View<'_>, service: &str, waiting: usize) -> Open {
+    fn open_endpoints(
+        &self,
+        view: &ClusterView<'_>,
+        service: &str,
+        waiting: usize,
+    ) -> OpenEndpoints {
         let mut free = self.candidates(view, view.registry.fit(service));
         let slots: u32 = free.iter().map(|it| it.left.saturating_sub(it.extra)).sum();
         // As more requests wait than there are free slots, fast endpoints' queues take some of them.
         if waiting <= slots as usize {
-            drop_extra(&mut free);
+            drop_queue_slots(&mut free);
         }
         let mut canaries = self.candidates(view, view.registry.canaries(service));
-        drop_extra(&mut canaries);
-        Open { free, canaries }
+        drop_queue_slots(&mut canaries);
+        OpenEndpoints { free, canaries }
     }
 
     // The endpoints with free places, as far as all instances' reports tell.
-    pub(super) fn free(&self, view: &View<'_>, service: &str) -> Vec<Candidate> {
+    pub(super) fn free_endpoints(&self, view: &ClusterView<'_>, service: &str) -> Vec<Candidate> {
         let mut free = self.candidates(view, view.registry.fit(service));
-        drop_extra(&mut free);
+        drop_queue_slots(&mut free);
         free
     }
 
     // Those of some endpoints that have free slots, or a place in the queue of a fast one.
-    fn candidates(&self, view: &View<'_>, endpoints: &[Arc<Endpoint>]) -> Vec<Candidate> {
-        let awake = self.awake(view.now, endpoints);
+    fn candidates(&self, view: &ClusterView<'_>, endpoints: &[Arc<Endpoint>]) -> Vec<Candidate> {
+        let awake = self.available(view.now, endpoints);
         if awake.is_empty() {
             return Vec::new();
         }
@@ -143,12 +148,12 @@
                 let key = endpoint.key();
                 let (others, theirs) = running.get(&key.short()).copied().unwrap_or_default();
                 let (count, ours) = self
-                    .counts
+                    .in_flight
                     .get(&key)
                     .map_or((0, 0), |busy| (u32::from(busy.count), busy.prefill_tokens));
                 let (places, extra) = self.places(endpoint);
                 let left = (places + extra).saturating_sub(count + others);
-                let tokens = self.limits.tokens(key);
+                let tokens = self.rate_limits.tokens(key);
                 let left = tokens.map_or(left, |tokens| left.min(tokens));
                 (left > 0).then(|| Candidate {
                     endpoint: endpoint.clone(),
@@ -167,15 +172,16 @@
     fn places(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
         if self.placing.unknown(key) {
-            let few = (endpoint.slots / TRIAL).max(FEWEST);
+            let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
             return (few.min(endpoint.slots), 0);
         }
-        let fast = self.placing.pace(key) <= FAST && self.limits.tokens(key).is_none();
+        let fast = self.placing.pace(key) <= MAX_FAST_SPEED_FACTOR
+            && self.rate_limits.tokens(key).is_none();
         (endpoint.slots, u32::from(fast))
     }
 
     // Those of some endpoints that do not rest.
-    pub(super) fn awake<'a>(
+    pub(super) fn available<'a>(
         &self,
         now: Millis,
         endpoints: &'a [Arc<Endpoint>],
@@ -186,12 +192,12 @@
             .collect()
     }
 
-    pub(super) fn begin(
+    pub(super) fn send_to(
         &mut self,
         now: Millis,
         ticket: Ticket,
         endpoint: &Arc<Endpoint>,
-        ahead: Ahead,
+        ahead: Backlog,
         canary: bool,
     ) {
         let Some(mut pending) = self.waiting.remove(&ticket) else {
@@ -203,13 +209,13 @@
         let key = endpoint.key();
         pending.tried.push(key);
         pending.canary = canary;
-        let busy = self.busy(key);
+        let busy = self.usage_mut(key);
         busy.count += 1;
         busy.prefill_tokens += pending.work.unread();
         let running = Running {
             pending,
             key,
-            sent: now,
+            sent_at: now,
             ahead,
             began: None,
         };
@@ -218,7 +224,7 @@
 }
 
 // Leaves only slots.
-fn drop_extra(candidates: &mut Vec<Candidate>) {
+fn drop_queue_slots(candidates: &mut Vec<Candidate>) {
     for candidate in candidates.iter_mut() {
         candidate.left = candidate.left.saturating_sub(candidate.extra);
         candidate.extra = 0;
@@ -227,12 +233,12 @@
 }
 
 // What goes before a request that is sent to a candidate now.
-fn ahead(candidate: &Candidate, load: Load) -> Ahead {
+fn ahead(candidate: &Candidate, load: LatencyModel) -> Backlog {
     let queued = candidate.left <= candidate.extra;
     let slots = u64::from(candidate.endpoint.slots.max(1));
-    Ahead {
-        unread: candidate.unread,
-        queued: Millis(if queued { load.stay().0 / slots } else { 0 }),
+    Backlog {
+        prompt_tokens: candidate.unread,
+        slot_wait: Millis(if queued { load.stay().0 / slots } else { 0 }),
     }
 }
 
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -17,7 +17,7 @@
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::Work;
-use siskinyoke_dispatch::latency_model::Load;
+use siskinyoke_dispatch::latency_model::LatencyModel;
 use siskinyoke_dispatch::peers::Peers;
 use siskinyoke_dispatch::placing::Candidate;
 use siskinyoke_dispatch::placing::Placing;
@@ -52,7 +52,7 @@
                 speed_factor: *pace,
                 ..busy(id, 0)
             };
-            world.scheduler.heard(&[told]);
+            world.scheduler.record_peer_usage(&[told]);
         }
         world
     }
@@ -94,7 +94,7 @@
     let long = world.admit(stream(1, 500.0, 600.0));
     let short = world.admit(stream(2, 100.0, 5.0));
     assert_eq!(world.started(2), [(short, "slow".to_owned())]);
-    world.scheduler.ended(Millis(200), first, done());
+    world.scheduler.attempt_ended(Millis(200), first, done());
     assert_eq!(world.started(200), [(long, "usual".to_owned())]);
 }
 
@@ -127,7 +127,7 @@
         let long = world.admit(stream(START + 1, 500.0, 60.0));
         let short = world.admit(stream(START + 1 + gap, 100.0, 5.0));
         let now = START + 2 + gap;
-        world.scheduler.ended(Millis(now), runs, done());
+        world.scheduler.attempt_ended(Millis(now), runs, done());
         let next = if short_first { short } else { long };
         assert_eq!(world.started(now)[0].0, next, "after {gap} ms");
     }
@@ -170,7 +170,7 @@
     assert_eq!(world.started(START).len(), 1);
     world
         .scheduler
-        .ended(Millis(START + 1), first, Outcome::Unreached);
+        .attempt_ended(Millis(START + 1), first, Outcome::Unreached);
     world.admit(stream(START + 2, 100.0, 5.0));
     assert_eq!(world.started(START + 2).len(), 0);
     assert_eq!(world.started(START + 250).len(), 1);
@@ -186,7 +186,7 @@
             ..endpoint(id, 12)
         };
         world.registry.put(Millis(0), far);
-        world.scheduler.heard(&[RunningRow {
+        world.scheduler.record_peer_usage(&[RunningRow {
             speed_factor: USUAL,
             ..busy(id, 0)
         }]);
@@ -203,7 +203,7 @@
 // was too long.
 #[test]
 fn a_stream_passes_by_an_endpoint_whose_streams_paused_lately() {
-    let load = Load::default();
+    let load = LatencyModel::default();
     let pending = stream(0, 100.0, 60.0);
     let query = Query {
         now: Millis(0),
@@ -237,18 +237,18 @@
 // A prompt of 6,000 tokens at a slow endpoint holds up all who are served there; an empty one holds up nobody.
 #[test]
 fn a_long_prompt_holds_up_no_streams_at_a_slow_endpoint() {
-    let mut load = Load::default();
+    let mut load = LatencyModel::default();
     for number in 0..100_u32 {
         let prompt = f64::from(number) * 100.0;
         let work = Work {
             prompt,
             output: 100.0,
         };
-        load.began(&work, Millis(50 + u64::from(number)));
-        load.paused(110.0);
+        load.record_first_part(&work, Millis(50 + u64::from(number)));
+        load.record_pause(110.0);
     }
-    assert!(load.stall(1_000.0) < load.stall(5_000.0));
-    assert!(load.stall(50_000.0) <= 110.0);
+    assert!(load.expected_pause(1_000.0) < load.expected_pause(5_000.0));
+    assert!(load.expected_pause(50_000.0) <= 110.0);
     let pending = stream(0, 8_000.0, 20.0);
     let query = Query {
         now: Millis(0),
@@ -281,9 +281,9 @@
 // fast endpoint, whose slots come free a moment later, it would have been.
 #[test]
 fn a_long_answer_waits_for_an_endpoint_that_is_fast_enough() {
-    let load = Load::default();
+    let load = LatencyModel::default();
     let pending = stream(0, 100.0, 1_500.0);
-    let whole = load.stay_of(&pending.work);
+    let whole = load.service_time_of(&pending.work);
     let left = Millis(whole.0 * 3 / 2);
     let pending = Pending {
         until: left,
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -57,7 +57,7 @@
     let early = admit(1, 1);
     let decisions = scheduler.decide(Millis(3), &registry, &peers);
     assert_eq!(started(&decisions), [urgent, early]);
-    scheduler.ended(Millis(10), urgent, done());
+    scheduler.attempt_ended(Millis(10), urgent, done());
     let decisions = scheduler.decide(Millis(10), &registry, &peers);
     assert_eq!(started(&decisions), [late]);
 }
@@ -71,7 +71,7 @@
     let mut told = report("peer", 1);
     told.running = vec![busy("e", 3)];
     let mut scheduler = Scheduler::new("me", "a");
-    scheduler.heard(&told.running);
+    scheduler.record_peer_usage(&told.running);
     peers.heard(Millis(0), told);
     for at in 0..3 {
         scheduler
@@ -148,7 +148,7 @@
     let fresh = scheduler
         .admit(Millis(601), pending(Kind::Safe, 1, 601), &registry, &peers)
         .unwrap();
-    scheduler.ended(Millis(602), runs, done());
+    scheduler.attempt_ended(Millis(602), runs, done());
     assert_eq!(
         started(&scheduler.decide(Millis(602), &registry, &peers)),
         [fresh]
@@ -304,11 +304,11 @@
         })
         .collect();
     assert_eq!(starts(&scheduler.decide(Millis(20), &registry, &peers)), 3);
-    scheduler.ended(Millis(60), tickets[0], done());
+    scheduler.attempt_ended(Millis(60), tickets[0], done());
     assert_eq!(starts(&scheduler.decide(Millis(60), &registry, &peers)), 9);
     // A pace that a peer saw counts as well.
     let mut other = Scheduler::new("me", "a");
-    other.heard(&[busy("e", 1)]);
+    other.record_peer_usage(&[busy("e", 1)]);
     for at in 0..12 {
         let pending = pending(Kind::Safe, 0, at);
         other.admit(Millis(at), pending, &registry, &peers).unwrap();
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -19,37 +19,37 @@
 const SLOTS: u32 = 6;
 
 /// How long a request or an answer is on its way, with what it waits for a small instance, in ms.
-const WAY: u64 = 10;
+const NETWORK_DELAY_MS: u64 = 10;
 
 /// How long a request runs at the fast endpoint, and at the usual one.
 const FAST: u64 = 100;
-const USUAL: u64 = 200;
+const USUAL_SERVICE_MS: u64 = 200;
 
 /// How long a full load is played, in ms.
-const LENGTH: u64 = 20_000;
+const DURATION_MS: u64 = 20_000;
 
 /// An endpoint that runs what arrives in order of arrival.
 struct Engine {
     name: &'static str,
-    takes: u64,
+    service_ms: u64,
     // Arrivals that are on their way or wait, with when they are there.
     queue: VecDeque<(u64, Ticket)>,
     // When each slot is free.
     slots: Vec<u64>,
     // Time in which slots ran something, and the longest wait for a slot.
-    ran: u64,
-    waited: u64,
+    busy_ms: u64,
+    max_wait: u64,
 }
 
 impl Engine {
     fn new(name: &'static str, takes: u64) -> Self {
         Self {
             name,
-            takes,
+            service_ms: takes,
             queue: VecDeque::new(),
             slots: vec![0; SLOTS as usize],
-            ran: 0,
-            waited: 0,
+            busy_ms: 0,
+            max_wait: 0,
         }
     }
 
@@ -61,10 +61,10 @@
             && let Some(slot) = self.slots.iter_mut().find(|it| **it <= now)
         {
             self.queue.pop_front();
-            *slot = now + self.takes;
-            self.ran += self.takes;
-            self.waited = self.waited.max(now - at);
-            done.push((now + self.takes + WAY, ticket));
+            *slot = now + self.service_ms;
+            self.busy_ms += self.service_ms;
+            self.max_wait = self.max_wait.max(now - at);
+            done.push((now + self.service_ms + NETWORK_DELAY_MS, ticket));
         }
         done
     }
@@ -82,13 +82,16 @@
     for (id, pace) in [("fast", 4), ("usual", 8)] {
         let mut row = busy(id, 0);
         row.speed_factor = pace;
-        scheduler.heard(&[row]);
+        scheduler.record_peer_usage(&[row]);
     }
     let peers = Peers::default();
-    let mut engines = [Engine::new("fast", FAST), Engine::new("usual", USUAL)];
+    let mut engines = [
+        Engine::new("fast", FAST),
+        Engine::new("usual", USUAL_SERVICE_MS),
+    ];
     let mut answers: Vec<(u64, Ticket)> = Vec::new();
-    for now in 1..LENGTH {
-        while scheduler.size().0 < 20 {
+    for now in 1..DURATION_MS {
+        while scheduler.request_counts().0 < 20 {
             let request = pending(Kind::Safe, 0, now);
             assert!(
                 scheduler
@@ -99,19 +102,22 @@
         let (back, rest) = answers.into_iter().partition(|it| it.0 <= now);
         answers = rest;
         for (_, ticket) in back {
-            scheduler.ended(Millis(now), ticket, outcome());
+            scheduler.attempt_ended(Millis(now), ticket, outcome());
         }
         for decision in scheduler.decide(Millis(now), &registry, &peers) {
             if let Decision::Start(ticket, endpoint) = decision {
                 let engine = engines.iter_mut().find(|it| it.name == &*endpoint.id);
-                engine.unwrap().queue.push_back((now + WAY, ticket));
+                engine
+                    .unwrap()
+                    .queue
+                    .push_back((now + NETWORK_DELAY_MS, ticket));
             }
         }
         answers.extend(engines.iter_mut().flat_map(|it| it.start(now)));
     }
-    let used = engines[0].ran * 100 / (LENGTH * u64::from(SLOTS));
+    let used = engines[0].busy_ms * 100 / (DURATION_MS * u64::from(SLOTS));
     assert!(used >= 92, "{used} in 100");
-    assert_eq!(engines[1].waited, 0, "at the usual endpoint");
+    assert_eq!(engines[1].max_wait, 0, "at the usual endpoint");
 }
 
 // Whole answers at the pace that peers told.
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -48,7 +48,7 @@
 /// Answers with the metrics page.
 pub fn metrics(shell: &Shell, _: &Request<Incoming>) -> Response<AnswerBody> {
     let core = shell.core.borrow();
-    let (waiting, running) = core.scheduler().size();
+    let (waiting, running) = core.scheduler().request_counts();
     shell.metrics.state("waiting", count(waiting));
     shell.metrics.state("running", count(running));
     shell
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -146,7 +146,7 @@
         }
         rate_limits::log_changes(shell);
         peer_api::catch_up(shell, from, revision);
-        if shell.core.borrow().scheduler().size().0 > 0 {
+        if shell.core.borrow().scheduler().request_counts().0 > 0 {
             shell.decide();
         }
     }
@@ -234,7 +234,7 @@
 
 fn pressed(shell: &Shell, now: Millis) -> bool {
     let core = shell.core.borrow();
-    core.scheduler().size().0 > 0
+    core.scheduler().request_counts().0 > 0
         || core
             .peers()
             .fresh(now)
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -32,7 +32,7 @@
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::core::Pass;
-use siskinyoke_dispatch::latency_model::Load;
+use siskinyoke_dispatch::latency_model::LatencyModel;
 use siskinyoke_interface::Verdict;
 
 /// The way back to the caller.
@@ -202,8 +202,8 @@
     }
 
     // How the service's requests fared lately.
-    fn load(&self) -> Load {
+    fn load(&self) -> LatencyModel {
         let core = self.shell.core.borrow();
-        core.scheduler().load(&self.pass.service)
+        core.scheduler().latency_model(&self.pass.service)
     }
 }
--- a/crates/siskinyoke-gateway/src/job/reading.rs
+++ b/crates/siskinyoke-gateway/src/job/reading.rs
@@ -21,7 +21,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::stall_timeout::PAUSE;
+use siskinyoke_dispatch::stall_timeout::STREAM_STALL_TIMEOUT;
 
 /// Bytes of a whole answer that are held before they are passed on.
 ///
@@ -130,7 +130,7 @@
                 permit.began();
             }
             seen.passed(self.shell.now(), self.events.count() - before);
-            silence = PAUSE;
+            silence = STREAM_STALL_TIMEOUT;
             self.pass_on(&parts, piece).await;
         }
         let rest = self.events.finish();
--- a/crates/siskinyoke-gateway/src/permit.rs
+++ b/crates/siskinyoke-gateway/src/permit.rs
@@ -7,7 +7,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::stall_timeout::PAUSE;
+use siskinyoke_dispatch::stall_timeout::STREAM_STALL_TIMEOUT;
 
 /// A request that waits, or one that runs on an endpoint.
 ///
@@ -55,8 +55,9 @@
     /// Returns how long the endpoint may stay silent.
     pub fn stall_timeout(&self) -> Millis {
         let core = self.shell.core.borrow();
-        self.ticket
-            .map_or(PAUSE, |ticket| core.scheduler().stall_timeout(ticket))
+        self.ticket.map_or(STREAM_STALL_TIMEOUT, |ticket| {
+            core.scheduler().stall_timeout(ticket)
+        })
     }
 
     /// Returns whether a try that stays silent may be given up for another endpoint.
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -197,7 +197,7 @@
     pub fn log_refusal(&self, request: Known<'_>, refusal: Refusal) {
         let now = self.now();
         let core = self.core.borrow();
-        let (waiting, running) = core.scheduler().size();
+        let (waiting, running) = core.scheduler().request_counts();
         let fields = json!({
             "id": request.id,
             "admitted": request.admitted,
@@ -260,7 +260,7 @@
         }
         lending::places(self);
         self.changed.notify_one();
-        if self.core.borrow().scheduler().size().0 > 0 {
+        if self.core.borrow().scheduler().request_counts().0 > 0 {
             self.queued.notify_one();
         }
     }
