--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -39,7 +39,7 @@
         let spent = report.quota_used.clone();
         self.scheduler.record_peer_usage(&report.running);
         let young = Millis(report.age) <= self.age(now) + TOGETHER;
-        match self.peers.heard(now, report) {
+        match self.peers.receive(now, report) {
             Received::Ignored => return false,
             Received::NewProcess(before) => {
                 if let Some(before) = before {
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -55,17 +55,17 @@
 #[derive(Debug, Default)]
 pub struct Peers {
     known: BTreeMap<u64, Peer>,
-    listed: usize,
+    listed_count: usize,
 }
 
 impl Peers {
     /// Takes note of how many instances there are by the store's list, this one included.
     pub fn set_listed_count(&mut self, count: usize) {
-        self.listed = count;
+        self.listed_count = count;
     }
 
     /// Takes in a report.
-    pub fn heard(&mut self, now: Millis, mut report: Report) -> Received {
+    pub fn receive(&mut self, now: Millis, mut report: Report) -> Received {
         let about = report.info.take();
         if let Some(peer) = self.known.get_mut(&report.source) {
             if peer.report.number >= report.number {
@@ -166,7 +166,7 @@
     /// 1 while every peer is heard. Cut off from all, it is one part of them all. The store's list
     /// counts too: a process that has just started hears nobody yet, and is not alone for that.
     pub fn fleet_share(&self, now: Millis) -> f64 {
-        let known = (self.known.len() + 1).max(self.listed);
+        let known = (self.known.len() + 1).max(self.listed_count);
         let heard = self.fresh(now).count() + 1;
         ratio(heard, known)
     }
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -15,11 +15,11 @@
 fn a_report_that_arrives_late_changes_nothing() {
     let mut peers = Peers::default();
     assert_eq!(
-        peers.heard(Millis(0), report("p", 5)),
+        peers.receive(Millis(0), report("p", 5)),
         Received::NewProcess(None)
     );
-    assert_eq!(peers.heard(Millis(1), report("p", 4)), Received::Ignored);
-    assert_eq!(peers.heard(Millis(1), report("p", 6)), Received::Update);
+    assert_eq!(peers.receive(Millis(1), report("p", 4)), Received::Ignored);
+    assert_eq!(peers.receive(Millis(1), report("p", 6)), Received::Update);
 }
 
 #[test]
@@ -29,7 +29,7 @@
         info: None,
         ..report("p", 1)
     };
-    assert_eq!(peers.heard(Millis(0), unnamed), Received::Ignored);
+    assert_eq!(peers.receive(Millis(0), unnamed), Received::Ignored);
     assert_eq!(peers.instance_count(Millis(0)), 1);
 }
 
@@ -48,12 +48,12 @@
         age: 50,
         ..report("p", 1)
     };
-    peers.heard(Millis(0), before.clone());
+    peers.receive(Millis(0), before.clone());
     assert_eq!(
-        peers.heard(Millis(100), after),
+        peers.receive(Millis(100), after),
         Received::NewProcess(Some(1))
     );
-    assert_eq!(peers.heard(Millis(120), before), Received::Ignored);
+    assert_eq!(peers.receive(Millis(120), before), Received::Ignored);
     assert_eq!(peers.instance_count(Millis(120)), 2);
 }
 
@@ -63,7 +63,7 @@
     peers.set_listed_count(4);
     assert!((peers.fleet_share(Millis(0)) - 0.25).abs() < 1e-9);
     for name in ["a", "b", "c"] {
-        peers.heard(Millis(0), report(name, 1));
+        peers.receive(Millis(0), report(name, 1));
     }
     assert!((peers.fleet_share(Millis(0)) - 1.0).abs() < 1e-9);
 }
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -72,7 +72,7 @@
     told.running = vec![busy("e", 3)];
     let mut scheduler = Scheduler::new("me", "a");
     scheduler.record_peer_usage(&told.running);
-    peers.heard(Millis(0), told);
+    peers.receive(Millis(0), told);
     for at in 0..3 {
         scheduler
             .admit(Millis(at), pending(Kind::Safe, 0, at), &registry, &peers)
@@ -97,7 +97,7 @@
         oldest_wait: 5,
         service_time: 200,
     }];
-    peers.heard(Millis(0), told);
+    peers.receive(Millis(0), told);
     let mut scheduler = Scheduler::new("me", "a");
     scheduler
         .admit(Millis(0), pending(Kind::Safe, 1, 0), &registry, &peers)
