--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -114,7 +114,7 @@
     // When those with a limit got any.
     limited_arrivals: Vec<u64>,
     /// Requests that were refused when they came.
-    pub refused: u64,
+    pub rejected: u64,
     /// Each broken promise, in words.
     pub violations: Vec<String>,
     /// Requests a second that the limited endpoint got while it named its limit.
@@ -143,7 +143,7 @@
             all_arrivals: Vec::new(),
             limited_arrivals: Vec::new(),
             limited_rate: 0.0,
-            refused: 0,
+            rejected: 0,
             violations: Vec::new(),
             checked_rate: 0.0,
             final_rate: 0.0,
@@ -199,7 +199,7 @@
         self.deliver();
     }
 
-    fn limited(&self, endpoint: &str) -> bool {
+    fn is_limited(&self, endpoint: &str) -> bool {
         let number: usize = endpoint[1..].parse().expect("a number");
         number < self.scenario.limited_endpoints
     }
@@ -249,7 +249,7 @@
             let core = &mut self.cores[at];
             let pass = core.pass(now, wanted).expect("the route is known");
             let admitted = core.admit(now, &pass, self.now);
-            self.refused += u64::from(admitted.is_err());
+            self.rejected += u64::from(admitted.is_err());
         }
     }
 
@@ -264,7 +264,7 @@
                 });
         self.running = left;
         for run in over {
-            let named = self.limited(&run.endpoint) && LIMIT_NAMED_MS.contains(&run.ends_ms);
+            let named = self.is_limited(&run.endpoint) && LIMIT_NAMED_MS.contains(&run.ends_ms);
             let core = &mut self.cores[run.instance];
             let rate = named.then_some(self.scenario.limit_rate);
             let answering = endpoint(&run.endpoint, SLOTS_PER_ENDPOINT);
@@ -321,7 +321,7 @@
             ends_ms: self.now + SERVICE_TIME_MS,
             lender,
         });
-        if self.limited(&endpoint.id) {
+        if self.is_limited(&endpoint.id) {
             self.limited_arrivals.push(self.now);
         }
         if &*endpoint.id == CHECKED_ENDPOINT {
