--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -61,7 +61,7 @@
 
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
     pub fn needs(&mut self, now: Millis) -> Vec<(Ticket, BorrowRequest)> {
-        if !self.registry.divided() && self.scheduler.limits().active_count() == 0 {
+        if !self.registry.divided() && self.scheduler.rate_limits().active_count() == 0 {
             return Vec::new();
         }
         let view = ClusterView {
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -139,7 +139,7 @@
 fn bad(outcome: Outcome, pending: &Pending, load: LatencyModel) -> Option<bool> {
     match outcome {
         Outcome::Failed | Outcome::Broken | Outcome::Silent => Some(true),
-        Outcome::Done { took, parts: 0, .. } => Some(slow(took, load.stay())),
+        Outcome::Done { took, parts: 0, .. } => Some(slow(took, load.mean_service_time())),
         Outcome::Done {
             first, took, parts, ..
         } => {
--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -81,10 +81,10 @@
             configuration: self.version(),
             revision: self.view.revision,
             store_reachable: self.view.reaches,
-            running: self.scheduler.counts(),
+            running: self.scheduler.endpoint_usage(),
             waiting: self.scheduler.queue_summary(now),
             quota_used: self.quotas.usage(since),
-            limits: self.scheduler.limits().report_rows(now, since),
+            limits: self.scheduler.rate_limits().report_rows(now, since),
             canaries: self.canaries(now),
             info: whole.then(|| self.about(now)),
         }
--- a/crates/siskinyoke-dispatch/src/forecast.rs
+++ b/crates/siskinyoke-dispatch/src/forecast.rs
@@ -19,13 +19,14 @@
     /// Places, each counted by its endpoint's pace.
     pub capacity: f64,
     /// Places that the requests keep busy which go before this one and are still to arrive.
-    pub before: f64,
+    pub future_demand: f64,
 }
 
 impl WaitForecast {
     /// Returns how long a request waits behind so much work, in ms of one place of the usual pace.
     pub fn wait(&self, queued_ms: f64) -> Millis {
-        let available = (self.capacity - self.before).max(self.capacity * MIN_CAPACITY_RATIO);
+        let available =
+            (self.capacity - self.future_demand).max(self.capacity * MIN_CAPACITY_RATIO);
         millis_from_f64(queued_ms / available.max(MIN_CAPACITY_RATIO))
     }
 }
--- a/crates/siskinyoke-dispatch/src/latency_model.rs
+++ b/crates/siskinyoke-dispatch/src/latency_model.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns the usual time on an endpoint.
-    pub fn stay(&self) -> Millis {
+    pub fn mean_service_time(&self) -> Millis {
         millis_from_f64(self.service_time)
     }
 
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placing.rs
@@ -244,7 +244,8 @@
         let unread = pending.work.behind(candidate.unread);
         let first = load.first_part_time(&unread);
         let delay = first.since(load.first_part_time(&pending.work));
-        let time = time + pace * millis_to_f64(delay) / millis_to_f64(load.stay()).max(1.0);
+        let time =
+            time + pace * millis_to_f64(delay) / millis_to_f64(load.mean_service_time()).max(1.0);
         let begins = millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * pace;
         let held = health.map_or(0.0, Health::held);
         let pauses = load.expected_parts(&pending.work) > SHORT && held > HELD;
--- a/crates/siskinyoke-dispatch/src/regression.rs
+++ b/crates/siskinyoke-dispatch/src/regression.rs
@@ -4,7 +4,7 @@
 ///
 /// A fiftieth follows the last fifty: an instance sees as many requests of a busy service in one to three
 /// seconds, and fewer leave the slope to chance, as prompts differ a hundredfold.
-const WEIGHT: f64 = 0.02;
+const MIN_WEIGHT: f64 = 0.02;
 
 /// How many times the expected value an observation counts for at most.
 ///
@@ -43,7 +43,7 @@
     pub fn record(&mut self, x: f64, y: f64) {
         let y = y.min((self.predict(x) * OUTLIER_RATIO).max(MIN_OUTLIER_MS));
         self.samples += 1.0;
-        let weight = (1.0 / self.samples).max(WEIGHT);
+        let weight = (1.0 / self.samples).max(MIN_WEIGHT);
         let follow = |mean: &mut f64, value: f64| *mean += (value - *mean) * weight;
         follow(&mut self.mean_x, x);
         follow(&mut self.mean_y, y);
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -61,9 +61,9 @@
     key: EndpointKey,
     sent_at: Millis,
     // What went before it at its endpoint when it was sent.
-    ahead: Backlog,
+    backlog: Backlog,
     // When the first part of its answer came.
-    began: Option<Millis>,
+    first_part_at: Option<Millis>,
 }
 
 // What goes before a request at its endpoint.
@@ -98,11 +98,11 @@
     // Places given to other shards, by the question that asked for each.
     lent_slots: Map<u64, lending::LentSlot>,
     // When other shards were last asked for a place, by request, and what they said, by service.
-    asked: Map<Ticket, Millis>,
+    last_queries: Map<Ticket, Millis>,
     last_replies: Map<Arc<str>, lending::LastReply>,
     // When holders of rate limits last had no token, by service.
     token_refusals: Map<Arc<str>, Millis>,
-    last: u64,
+    last_ticket: u64,
 }
 
 impl Scheduler {
@@ -127,7 +127,7 @@
         registry: &Registry,
         peers: &Peers,
     ) -> Result<Ticket, Refusal> {
-        let places = places(&pending.service, registry);
+        let places = slot_count(&pending.service, registry);
         if places == 0 {
             return Err(Refusal {
                 reason: RefusalReason::NoEndpoint,
@@ -182,7 +182,7 @@
         let services: Vec<Arc<str>> = self.queues.keys().cloned().collect();
         for service in services {
             self.start_waiting(&view, &service, &mut decisions);
-            self.expire(&view, &service, &mut decisions);
+            self.refuse_expired(&view, &service, &mut decisions);
         }
         self.queues.retain(|_, queue| !queue.is_empty());
         decisions
@@ -199,11 +199,11 @@
             mut pending,
             key,
             sent_at,
-            began,
+            first_part_at,
             ..
         } = self.running.remove(&ticket)?;
         pending.sent += u32::from(outcome != Outcome::Unreached);
-        if began.is_none() {
+        if first_part_at.is_none() {
             self.drop_unread(key, &pending);
         }
         if let Some(busy) = self.in_flight.get_mut(&key) {
@@ -218,7 +218,7 @@
             pause,
         } = outcome
         {
-            if began.is_none() {
+            if first_part_at.is_none() {
                 self.record_first_part(key, &pending, now.since(sent_at));
             }
             self.record_remaining_parts(key, &pending, took.since(first), parts, pause);
@@ -229,11 +229,11 @@
     }
 
     /// Takes note that the first part of a request's answer came.
-    pub fn began(&mut self, now: Millis, ticket: Ticket) {
+    pub fn first_part_at(&mut self, now: Millis, ticket: Ticket) {
         let Some(running) = self.running.get_mut(&ticket) else {
             return;
         };
-        running.began = Some(now);
+        running.first_part_at = Some(now);
         let (key, first) = (running.key, now.since(running.sent_at));
         let pending = running.pending.clone();
         self.drop_unread(key, &pending);
@@ -248,13 +248,13 @@
         let Running {
             pending,
             key,
-            ahead,
+            backlog,
             ..
         } = running;
         let usual = self
             .latency_model(&pending.service)
-            .first_part_time(&pending.work.behind(ahead.prompt_tokens))
-            + ahead.slot_wait;
+            .first_part_time(&pending.work.behind(backlog.prompt_tokens))
+            + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
             millis_to_f64(usual) * self.placing.pace(*key),
         ))
@@ -266,7 +266,7 @@
             return;
         };
         if let Some(queue) = self.queues.get_mut(&pending.service) {
-            queue.remove(place(ticket, &pending));
+            queue.remove(queue_key(ticket, &pending));
         }
     }
 
@@ -309,7 +309,7 @@
     }
 
     /// Returns this instance's requests at each endpoint.
-    pub fn counts(&self) -> Vec<RunningRow> {
+    pub fn endpoint_usage(&self) -> Vec<RunningRow> {
         let counts = self.in_flight.iter().map(|(key, busy)| RunningRow {
             speed_factor: self.placing.tell(*key),
             ..*busy
@@ -357,16 +357,16 @@
     }
 
     fn enqueue(&mut self, pending: Pending) -> Ticket {
-        self.last += 1;
-        let ticket = Ticket(self.last);
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
         let queue = self.queues.entry(pending.service.clone()).or_default();
-        queue.push(place(ticket, &pending));
+        queue.push(queue_key(ticket, &pending));
         self.waiting.insert(ticket, pending);
         ticket
     }
 }
 
-fn places(service: &str, registry: &Registry) -> u32 {
+fn slot_count(service: &str, registry: &Registry) -> u32 {
     registry
         .fit(service)
         .iter()
@@ -374,6 +374,6 @@
         .sum()
 }
 
-fn place(ticket: Ticket, pending: &Pending) -> QueueKey {
+fn queue_key(ticket: Ticket, pending: &Pending) -> QueueKey {
     (pending.order(), pending.position, ticket)
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -5,7 +5,7 @@
 use super::ClusterView;
 use super::Decision;
 use super::Scheduler;
-use super::place;
+use super::queue_key;
 use crate::Pending;
 use crate::Refusal;
 use crate::RefusalReason;
@@ -14,7 +14,7 @@
 use crate::wait;
 
 impl Scheduler {
-    pub(super) fn expire(
+    pub(super) fn refuse_expired(
         &mut self,
         view: &ClusterView<'_>,
         service: &Arc<str>,
@@ -36,7 +36,7 @@
         if wait::all_tried(pending, view.registry.fit(&pending.service)) {
             return Some(Refusal {
                 reason: RefusalReason::NoEndpoint,
-                retry_after: load.stay(),
+                retry_after: load.mean_service_time(),
             });
         }
         let waited = view.now.since(pending.arrived);
@@ -89,8 +89,8 @@
         let Some(queue) = self.queues.get_mut(&pending.service) else {
             return;
         };
-        queue.remove(place(ticket, pending));
+        queue.remove(queue_key(ticket, pending));
         pending.late = true;
-        queue.push(place(ticket, pending));
+        queue.push(queue_key(ticket, pending));
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -10,7 +10,7 @@
 use super::Backlog;
 use super::ClusterView;
 use super::Scheduler;
-use super::starting::left;
+use super::starting::shared_slots;
 use crate::BorrowRequest;
 use crate::Endpoint;
 use crate::EndpointKey;
@@ -31,7 +31,7 @@
 /// How long a request waits before other shards are asked for a place.
 ///
 /// Places of the own shard come free all the time, and reports of them take some ten milliseconds.
-const PAUSE: Millis = Millis(10);
+const BORROW_DELAY: Millis = Millis(10);
 
 /// How often other shards are asked for a place for the same request.
 const BORROW_INTERVAL: Millis = Millis(40);
@@ -68,7 +68,7 @@
 /// Whether other shards had a place for a service's request, and when they said so.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LastReply {
-    at: Millis,
+    received_at: Millis,
     granted: bool,
 }
 
@@ -92,9 +92,10 @@
             needs.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(need))));
         }
         let waiting = &self.waiting;
-        self.asked.retain(|ticket, _| waiting.contains_key(ticket));
+        self.last_queries
+            .retain(|ticket, _| waiting.contains_key(ticket));
         for (ticket, _) in &needs {
-            self.asked.insert(*ticket, now);
+            self.last_queries.insert(*ticket, now);
         }
         needs
     }
@@ -116,7 +117,7 @@
         let candidates = self.free_endpoints(view, &service);
         let awake = self.available(view.now, view.registry.fit(&service));
         let all: u32 = awake.iter().map(|it| it.slots).sum();
-        if left(&candidates) <= all / RESERVED_SLOTS_DIVISOR + 1 {
+        if shared_slots(&candidates) <= all / RESERVED_SLOTS_DIVISOR + 1 {
             return None;
         }
         let load = self.latency_model(&service);
@@ -185,7 +186,7 @@
             return false;
         }
         let found = LastReply {
-            at: now,
+            received_at: now,
             granted: true,
         };
         self.last_replies.insert(pending.service.clone(), found);
@@ -197,7 +198,7 @@
     pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
         if let Some(pending) = self.waiting.get(&ticket) {
             let nothing = LastReply {
-                at: now,
+                received_at: now,
                 granted: false,
             };
             self.last_replies.insert(pending.service.clone(), nothing);
@@ -225,15 +226,15 @@
     // Whether others are to be asked for a place for a request now.
     fn borrow_due(&self, now: Millis, ticket: Ticket) -> bool {
         let pending = &self.waiting[&ticket];
-        let asked = self.asked.get(&ticket);
+        let asked = self.last_queries.get(&ticket);
         let again = asked.is_none_or(|at| now.since(*at) >= BORROW_INTERVAL);
-        again && (pending.pressed || now.since(pending.arrived) >= PAUSE)
+        again && (pending.pressed || now.since(pending.arrived) >= BORROW_DELAY)
     }
 
     // Whether other shards are taken to have no place.
     pub(super) fn recently_declined(&self, now: Millis, service: &str) -> bool {
         let last = self.last_replies.get(service);
-        last.is_some_and(|it| !it.granted && now.since(it.at) < DECLINED_BACKOFF)
+        last.is_some_and(|it| !it.granted && now.since(it.received_at) < DECLINED_BACKOFF)
     }
 }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -20,7 +20,7 @@
 
 impl Scheduler {
     /// Returns the rate limits that are known.
-    pub fn limits(&self) -> &RateLimits {
+    pub fn rate_limits(&self) -> &RateLimits {
         &self.rate_limits
     }
 
@@ -94,7 +94,7 @@
         let slots = f64::from(endpoint.slots) / self.placing.pace(key);
         let limit = self.rate_limits.shard_rate(key);
         limit.map_or(slots, |rate| {
-            slots.min(rate * millis_to_f64(load.stay()) / MS_PER_SECOND)
+            slots.min(rate * millis_to_f64(load.mean_service_time()) / MS_PER_SECOND)
         })
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -7,7 +7,7 @@
 use super::Decision;
 use super::Running;
 use super::Scheduler;
-use super::place;
+use super::queue_key;
 use crate::Endpoint;
 use crate::Ticket;
 use crate::latency_model::LatencyModel;
@@ -84,7 +84,7 @@
         for (order, position, ticket) in waiting {
             // Peers' more urgent requests wait for endpoints of a usual pace, so slow ones are not left to
             // them.
-            let usual = left(&open.free) > before(&rows, order, now.since(position));
+            let usual = shared_slots(&open.free) > before(&rows, order, now.since(position));
             if !usual && !open.has_private_slots() {
                 break;
             }
@@ -204,7 +204,7 @@
             return;
         };
         if let Some(queue) = self.queues.get_mut(&pending.service) {
-            queue.remove(place(ticket, &pending));
+            queue.remove(queue_key(ticket, &pending));
         }
         let key = endpoint.key();
         pending.tried.push(key);
@@ -216,8 +216,8 @@
             pending,
             key,
             sent_at: now,
-            ahead,
-            began: None,
+            backlog: ahead,
+            first_part_at: None,
         };
         self.running.insert(ticket, running);
     }
@@ -238,12 +238,16 @@
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
         prompt_tokens: candidate.unread,
-        slot_wait: Millis(if queued { load.stay().0 / slots } else { 0 }),
+        slot_wait: Millis(if queued {
+            load.mean_service_time().0 / slots
+        } else {
+            0
+        }),
     }
 }
 
 // Counts the free places of a usual pace that peers may use, too.
-pub(super) fn left(candidates: &[Candidate]) -> u32 {
+pub(super) fn shared_slots(candidates: &[Candidate]) -> u32 {
     let usual = candidates.iter().filter(|it| !it.slow && !it.reserved);
     usual.map(|candidate| candidate.left).sum()
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -25,7 +25,7 @@
             .overloads
             .entry((pending.service.clone(), pending.rank));
         let lasted = window.or_default().record_refusal(now);
-        wait::spread(wait.max(lasted).max(MIN_RETRY_AFTER), pending)
+        wait::with_jitter(wait.max(lasted).max(MIN_RETRY_AFTER), pending)
     }
 
     // Whether a request is expected to be on time, were it to join its queue now.
@@ -89,7 +89,7 @@
         let instances = u32::try_from(view.peers.instance_count(view.now)).unwrap_or(u32::MAX);
         WaitForecast {
             capacity: capacity.sum(),
-            before: before * f64::from(instances),
+            future_demand: before * f64::from(instances),
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/stall_timeout.rs
+++ b/crates/siskinyoke-dispatch/src/stall_timeout.rs
@@ -22,6 +22,6 @@
 ///
 /// Held against the mean of a service instead, endpoints that read long prompts are given up
 /// halfway, and the next one begins anew.
-pub fn first_part_timeout(first: Millis) -> Millis {
-    millis_from_f64(millis_to_f64(first) * STALL_RATIO).max(MIN_STALL_TIMEOUT)
+pub fn first_part_timeout(expected: Millis) -> Millis {
+    millis_from_f64(millis_to_f64(expected) * STALL_RATIO).max(MIN_STALL_TIMEOUT)
 }
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -45,14 +45,14 @@
 /// waits only as long as its answer can still be on time, whatever its rank: served first come first
 /// served, urgent work is all late in a peak.
 pub(crate) fn queue_timeout(pending: &Pending, load: LatencyModel) -> Millis {
-    let whole = longest(pending, load);
+    let whole = max_wait(pending, load);
     if is_retry(pending) {
         return whole;
     }
     let response_time = if pending.route.kind == Kind::Stream {
         load.first_part_time(&pending.work)
     } else {
-        load.stay()
+        load.mean_service_time()
     };
     let slack = pending
         .route
@@ -67,12 +67,15 @@
 /// Returns how long a request may wait whose answer will be late: half of its time, so that its
 /// caller has the other half to come back in.
 pub(crate) fn late_timeout(pending: &Pending, load: LatencyModel) -> Millis {
-    Millis(pending.until.since(pending.arrived).0 / 2).min(longest(pending, load))
+    Millis(pending.until.since(pending.arrived).0 / 2).min(max_wait(pending, load))
 }
 
 // The longest wait after which the caller is still there for the answer.
-pub(crate) fn longest(pending: &Pending, load: LatencyModel) -> Millis {
-    let whole = pending.until.since(pending.arrived).since(load.stay());
+pub(crate) fn max_wait(pending: &Pending, load: LatencyModel) -> Millis {
+    let whole = pending
+        .until
+        .since(pending.arrived)
+        .since(load.mean_service_time());
     whole.min(
         pending
             .route
@@ -93,6 +96,6 @@
 
 // Spreads returns over half as much time again, so that callers refused together do not return
 // together.
-pub(crate) fn spread(after: Millis, pending: &Pending) -> Millis {
+pub(crate) fn with_jitter(after: Millis, pending: &Pending) -> Millis {
     after + Millis(after.0 * (pending.fingerprint % 64) / 128)
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -557,7 +557,7 @@
                 self.violations.push(text);
             }
             self.seen_versions[at] = version;
-            for busy in core.scheduler().counts() {
+            for busy in core.scheduler().endpoint_usage() {
                 if u32::from(busy.count) > SLOTS_PER_ENDPOINT {
                     let text = format!("i{at} runs {} at {}", busy.count, busy.endpoint);
                     self.violations.push(text);
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -461,7 +461,13 @@
     };
     let given = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Slot(need));
     assert!(matches!(given, Grant::Slot(_)), "{given:?}");
-    let count = |core: &Core| -> u16 { core.scheduler().counts().iter().map(|it| it.count).sum() };
+    let count = |core: &Core| -> u16 {
+        core.scheduler()
+            .endpoint_usage()
+            .iter()
+            .map(|it| it.count)
+            .sum()
+    };
     assert_eq!(count(&fleet.cores[0]), 1);
     fleet.cores[0].sweep(Millis(4_100));
     assert_eq!(count(&fleet.cores[0]), 0);
--- a/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
@@ -208,7 +208,7 @@
     core.decide(Millis(10_000));
     for at in 0..16 {
         let named = endpoint(&format!("e{at}"), 4);
-        let tokens = core.scheduler().limits().tokens(named.key());
+        let tokens = core.scheduler().rate_limits().tokens(named.key());
         let mine = own.contains(&named.id.to_string());
         assert_eq!(tokens, Some(u32::from(mine)), "{}", named.id);
     }
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -22,7 +22,7 @@
 const NETWORK_DELAY_MS: u64 = 10;
 
 /// How long a request runs at the fast endpoint, and at the usual one.
-const FAST: u64 = 100;
+const FAST_SERVICE_MS: u64 = 100;
 const USUAL_SERVICE_MS: u64 = 200;
 
 /// How long a full load is played, in ms.
@@ -86,7 +86,7 @@
     }
     let peers = Peers::default();
     let mut engines = [
-        Engine::new("fast", FAST),
+        Engine::new("fast", FAST_SERVICE_MS),
         Engine::new("usual", USUAL_SERVICE_MS),
     ];
     let mut answers: Vec<(u64, Ticket)> = Vec::new();
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -59,7 +59,7 @@
         .state("store", f64::from(u8::from(core.stored())));
     let watching = f64::from(u8::from(shell.watching.get()));
     shell.metrics.state("watching", watching);
-    let limits = core.scheduler().limits().active_count();
+    let limits = core.scheduler().rate_limits().active_count();
     shell.metrics.state("limited_endpoints", count(limits));
     let age = shell.now().since(shell.heard.get());
     shell.metrics.state("store_age_seconds", age.as_secs());
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -61,7 +61,7 @@
             };
             return self.refused(Refusal {
                 reason,
-                retry_after: self.load().stay(),
+                retry_after: self.load().mean_service_time(),
             });
         }
         self.tell(self.failure(Code::Broken));
@@ -77,7 +77,7 @@
         } else {
             self.refused(Refusal {
                 reason: RefusalReason::QueueTimeout,
-                retry_after: self.load().stay(),
+                retry_after: self.load().mean_service_time(),
             });
         }
     }
