--- a/crates/siskinyoke-dispatch/src/message.rs
+++ b/crates/siskinyoke-dispatch/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances send to each other.
+//! Messages that instances send to each other.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,74 +9,75 @@
 /// One datagram between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// How the sender stands.
+    /// The sender's current state.
     Report(Box<Report>),
-    /// Asks an instance of another shard for something that the sender's shard lacks just now; the number
-    /// names the question in its answer.
+    /// Asks an instance for a slot or quota that the sender cannot provide itself.
+    ///
+    /// The number identifies the request in the reply.
     Borrow(u64, BorrowRequest),
-    /// Answers a question.
+    /// Replies to the borrow request with this number.
     Lend(u64, Grant),
-    /// Returns a place that was given in answer to a question.
+    /// Returns the slot that was lent in reply to the borrow request with this number.
     Return(u64),
 }
 
-/// What an instance asks another shard for.
+/// What an instance asks another one to lend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BorrowRequest {
-    /// Units of an organisation's quota.
+    /// Units of an organisation's quota, from another shard.
     Units(UnitsRequest),
-    /// A place at an endpoint for one request, from another shard.
+    /// A slot at an endpoint for one request, from another shard.
     #[serde(rename = "Place")]
     Slot(SlotRequest),
-    /// A place at an endpoint whose rate limit the receiver holds a part of, from an instance of the same shard.
+    /// A slot at an endpoint of the sender's shard, from an instance that holds part of the endpoint's rate limit.
     #[serde(rename = "Reserved")]
     RateLimitedSlot(SlotRequest),
 }
 
-/// Units of an organisation's quota that are asked for.
+/// A request to borrow units of an organisation's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnitsRequest {
-    /// The organisation, hashed.
+    /// The hash of the organisation's name.
     pub organisation: u32,
-    /// How many.
+    /// The number of units.
     pub units: u64,
 }
 
-/// A request for which a place is asked.
+/// A request to borrow a slot for one pending request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Its service, hashed.
+    /// The hash of the service's name.
     pub service: u32,
-    /// Whether its answer comes as events.
+    /// Whether the response is an event stream.
     pub stream: bool,
-    /// Tokens of prompt.
+    /// The number of prompt tokens.
     #[serde(rename = "prompt")]
     pub prompt_tokens: u32,
-    /// Tokens of output that are expected.
+    /// The expected number of output tokens.
     #[serde(rename = "output")]
     pub output_tokens: u32,
-    /// Its latency objective, in ms.
+    /// The latency objective, in ms.
     #[serde(rename = "aim")]
     pub latency_target: u32,
-    /// The longest pause between two events, in ms.
+    /// The longest acceptable pause between two events, in ms.
     #[serde(rename = "gap")]
     pub gap_target: u32,
-    /// How long it has waited, in ms.
+    /// How long the request has waited so far, in ms.
     pub waited: u32,
-    /// How long its caller goes on waiting, in ms.
+    /// How much longer the caller is willing to wait, in ms.
     #[serde(rename = "left")]
     pub remaining_wait: u32,
 }
 
-/// What another shard gives.
+/// The reply to a borrow request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// Nothing: it has none to spare.
+    /// The lender has nothing to spare.
     #[serde(rename = "Nothing")]
     Denied,
-    /// So many units, which it has taken off its own part.
+    /// Quota units, already deducted from the lender's share.
     Units(u64),
-    /// A place at this endpoint, counted as taken until it is returned.
+    /// A slot at this endpoint, which the lender counts as occupied until it is returned.
     #[serde(rename = "Place")]
     Slot(EndpointKey),
 }
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other instances, as their reports show them.
+//! The other instances of the shard, as known from their reports.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,20 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// How old a report may be before its sender's running requests are no longer counted.
+/// The age at which a report's running requests are no longer counted.
 ///
-/// Idle instances report ten times a second, so this is four lost reports in a row.
+/// Idle instances report ten times a second, so this tolerates four lost reports in a row.
 const REPORT_TTL: Millis = Millis(450);
 
-/// How old a report may be before its sender's waiting requests are no longer given way to.
+/// The age at which a report's waiting requests no longer take precedence over local ones.
 ///
-/// Under pressure reports come every ten or twenty ms. A place left free for a peer that does not
-/// take it is lost for this time at most.
+/// Under load reports arrive every 10 to 20 ms. A slot left free for a peer that does not use it
+/// stays idle for at most this long.
 const QUEUE_TTL: Millis = Millis(80);
 
-/// How long a silent instance is remembered as one that may go on alone.
+/// How long an unresponsive peer still counts as part of the fleet.
+///
+/// It may be partitioned and still be admitting requests.
 const PEER_RETENTION: Millis = Millis::from_secs(12);
 
 /// One peer.
@@ -27,115 +29,118 @@
 pub struct Peer {
     /// Its latest report.
     pub report: Report,
-    /// What it told last of itself.
+    /// The latest information that it sent about itself.
     pub info: InstanceInfo,
-    /// When that came.
+    /// When the latest report arrived.
     pub received_at: Millis,
 }
 
 impl Peer {
-    /// Returns whether the peer is heard of at present.
+    /// Returns whether the latest report is recent enough to count.
     pub fn is_fresh(&self, now: Millis) -> bool {
         now.since(self.received_at) <= REPORT_TTL
     }
 }
 
-/// What a new report brought.
+/// The effect of an incoming report.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Received {
-    /// Nothing: it is older than what is known, or from a peer that has not said who it is.
+    /// None: the report is outdated, or its sender has not identified itself yet.
     Ignored,
-    /// The next report of a known peer.
+    /// It updated a known peer.
     Update,
-    /// The first report of a peer's start; the start before it, if any, is over.
+    /// It is the first from a new process, which replaces the previous process of that name with this
+    /// source, if any.
     NewProcess(Option<u64>),
 }
 
-/// The other instances, as their reports show them.
+/// The other instances of the shard, as known from their reports.
 #[derive(Debug, Default)]
 pub struct Peers {
-    known: BTreeMap<u64, Peer>,
+    by_source: BTreeMap<u64, Peer>,
     listed_count: usize,
 }
 
 impl Peers {
-    /// Takes note of how many instances there are by the store's list, this one included.
+    /// Sets the size of the fleet according to the store, including this instance.
     pub fn set_listed_count(&mut self, count: usize) {
         self.listed_count = count;
     }
 
-    /// Takes in a report.
+    /// Records a report.
     pub fn receive(&mut self, now: Millis, mut report: Report) -> Received {
-        let about = report.info.take();
-        if let Some(peer) = self.known.get_mut(&report.source) {
+        let info = report.info.take();
+        if let Some(peer) = self.by_source.get_mut(&report.source) {
             if peer.report.number >= report.number {
                 return Received::Ignored;
             }
-            peer.info = about.unwrap_or_else(|| peer.info.clone());
+            peer.info = info.unwrap_or_else(|| peer.info.clone());
             peer.report = report;
             peer.received_at = now;
             return Received::Update;
         }
-        let Some(about) = about else {
+        let Some(info) = info else {
             return Received::Ignored;
         };
-        let before = self
-            .known
+        let previous = self
+            .by_source
             .values()
-            .find(|peer| peer.info.name == about.name);
-        // The last report of the start before may come late. Ages tell the two apart, and need
-        // no time of day, which may step back between two starts.
-        if before.is_some_and(|peer| peer.is_fresh(now) && peer.report.age < report.age) {
+            .find(|peer| peer.info.name == info.name);
+        // The last report of the previous process may arrive late. The process age tells the two
+        // apart without a wall clock, which may step back between two starts.
+        if previous.is_some_and(|peer| peer.is_fresh(now) && peer.report.age < report.age) {
             return Received::Ignored;
         }
-        let before = before.map(|peer| peer.report.source);
-        if let Some(source) = before {
-            self.known.remove(&source);
+        let previous = previous.map(|peer| peer.report.source);
+        if let Some(source) = previous {
+            self.by_source.remove(&source);
         }
-        self.known.insert(
+        self.by_source.insert(
             report.source,
             Peer {
                 report,
-                info: about,
+                info,
                 received_at: now,
             },
         );
-        Received::NewProcess(before)
+        Received::NewProcess(previous)
     }
 
-    /// Keeps the peers whose name belongs to this instance's shard.
+    /// Keeps only the peers whose name belongs to this instance's shard.
     pub fn retain(&mut self, in_shard: impl Fn(&str) -> bool) {
-        self.known.retain(|_, peer| in_shard(&peer.info.name));
+        self.by_source.retain(|_, peer| in_shard(&peer.info.name));
     }
 
-    /// Forgets a peer that is none of this instance's shard.
+    /// Removes a peer that belongs to another shard.
     pub fn remove(&mut self, source: u64) {
-        self.known.remove(&source);
+        self.by_source.remove(&source);
     }
 
-    /// Drops peers that left, or that were silent for long, and returns their sources.
+    /// Removes peers that shut down or were unresponsive for too long, and returns their sources.
     pub fn sweep(&mut self, now: Millis) -> Vec<u64> {
-        let mut gone = Vec::new();
-        self.known.retain(|_, peer| {
-            let silent = now.since(peer.received_at);
-            let keep = silent < PEER_RETENTION && !(peer.report.leaving && silent > REPORT_TTL);
+        let mut removed = Vec::new();
+        self.by_source.retain(|_, peer| {
+            let silence = now.since(peer.received_at);
+            let keep = silence < PEER_RETENTION && !(peer.report.leaving && silence > REPORT_TTL);
             if !keep {
-                gone.push(peer.report.source);
+                removed.push(peer.report.source);
             }
             keep
         });
-        gone
+        removed
     }
 
-    /// Returns the peers that are heard at present.
+    /// Returns the peers whose latest report is recent enough to count.
     pub fn fresh(&self, now: Millis) -> impl Iterator<Item = &Peer> {
-        self.known.values().filter(move |peer| peer.is_fresh(now))
+        self.by_source
+            .values()
+            .filter(move |peer| peer.is_fresh(now))
     }
 
-    /// Returns the requests that peers run at each endpoint, by shortened key, and their prompt tokens still to be
-    /// read.
+    /// Returns the number of requests that peers run at each endpoint and their pending prefill tokens, by short key.
     ///
-    /// Summed up once a decision: looking through all reports for each endpoint grows with the square of them.
+    /// Computed once per decision: searching all reports for each endpoint would grow with the square of
+    /// their number.
     pub fn running_by_endpoint(&self, now: Millis) -> Map<u32, (u32, u32)> {
         let mut sums: Map<u32, (u32, u32)> = Map::default();
         for row in self.fresh(now).flat_map(|peer| &peer.report.running) {
@@ -146,9 +151,9 @@
         sums
     }
 
-    /// Returns what waits at peers for a service, each row with the age of its first request.
+    /// Returns the requests that wait at peers for a service, with waits extended by the age of the report.
     pub fn waiting(&self, now: Millis, service: u32) -> impl Iterator<Item = WaitingRow> {
-        self.known
+        self.by_source
             .values()
             .filter(move |peer| now.since(peer.received_at) <= QUEUE_TTL)
             .flat_map(move |peer| {
@@ -161,23 +166,24 @@
             .filter(move |row| row.service == service)
     }
 
-    /// Returns the part of the fleet that this instance can speak for, from 0 to 1.
+    /// Returns the fraction of the fleet that this instance and its reporting peers make up, from 0 to 1.
     ///
-    /// 1 while every peer is heard. Cut off from all, it is one part of them all. The store's list
-    /// counts too: a process that has just started hears nobody yet, and is not alone for that.
+    /// In a fleet of one shard it is 1 while all peers report, and 1 / n on an instance that is cut off from
+    /// the other n - 1. The size of the fleet in the store counts too, because a process that has just
+    /// started has received no reports yet but is not alone.
     pub fn fleet_share(&self, now: Millis) -> f64 {
-        let known = (self.known.len() + 1).max(self.listed_count);
-        let heard = self.fresh(now).count() + 1;
-        ratio(heard, known)
+        let known = (self.by_source.len() + 1).max(self.listed_count);
+        let reporting = self.fresh(now).count() + 1;
+        ratio(reporting, known)
     }
 
-    /// Returns the number of instances that are heard, this one with them.
+    /// Returns the number of instances that report at present, including this one.
     pub fn instance_count(&self, now: Millis) -> usize {
         self.fresh(now).count() + 1
     }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "fleets are far below 2^52")]
-fn ratio(part: usize, whole: usize) -> f64 {
-    part as f64 / whole as f64
+fn ratio(part: usize, total: usize) -> f64 {
+    part as f64 / total as f64
 }
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -1,4 +1,6 @@
-//! What instances tell each other, whole each time, so that a lost report needs no repair.
+//! State reports that instances send to their peers.
+//!
+//! A report carries absolute values, not differences, so a lost one needs no retransmission.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,146 +9,150 @@
 use crate::pending::Order;
 use crate::stable_hash;
 
-/// One instance's present state, as told to its peers many times a second.
+/// The current state of one instance, sent to its peers many times a second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Names the start of the process that sent it; drawn at random.
+    /// Identifies the sending process; drawn at random when it starts.
     pub source: u64,
     /// How long the process has run, in ms.
     pub age: u64,
-    /// Counts its reports; an older one that arrives late is dropped.
+    /// The sequence number; a report with a lower one than the last is dropped.
     pub number: u64,
-    /// Whether it takes callers.
+    /// Whether the instance accepts callers.
     pub ready: bool,
-    /// Whether it is leaving.
+    /// Whether the instance is shutting down.
     pub leaving: bool,
-    /// The version of the configuration it has in force.
+    /// The version of the active configuration.
     pub configuration: u64,
-    /// The store's revision up to which it knows everything; 0 before it has read any.
+    /// The store revision that the instance has applied; 0 before its first read.
     pub revision: u64,
-    /// Whether its last call of the store succeeded.
+    /// Whether its last call to the store succeeded.
     #[serde(rename = "reaches")]
     pub store_reachable: bool,
-    /// Its requests at each endpoint.
+    /// Its running requests by endpoint.
     pub running: Vec<RunningRow>,
-    /// Its waiting requests by service and order.
+    /// Its waiting requests by service and priority order.
     pub waiting: Vec<WaitingRow>,
-    /// Units used by organisation since its start, less those that other shards gave.
+    /// Quota units used since the process started, less those borrowed from other shards, by hash of the
+    /// organisation's name.
     #[serde(rename = "spent")]
     pub quota_used: Vec<(u32, i64)>,
-    /// Rate limits that endpoints name, while there are any.
+    /// Rate limits that endpoints have announced, if any.
     pub limits: Vec<LimitRow>,
-    /// The answers of versions on trial, while there are any.
+    /// Results of the versions under canary evaluation, if any.
     pub canaries: Vec<CanaryReport>,
-    /// What changes seldom, in a few reports a second.
+    /// Slowly changing data, included in a few reports a second.
     #[serde(rename = "about")]
     pub info: Option<InstanceInfo>,
 }
 
-/// One instance's requests at one endpoint.
+/// The requests of one instance at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningRow {
-    /// The endpoint's key, shortened.
+    /// The endpoint's short key.
     pub endpoint: u32,
-    /// How many run there.
+    /// The number of running requests.
     pub count: u16,
-    /// Prompt tokens of those whose answer has not begun.
+    /// Prompt tokens of the requests whose response has not begun.
     #[serde(rename = "unread")]
     pub prefill_tokens: u32,
-    /// The endpoint's pace as the sender has seen it, in eighths of what is usual; 0 if it has not.
+    /// The endpoint's service time as a multiple of the usual one, as measured by the sender, in eighths; 0 if
+    /// not measured.
     #[serde(rename = "pace")]
     pub speed_factor: u8,
 }
 
-/// Where an instance is found.
+/// The addresses and the data centre of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceLocation {
-    /// Where callers reach it.
+    /// The address for callers.
     #[serde(rename = "front")]
     pub caller_address: String,
-    /// Where peers reach it.
+    /// The address for peers.
     #[serde(rename = "inner")]
     pub peer_address: String,
-    /// Its data centre.
+    /// The data centre.
     pub centre: String,
 }
 
-/// What an instance tells of itself now and then.
+/// Slowly changing data about an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceInfo {
-    /// Its name.
+    /// The instance's name.
     pub name: String,
-    /// Where it is found.
+    /// Its addresses and data centre.
     #[serde(rename = "place")]
     pub location: InstanceLocation,
-    /// Endpoints it knows to be leaving or gone.
+    /// Endpoints known to be shutting down or gone.
     #[serde(rename = "leavers")]
     pub leaving_endpoints: Vec<EndpointKey>,
-    /// Work that crashed endpoints, with the starts of these.
+    /// Fingerprints of poison requests, each with the short keys of the endpoints it crashed.
     pub quarantine: Vec<(u64, Vec<u32>)>,
-    /// Inner addresses of the peers it hears.
+    /// Peer addresses of the instances that it receives reports from.
     pub peers: Vec<String>,
 }
 
-/// The waiting requests of one service and order.
+/// The waiting requests of one service and priority order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRow {
-    /// The service, hashed.
+    /// The hash of the service's name.
     pub service: u32,
-    /// Their order: the smaller goes first.
+    /// The priority order of the requests; lower values go first.
     pub order: Order,
-    /// How many wait.
+    /// The number of waiting requests.
     pub count: u16,
-    /// How long the first of them has waited, in ms, with its head start.
+    /// How long the first of them has waited, including its head start, in ms.
     #[serde(rename = "oldest")]
     pub oldest_wait: u32,
-    /// How long they keep a place of the usual pace busy, in ms.
+    /// Their total service time at a slot of usual speed, in ms.
     #[serde(rename = "work")]
     pub service_time: u32,
 }
 
-/// The rate limit that an endpoint names.
+/// The rate limit that an endpoint has announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRow {
-    /// The endpoint's key, shortened.
+    /// The endpoint's short key.
     pub endpoint: u32,
-    /// Requests a second over all instances, in thousandths; 0 if the limit was lifted.
+    /// Requests per second over all instances, in thousandths; 0 if the limit was lifted.
     pub rate: u32,
-    /// How long ago an answer said so, in ms.
+    /// The time since the response that announced it, in ms.
     pub age: u32,
 }
 
-/// What an instance saw of a version on trial.
+/// One instance's results of a version under canary evaluation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CanaryReport {
-    /// The service, hashed.
+    /// The hash of the service's name.
     pub service: u32,
-    /// The store's revision of the order.
+    /// The store revision of the rollout order.
     pub order: u64,
     /// How long the order has been known, in ms.
     pub age: u64,
-    /// Whether the version was found to be bad.
+    /// Whether the version failed the evaluation.
     #[serde(rename = "condemned")]
     pub failed: bool,
-    /// The answers by route.
+    /// Response counts by route.
     pub samples: Vec<CanaryRow>,
 }
 
-/// The answers of both versions on one route, faded with their age, in sixteenths: all and bad ones.
+/// Response counts of both versions on one route, as pairs of all and bad responses.
+///
+/// Counts decay with age and are given in sixteenths of a response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CanaryRow {
-    /// The route, hashed.
+    /// The hash of the route's name.
     pub route: u32,
-    /// Those of the new version.
+    /// Counts of the new version.
     pub new: (u16, u16),
-    /// Those of the standing version.
+    /// Counts of the stable version.
     #[serde(rename = "standing")]
     pub stable: (u16, u16),
-    /// Some endpoints of the new version that gave bad ones, by shortened key.
+    /// Short keys of some endpoints of the new version that gave bad responses.
     pub endpoints: Vec<u32>,
 }
 
-/// Returns a name's hash as it stands in reports.
+/// Returns the short hash of a name that stands for it in reports.
 pub fn short_hash(name: &str) -> u32 {
     (stable_hash(&name) >> 32) as u32
 }
--- a/crates/siskinyoke-dispatch/src/shards.rs
+++ b/crates/siskinyoke-dispatch/src/shards.rs
@@ -1,82 +1,83 @@
-//! Parts of a large fleet, each with instances and endpoints of its own.
+//! Division of a large fleet into shards, each with its own instances and endpoints.
 //!
-//! Instances that share an endpoint tell each other of every request there. Among seventy
-//! instances that is five thousand reports in every round, more than a small one can take in. So
-//! a large fleet is cut into shards of some nine instances, which share the endpoints of their shard
-//! and tell only each other. Callers spread over all instances, so each shard gets its part of the
-//! work. What a shard lacks against the whole is only that a place in one cannot help another.
+//! Instances that share an endpoint report every request there to each other. Among seventy
+//! instances that is five thousand reports per round, more than a small instance can process.
+//! A large fleet is therefore divided into shards of about nine instances, which share the endpoints
+//! of their shard and report only to each other. Callers spread over all instances, so each shard
+//! receives its share of the load. The cost of sharding is that a free slot in one shard does
+//! not help another one.
 
 use std::collections::BTreeMap;
 
 use crate::stable_hash;
 
-/// The fewest instances that a shard has on average.
+/// The minimum average number of instances per shard.
 ///
-/// The number of shards is a power of two, so shards have six to twelve instances on average: few
-/// enough to hear each other at little cost, enough to hold a score of endpoints between them.
-/// Powers of two are far apart, so that restarts of some instances seldom change the number.
+/// The number of shards is a power of two, so shards average six to twelve instances: few enough to
+/// exchange reports cheaply, enough to hold about twenty endpoints between them. Powers of two are
+/// far apart, so restarts of a few instances rarely change the number of shards.
 const MIN_INSTANCES_PER_SHARD: usize = 6;
 
-/// Returns the number of shards for a fleet of so many instances.
+/// Returns the number of shards for a fleet of this many instances.
 pub fn count(instances: usize) -> usize {
-    let most = instances / MIN_INSTANCES_PER_SHARD;
-    if most < 2 {
+    let max = instances / MIN_INSTANCES_PER_SHARD;
+    if max < 2 {
         return 1;
     }
-    1 << most.ilog2()
+    1 << max.ilog2()
 }
 
 /// Returns the shard of an instance.
 ///
-/// It depends on nothing but its name, so that no restart of another moves it.
+/// It depends only on the instance's name, so the restart of another instance never moves it.
 pub fn shard_of(name: &str, shards: usize) -> usize {
     usize::try_from(stable_hash(&name) >> 32).unwrap_or(0) % shards.max(1)
 }
 
-/// Assigns endpoints to shards, the same in every instance that knows the same.
+/// Assigns endpoints to shards; instances with the same inputs compute the same assignment.
 ///
-/// An endpoint is a data centre and a name. Each shard gets endpoints in proportion to its number
-/// of instances, in `sizes`, and so to its part of the callers. Rendezvous hashing with a bound for
-/// each shard: an endpoint that comes or goes moves few others.
+/// An endpoint is given as its data centre and name. Each shard gets endpoints in proportion to its
+/// number of instances, in `sizes`, and therefore to its share of the load. This is rendezvous
+/// hashing with a capacity per shard, so that adding or removing an endpoint moves few others.
 pub fn assign<'a>(endpoints: &[(&'a str, &'a str)], sizes: &[usize]) -> BTreeMap<&'a str, usize> {
-    let mut centres: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut centre_sizes: BTreeMap<&str, usize> = BTreeMap::new();
     for (centre, _) in endpoints {
-        *centres.entry(centre).or_default() += 1;
+        *centre_sizes.entry(centre).or_default() += 1;
     }
-    let mut total = vec![0; sizes.len()];
-    let mut near: BTreeMap<(&str, usize), usize> = BTreeMap::new();
+    let mut totals = vec![0; sizes.len()];
+    let mut centre_totals: BTreeMap<(&str, usize), usize> = BTreeMap::new();
     let mut assigned = BTreeMap::new();
     for (centre, name) in endpoints {
-        let most = |members: usize, shard: &usize, up: bool| bound(members, *shard, sizes, up);
-        let open = |shard: &usize, up: bool| total[*shard] < most(endpoints.len(), shard, up);
-        let even = |shard: &usize| {
-            let taken = near.get(&(*centre, *shard)).copied().unwrap_or(0);
-            taken < most(centres[centre], shard, true)
+        let limit = |count: usize, shard: &usize, up: bool| capacity(count, *shard, sizes, up);
+        let has_room = |shard: &usize, up: bool| totals[*shard] < limit(endpoints.len(), shard, up);
+        let has_centre_room = |shard: &usize| {
+            let taken = centre_totals.get(&(*centre, *shard)).copied().unwrap_or(0);
+            taken < limit(centre_sizes[centre], shard, true)
         };
-        let liked = |shard: &usize| stable_hash(&(name, shard));
-        let best = |fits: &dyn Fn(&usize) -> bool| {
+        let weight = |shard: &usize| stable_hash(&(name, shard));
+        let best = |eligible: &dyn Fn(&usize) -> bool| {
             (0..sizes.len())
-                .filter(|shard| fits(shard))
-                .max_by_key(liked)
+                .filter(|shard| eligible(shard))
+                .max_by_key(weight)
         };
-        let shard = best(&|shard| open(shard, false) && even(shard))
-            .or_else(|| best(&|shard| open(shard, false)))
-            .or_else(|| best(&|shard| open(shard, true)));
+        let shard = best(&|shard| has_room(shard, false) && has_centre_room(shard))
+            .or_else(|| best(&|shard| has_room(shard, false)))
+            .or_else(|| best(&|shard| has_room(shard, true)));
         let Some(shard) = shard else { continue };
-        total[shard] += 1;
-        *near.entry((centre, shard)).or_default() += 1;
+        totals[shard] += 1;
+        *centre_totals.entry((centre, shard)).or_default() += 1;
         assigned.insert(*name, shard);
     }
     assigned
 }
 
-// The part of so many members that is a shard's, rounded down or up.
-fn bound(members: usize, shard: usize, sizes: &[usize], up: bool) -> usize {
-    let all: usize = sizes.iter().sum();
-    let part = members * sizes[shard];
+// Returns a shard's proportional share of this many endpoints, rounded up or down.
+fn capacity(endpoints: usize, shard: usize, sizes: &[usize], up: bool) -> usize {
+    let instances: usize = sizes.iter().sum();
+    let product = endpoints * sizes[shard];
     if up {
-        part.div_ceil(all.max(1))
+        product.div_ceil(instances.max(1))
     } else {
-        part / all.max(1)
+        product / instances.max(1)
     }
 }
--- a/crates/siskinyoke-dispatch/src/store_update.rs
+++ b/crates/siskinyoke-dispatch/src/store_update.rs
@@ -1,4 +1,4 @@
-//! What the store says of endpoints and instances.
+//! Changes that are read from the store.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use crate::rollout::Order;
 use crate::rollout::Status;
 
-/// One change of what the store says.
+/// One change to the entries in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreUpdate {
-    /// An endpoint is there, or says something else of itself.
+    /// An endpoint was added or its entry changed.
     Endpoint(Endpoint),
-    /// An endpoint's entry is gone.
+    /// The entry of the endpoint with this ID was removed.
     EndpointRemoved(String),
-    /// An instance is there.
+    /// The instance with this name was added or its location changed.
     Instance(String, InstanceLocation),
-    /// An instance's entry is gone.
+    /// The entry of the instance with this name was removed.
     InstanceRemoved(String),
-    /// A service's traffic is to move to another version.
+    /// A rollout was ordered: a service's traffic is to move to another version.
     RolloutOrder(Order),
-    /// The order for a service is withdrawn.
+    /// The rollout order for this service was withdrawn.
     RolloutOrderRemoved(Arc<str>),
-    /// How far the order for a service has come.
+    /// The progress of the rollout for this service changed.
     RolloutStatus(Arc<str>, Status),
 }
--- a/crates/siskinyoke-dispatch/src/watchers.rs
+++ b/crates/siskinyoke-dispatch/src/watchers.rs
@@ -1,23 +1,25 @@
-//! Which instance of a shard watches the store for the others.
+//! Selection of the instance of a shard that watches the store on behalf of the others.
 //!
-//! The load: each change of the store ends every watch that waits, so that calls grow with instances
-//! times changes; a rolling replacement of a hundred endpoints costs three hundred instances thirty
-//! thousand calls. So one instance of a shard watches and the others take what it heard from it.
+//! Each change of the store ends every open watch, so the number of calls grows with instances
+//! times changes: a rolling replacement of a hundred endpoints would cost three hundred instances
+//! thirty thousand calls. Therefore one instance of a shard watches the store and the others fetch
+//! the changes from it.
 //!
-//! There is no election. Every instance applies one rule to the reports that it hears: the first by
-//! hash, among itself and those that are heard and reach the store, watches. Whoever follows, follows
-//! one that comes before itself, so a chain of followers always ends at an instance that watches, also
-//! where some hear each other one way only. A watcher that freezes, dies or is cut off falls silent;
-//! one that the store refuses says so. The next one takes over in either case.
+//! There is no election. Every instance applies the same rule to the reports that it receives: of
+//! itself and its reporting peers that can reach the store, the one with the lowest hash watches. A
+//! follower only ever follows an instance that comes before itself in this order, so a chain of
+//! followers always ends at a watcher, even where some links work one way only. A watcher that
+//! hangs, dies or is cut off stops reporting, and one whose calls to the store fail says so in its
+//! reports. In either case the next instance takes over.
 
 use crate::stable_hash;
 
-/// What an instance does to hear of changes.
+/// How an instance learns of changes of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreRole {
-    /// It watches the store.
+    /// It watches the store itself.
     Watcher,
-    /// It takes changes from peers.
+    /// It fetches changes from peers.
     Follower,
 }
 
@@ -31,18 +33,18 @@
     }
 }
 
-/// An instance that may watch the store.
+/// An instance that may be selected to watch the store.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// The instance's name.
     pub name: &'a str,
-    /// Whether it reaches the store, as far as it knows.
+    /// Whether its last call to the store succeeded, as far as known.
     pub store_reachable: bool,
 }
 
-/// Returns which instance is to watch, among this one and the peers that it hears.
+/// Selects the watcher among this instance and its reporting peers.
 ///
-/// Where none reaches the store, it is the first of them all, which goes on trying.
+/// If none of them can reach the store, the first of all is selected and keeps trying.
 pub fn select_watcher<'a>(
     me: Candidate<'a>,
     peers: impl Iterator<Item = Candidate<'a>>,
