--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -3,12 +3,12 @@
 mod fleet;
 mod identity;
 mod lending;
-mod pass;
 mod rate_limits;
+mod reporting;
 mod retry;
 mod rollouts;
+mod routing;
 mod store;
-mod talk;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,10 +34,10 @@
 use siskinyoke_base::Millis;
 
 pub use self::identity::Identity;
-pub use self::pass::Pass;
-pub use self::pass::Request;
 pub use self::rollouts::Due;
 pub use self::rollouts::Shift;
+pub use self::routing::Pass;
+pub use self::routing::Request;
 
 /// When a caller should come back whose work crashed endpoints: not soon.
 const SUSPECT: Millis = Millis::from_secs(30);
@@ -163,7 +163,7 @@
     pub fn pass(&mut self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
         let pass = self.examine(now, request)?;
         self.budget(&pass.service).request(now);
-        self.take_quota(now, &pass, pass::chance(request.draw), 0)?;
+        self.take_quota(now, &pass, routing::chance(request.draw), 0)?;
         Ok(pass)
     }
 
@@ -181,15 +181,15 @@
         given: u64,
     ) -> Result<Pass, Refusal> {
         let pass = self.examine(now, request)?;
-        self.take_quota(now, &pass, pass::chance(request.draw), given)?;
+        self.take_quota(now, &pass, routing::chance(request.draw), given)?;
         Ok(pass)
     }
 
     fn examine(&self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
         let configuration = self.in_force()?.clone();
-        let route = pass::find_route(&configuration, request)?;
-        let organisation = pass::authenticate(&configuration, &route, request)?;
-        pass::measure(now, route, organisation, request)
+        let route = routing::find_route(&configuration, request)?;
+        let organisation = routing::authenticate(&configuration, &route, request)?;
+        routing::measure(now, route, organisation, request)
     }
 
     /// Lets a whole request wait for an endpoint.
@@ -204,7 +204,7 @@
                 retry_after: SUSPECT,
             })
         } else {
-            let mut pending = pass::pending(pass, print);
+            let mut pending = routing::pending(pass, print);
             let exposure = self.me.exposure;
             let rollout = self.registry.rollout(&pending.service);
             pending.canary = rollout.is_some_and(|it| it.draw(now, exposure));
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -7,7 +7,7 @@
 use crate::Pending;
 use crate::Report;
 use crate::core::Core;
-use crate::core::pass::chance;
+use crate::core::routing::chance;
 use crate::latency_model::Load;
 use crate::report::short_hash;
 use crate::rollout::Order;
--- a/crates/siskinyoke-dispatch/src/lib.rs
+++ b/crates/siskinyoke-dispatch/src/lib.rs
@@ -34,10 +34,10 @@
 pub mod scheduler;
 pub mod shards;
 pub mod stall_timeout;
+pub mod token_counts;
 mod wait;
 pub mod watch;
 pub mod watchers;
-pub mod work;
 
 pub use configuration::Configuration;
 pub use configuration::Kind;
@@ -61,7 +61,7 @@
 pub use report::Report;
 pub use scheduler::Decision;
 pub use scheduler::Scheduler;
-pub use work::Work;
+pub use token_counts::Work;
 
 use std::hash::Hash;
 use std::hash::Hasher;
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -375,7 +375,7 @@
                 let outcome = if good {
                     Outcome::Done {
                         first: took,
-                        took,
+                        took: took,
                         parts: 0,
                         pause: Millis::ZERO,
                     }
--- a/crates/siskinyoke-gateway/src/job/reading.rs
+++ b/crates/siskinyoke-gateway/src/job/reading.rs
@@ -59,7 +59,7 @@
         let took = self.shell.now().since(start);
         Step::Finished(Outcome::Done {
             first: took,
-            took,
+            took: took,
             parts: 0,
             pause: Millis::ZERO,
         })
@@ -85,8 +85,8 @@
         }
         let took = self.shell.now().since(start);
         Step::Finished(Outcome::Done {
-            first,
-            took,
+            first: first,
+            took: took,
             parts: 0,
             pause: Millis::ZERO,
         })
@@ -139,7 +139,7 @@
         let took = self.shell.now().since(start);
         Step::Finished(Outcome::Done {
             first: seen.first.map_or(took, |it| it.since(start)),
-            took,
+            took: took,
             parts: seen.parts,
             pause: seen.pause,
         })
