--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -42,11 +42,11 @@
         &self,
         now: Millis,
         service: u32,
-        stay: impl Fn(Ticket) -> Millis,
+        service_time: impl Fn(Ticket) -> Millis,
     ) -> Vec<WaitingRow> {
         let mut rows: Vec<WaitingRow> = Vec::new();
         for (order, position, ticket) in &self.keys {
-            let work = u32::try_from(stay(*ticket).0).unwrap_or(u32::MAX);
+            let work = u32::try_from(service_time(*ticket).0).unwrap_or(u32::MAX);
             match rows.last_mut() {
                 Some(row) if row.order == *order => {
                     row.count = row.count.saturating_add(1);
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -84,7 +84,8 @@
         for (order, position, ticket) in waiting {
             // Peers' more urgent requests wait for endpoints of a usual pace, so slow ones are not left to
             // them.
-            let usual = shared_slots(&open.free) > before(&rows, order, now.since(position));
+            let usual =
+                shared_slots(&open.free) > claimed_by_peers(&rows, order, now.since(position));
             if !usual && !open.has_private_slots() {
                 break;
             }
@@ -100,7 +101,7 @@
                 continue;
             };
             let endpoint = candidate.endpoint.clone();
-            let ahead = ahead(candidate, load);
+            let ahead = backlog(candidate, load);
             candidate.left -= 1;
             candidate.unread += pending.work.prompt;
             self.rate_limits.take_token(endpoint.key());
@@ -151,7 +152,7 @@
                     .in_flight
                     .get(&key)
                     .map_or((0, 0), |busy| (u32::from(busy.count), busy.prefill_tokens));
-                let (places, extra) = self.places(endpoint);
+                let (places, extra) = self.slot_limits(endpoint);
                 let left = (places + extra).saturating_sub(count + others);
                 let tokens = self.rate_limits.tokens(key);
                 let left = tokens.map_or(left, |tokens| left.min(tokens));
@@ -169,7 +170,7 @@
     }
 
     // How many requests an endpoint is given at once, and how many more its queue may take.
-    fn places(&self, endpoint: &Endpoint) -> (u32, u32) {
+    fn slot_limits(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
         if self.placing.unknown(key) {
             let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
@@ -233,7 +234,7 @@
 }
 
 // What goes before a request that is sent to a candidate now.
-fn ahead(candidate: &Candidate, load: LatencyModel) -> Backlog {
+fn backlog(candidate: &Candidate, load: LatencyModel) -> Backlog {
     let queued = candidate.left <= candidate.extra;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
@@ -253,7 +254,7 @@
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
-fn before(rows: &[WaitingRow], order: Order, waited: Millis) -> u32 {
+fn claimed_by_peers(rows: &[WaitingRow], order: Order, waited: Millis) -> u32 {
     rows.iter()
         .map(|row| {
             if row.order < order {
