--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -57,12 +57,12 @@
 
     // How long a request is expected to wait, were it to join its queue now.
     pub(super) fn expected_wait(&self, view: &ClusterView<'_>, pending: &Pending) -> Millis {
-        let ahead = self.ahead(view, pending);
+        let ahead = self.work_ahead(view, pending);
         self.forecast(view, pending).wait(ahead)
     }
 
     // Sums up the work that goes before a request, here and at peers.
-    fn ahead(&self, view: &ClusterView<'_>, pending: &Pending) -> f64 {
+    fn work_ahead(&self, view: &ClusterView<'_>, pending: &Pending) -> f64 {
         let load = self.latency_model(&pending.service);
         let own = self.queues.get(&pending.service).into_iter();
         let own = own.flat_map(Queue::iter);
