--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -271,7 +271,7 @@
 
     /// Takes note that the first part of a running request's answer came.
     pub fn began(&mut self, now: Millis, ticket: Ticket) {
-        self.scheduler.first_part_at(now, ticket);
+        self.scheduler.first_part_received(now, ticket);
     }
 
     /// Takes out a request, waiting or running, whose caller left.
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -69,7 +69,7 @@
             registry: &self.registry,
             peers: &self.peers,
         };
-        self.scheduler.borrow_needs(&view)
+        self.scheduler.borrow_requests(&view)
     }
 
     /// Starts a waiting request at a place that another shard gave, and returns its endpoint; nothing if
--- a/crates/siskinyoke-dispatch/src/demand.rs
+++ b/crates/siskinyoke-dispatch/src/demand.rs
@@ -20,11 +20,11 @@
 
 impl Demand {
     /// Takes note of a request that would take so long.
-    pub fn record(&mut self, now: Millis, rank: Rank, stay: Millis) {
-        let row = self.by_priority.entry(rank).or_insert((now, 0.0));
+    pub fn record(&mut self, now: Millis, priority: Rank, service_time: Millis) {
+        let row = self.by_priority.entry(priority).or_insert((now, 0.0));
         *row = (
             now,
-            decayed(*row, now) + millis_to_f64(stay) / millis_to_f64(DECAY_TIME),
+            decayed(*row, now) + millis_to_f64(service_time) / millis_to_f64(DECAY_TIME),
         );
     }
 
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -23,8 +23,8 @@
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, place: QueueKey) {
-        self.keys.remove(&place);
+    pub fn remove(&mut self, key: QueueKey) {
+        self.keys.remove(&key);
     }
 
     /// Returns the places in order.
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -56,9 +56,9 @@
 
 // A request at an endpoint.
 #[derive(Debug)]
-struct Running {
+struct RunningRequest {
     pending: Pending,
-    key: EndpointKey,
+    endpoint: EndpointKey,
     sent_at: Millis,
     // What went before it at its endpoint when it was sent.
     backlog: Backlog,
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Backlog {
     // Prompt tokens of others that are still to be read.
-    prompt_tokens: f64,
+    prefill_tokens: f64,
     // How long it is expected to wait there for a slot.
     slot_wait: Millis,
 }
@@ -89,7 +89,7 @@
     placing: Placing,
     queues: BTreeMap<Arc<str>, Queue>,
     waiting: Map<Ticket, Pending>,
-    running: Map<Ticket, Running>,
+    running: Map<Ticket, RunningRequest>,
     in_flight: BTreeMap<EndpointKey, RunningRow>,
     latencies: Map<Arc<str>, LatencyModel>,
     demands: Map<Arc<str>, Demand>,
@@ -195,22 +195,22 @@
         ticket: Ticket,
         outcome: Outcome,
     ) -> Option<Pending> {
-        let Running {
+        let RunningRequest {
             mut pending,
-            key,
+            endpoint,
             sent_at,
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
         pending.sent += u32::from(outcome != Outcome::Unreached);
         if first_part_at.is_none() {
-            self.drop_unread(key, &pending);
+            self.remove_prefill_tokens(endpoint, &pending);
         }
-        if let Some(busy) = self.in_flight.get_mut(&key) {
+        if let Some(busy) = self.in_flight.get_mut(&endpoint) {
             busy.count = busy.count.saturating_sub(1);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
-        self.placing.ended(now, key, outcome);
+        self.placing.ended(now, endpoint, outcome);
         if let Outcome::Done {
             first,
             took,
@@ -219,9 +219,9 @@
         } = outcome
         {
             if first_part_at.is_none() {
-                self.record_first_part(key, &pending, now.since(sent_at));
+                self.record_first_part(endpoint, &pending, now.since(sent_at));
             }
-            self.record_remaining_parts(key, &pending, took.since(first), parts, pause);
+            self.record_remaining_parts(endpoint, &pending, took.since(first), parts, pause);
             let load = self.latencies.entry(pending.service.clone()).or_default();
             load.record_completion(&pending.work, first, took, parts);
         }
@@ -229,14 +229,14 @@
     }
 
     /// Takes note that the first part of a request's answer came.
-    pub fn first_part_at(&mut self, now: Millis, ticket: Ticket) {
+    pub fn first_part_received(&mut self, now: Millis, ticket: Ticket) {
         let Some(running) = self.running.get_mut(&ticket) else {
             return;
         };
         running.first_part_at = Some(now);
-        let (key, first) = (running.key, now.since(running.sent_at));
+        let (key, first) = (running.endpoint, now.since(running.sent_at));
         let pending = running.pending.clone();
-        self.drop_unread(key, &pending);
+        self.remove_prefill_tokens(key, &pending);
         self.record_first_part(key, &pending, first);
     }
 
@@ -245,18 +245,18 @@
         let Some(running) = self.running.get(&ticket) else {
             return stall_timeout::STREAM_STALL_TIMEOUT;
         };
-        let Running {
+        let RunningRequest {
             pending,
-            key,
+            endpoint,
             backlog,
             ..
         } = running;
         let usual = self
             .latency_model(&pending.service)
-            .first_part_time(&pending.work.behind(backlog.prompt_tokens))
+            .first_part_time(&pending.work.behind(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
-            millis_to_f64(usual) * self.placing.pace(*key),
+            millis_to_f64(usual) * self.placing.pace(*endpoint),
         ))
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -61,7 +61,7 @@
     key: EndpointKey,
     prompt_tokens: u32,
     // When its prompt is expected to be read, and when it is taken back unasked.
-    prompt_end: Option<Millis>,
+    prefill_end: Option<Millis>,
     expires_at: Millis,
 }
 
@@ -74,7 +74,10 @@
 
 impl Scheduler {
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
-    pub(crate) fn borrow_needs(&mut self, view: &ClusterView<'_>) -> Vec<(Ticket, BorrowRequest)> {
+    pub(crate) fn borrow_requests(
+        &mut self,
+        view: &ClusterView<'_>,
+    ) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let askable = self.queues.iter().flat_map(|(service, queue)| {
             let place = view.registry.divided() && !self.recently_declined(now, service);
@@ -87,7 +90,7 @@
             .take(MAX_BORROW_QUERIES);
         let mut needs = Vec::new();
         for (ticket, place, reserved) in due {
-            let need = place_need(now, &self.waiting[&ticket]);
+            let need = slot_request(now, &self.waiting[&ticket]);
             needs.extend(place.then_some((ticket, BorrowRequest::Slot(need))));
             needs.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(need))));
         }
@@ -131,7 +134,7 @@
         let given = LentSlot {
             key,
             prompt_tokens: guest.work.unread(),
-            prompt_end: Some(
+            prefill_end: Some(
                 view.now + millis_from_f64(millis_to_f64(load.first_part_time(&guest.work)) * pace),
             ),
             expires_at: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
@@ -150,7 +153,7 @@
         };
         let busy = self.usage_mut(loan.key);
         busy.count = busy.count.saturating_sub(1);
-        if loan.prompt_end.is_some() {
+        if loan.prefill_end.is_some() {
             busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
@@ -164,7 +167,7 @@
             self.reclaim_slot(id);
         }
         for loan in self.lent_slots.values_mut() {
-            if loan.prompt_end.take_if(|at| *at <= now).is_some()
+            if loan.prefill_end.take_if(|at| *at <= now).is_some()
                 && let Some(busy) = self.in_flight.get_mut(&loan.key)
             {
                 busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
@@ -238,7 +241,7 @@
     }
 }
 
-fn place_need(now: Millis, pending: &Pending) -> SlotRequest {
+fn slot_request(now: Millis, pending: &Pending) -> SlotRequest {
     let small = |span: Millis| u32::try_from(span.0).unwrap_or(u32::MAX);
     SlotRequest {
         service: short_hash(&pending.service),
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -38,7 +38,7 @@
     }
 
     // The prompt of a request at an endpoint is read, or no longer to be read.
-    pub(super) fn drop_unread(&mut self, key: EndpointKey, pending: &Pending) {
+    pub(super) fn remove_prefill_tokens(&mut self, key: EndpointKey, pending: &Pending) {
         if let Some(busy) = self.in_flight.get_mut(&key) {
             busy.prefill_tokens = busy.prefill_tokens.saturating_sub(pending.work.unread());
         }
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -5,7 +5,7 @@
 use super::Backlog;
 use super::ClusterView;
 use super::Decision;
-use super::Running;
+use super::RunningRequest;
 use super::Scheduler;
 use super::queue_key;
 use crate::Endpoint;
@@ -213,9 +213,9 @@
         let busy = self.usage_mut(key);
         busy.count += 1;
         busy.prefill_tokens += pending.work.unread();
-        let running = Running {
+        let running = RunningRequest {
             pending,
-            key,
+            endpoint: key,
             sent_at: now,
             backlog: ahead,
             first_part_at: None,
@@ -238,7 +238,7 @@
     let queued = candidate.left <= candidate.extra;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
-        prompt_tokens: candidate.unread,
+        prefill_tokens: candidate.unread,
         slot_wait: Millis(if queued {
             load.mean_service_time().0 / slots
         } else {
