--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -58,8 +58,8 @@
 /// A place that was given to another shard.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LentSlot {
-    key: EndpointKey,
-    prompt_tokens: u32,
+    endpoint: EndpointKey,
+    prefill_tokens: u32,
     // When its prompt is expected to be read, and when it is taken back unasked.
     prefill_end: Option<Millis>,
     expires_at: Millis,
@@ -132,8 +132,8 @@
             millis_to_f64(load.service_time_of(&guest.work)) * pace * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
         let given = LentSlot {
-            key,
-            prompt_tokens: guest.work.unread(),
+            endpoint: key,
+            prefill_tokens: guest.work.unread(),
             prefill_end: Some(
                 view.now + millis_from_f64(millis_to_f64(load.first_part_time(&guest.work)) * pace),
             ),
@@ -141,7 +141,7 @@
         };
         let busy = self.usage_mut(key);
         busy.count += 1;
-        busy.prefill_tokens += given.prompt_tokens;
+        busy.prefill_tokens += given.prefill_tokens;
         self.lent_slots.insert(id, given);
         Some(key)
     }
@@ -151,10 +151,10 @@
         let Some(loan) = self.lent_slots.remove(&id) else {
             return;
         };
-        let busy = self.usage_mut(loan.key);
+        let busy = self.usage_mut(loan.endpoint);
         busy.count = busy.count.saturating_sub(1);
         if loan.prefill_end.is_some() {
-            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
+            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
     }
@@ -168,9 +168,9 @@
         }
         for loan in self.lent_slots.values_mut() {
             if loan.prefill_end.take_if(|at| *at <= now).is_some()
-                && let Some(busy) = self.in_flight.get_mut(&loan.key)
+                && let Some(busy) = self.in_flight.get_mut(&loan.endpoint)
             {
-                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
+                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
             }
         }
     }
