--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -34,10 +34,10 @@
 use siskinyoke_base::Millis;
 
 pub use self::identity::Identity;
-pub use self::rollouts::Due;
-pub use self::rollouts::Shift;
-pub use self::routing::Pass;
-pub use self::routing::Request;
+pub use self::rollouts::StatusWrite;
+pub use self::rollouts::TrafficShift;
+pub use self::routing::IncomingRequest;
+pub use self::routing::RoutedRequest;
 
 /// When a caller should come back whose work crashed endpoints: not soon.
 const SUSPECT: Millis = Millis::from_secs(30);
@@ -160,7 +160,11 @@
     /// # Errors
     ///
     /// The refusal; the request has not run and never will.
-    pub fn pass(&mut self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
+    pub fn pass(
+        &mut self,
+        now: Millis,
+        request: IncomingRequest<'_>,
+    ) -> Result<RoutedRequest, Refusal> {
         let pass = self.examine(now, request)?;
         self.budget(&pass.service).record_request(now);
         self.take_quota(now, &pass, routing::chance(request.draw), 0)?;
@@ -177,15 +181,15 @@
     pub fn pass_again(
         &mut self,
         now: Millis,
-        request: Request<'_>,
+        request: IncomingRequest<'_>,
         given: u64,
-    ) -> Result<Pass, Refusal> {
+    ) -> Result<RoutedRequest, Refusal> {
         let pass = self.examine(now, request)?;
         self.take_quota(now, &pass, routing::chance(request.draw), given)?;
         Ok(pass)
     }
 
-    fn examine(&self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
+    fn examine(&self, now: Millis, request: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
         let configuration = self.in_force()?.clone();
         let route = routing::find_route(&configuration, request)?;
         let organisation = routing::authenticate(&configuration, &route, request)?;
@@ -197,7 +201,12 @@
     /// # Errors
     ///
     /// The refusal; the request has not run, and its quota is given back.
-    pub fn admit(&mut self, now: Millis, pass: &Pass, print: u64) -> Result<Ticket, Refusal> {
+    pub fn admit(
+        &mut self,
+        now: Millis,
+        pass: &RoutedRequest,
+        print: u64,
+    ) -> Result<Ticket, Refusal> {
         let result = if self.quarantine.refuses(now, print) {
             Err(Refusal {
                 reason: RefusalReason::Quarantined,
@@ -218,7 +227,7 @@
     }
 
     /// Gives back the quota of a request that did not run.
-    pub fn give_back(&mut self, pass: &Pass) {
+    pub fn give_back(&mut self, pass: &RoutedRequest) {
         if let Some(organisation) = &pass.organisation {
             self.quotas.refund(organisation, pass.units);
         }
@@ -294,7 +303,7 @@
     fn take_quota(
         &mut self,
         now: Millis,
-        pass: &Pass,
+        pass: &RoutedRequest,
         chance: f64,
         given: u64,
     ) -> Result<(), Refusal> {
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -8,7 +8,7 @@
 use crate::Grant;
 use crate::Ticket;
 use crate::core::Core;
-use crate::core::Request;
+use crate::core::IncomingRequest;
 use crate::message::UnitsRequest;
 use crate::report::short_hash;
 use crate::scheduler::ClusterView;
@@ -16,7 +16,7 @@
 
 impl Core {
     /// Returns what other shards may be asked for, so that a request finds its quota.
-    pub fn lacks(&self, now: Millis, request: Request<'_>) -> Option<UnitsRequest> {
+    pub fn lacks(&self, now: Millis, request: IncomingRequest<'_>) -> Option<UnitsRequest> {
         if !self.registry.divided() {
             return None;
         }
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::Outcome;
-use crate::Pending;
+use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::budget::RetryBudget;
 use crate::core::Core;
@@ -44,7 +44,12 @@
             .or_insert_with(|| RetryBudget::new(ratio))
     }
 
-    pub(super) fn may_retry(&mut self, now: Millis, pending: &Pending, outcome: Outcome) -> bool {
+    pub(super) fn may_retry(
+        &mut self,
+        now: Millis,
+        pending: &ScheduledRequest,
+        outcome: Outcome,
+    ) -> bool {
         let unsent = outcome == Outcome::Unreached;
         let unrun = unsent || matches!(outcome, Outcome::Full | Outcome::Moved);
         if !unrun && !pending.route.idempotent() {
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -4,8 +4,8 @@
 
 use crate::EndpointKey;
 use crate::Outcome;
-use crate::Pending;
 use crate::Report;
+use crate::ScheduledRequest;
 use crate::core::Core;
 use crate::core::routing::chance;
 use crate::latency_model::LatencyModel;
@@ -27,7 +27,7 @@
 
 /// A change of where a service's traffic goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Shift {
+pub struct TrafficShift {
     /// The service.
     pub service: Arc<str>,
     /// The version that was ordered.
@@ -38,7 +38,7 @@
 
 /// A state of an order that this instance is to write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Due {
+pub struct StatusWrite {
     /// The order.
     pub order: Order,
     /// Its state.
@@ -53,12 +53,12 @@
 
 impl Core {
     /// Lets the time act on rollouts, and returns whose traffic goes elsewhere now.
-    pub fn advance_rollouts(&mut self, now: Millis) -> Vec<Shift> {
+    pub fn advance_rollouts(&mut self, now: Millis) -> Vec<TrafficShift> {
         let changed = self.registry.advance(now);
         let rollouts = self.registry.rollouts();
         let changed = rollouts.filter(|it| changed.contains(&it.order().service));
         changed
-            .map(|it| Shift {
+            .map(|it| TrafficShift {
                 service: it.order().service.clone(),
                 version: it.order().version.clone(),
                 phase: it.phase(),
@@ -69,10 +69,10 @@
     /// Returns the states that this instance is to write.
     ///
     /// Instances that watch the store do so, those of one shard after those of another.
-    pub fn due_states(&self, now: Millis) -> Vec<Due> {
+    pub fn due_states(&self, now: Millis) -> Vec<StatusWrite> {
         let rollouts = self.registry.rollouts();
         let due = rollouts.filter_map(|it| {
-            Some(Due {
+            Some(StatusWrite {
                 order: it.order().clone(),
                 state: it.due(now, self.shard)?,
                 expected: it.status_revision(),
@@ -101,7 +101,7 @@
     }
 
     // Counts the answer of a service while the versions of its endpoints are compared.
-    pub(super) fn sample(&mut self, now: Millis, pending: &Pending, outcome: Outcome) {
+    pub(super) fn sample(&mut self, now: Millis, pending: &ScheduledRequest, outcome: Outcome) {
         let Some(key) = pending.tried.last() else {
             return;
         };
@@ -136,7 +136,7 @@
 }
 
 // Whether an answer speaks against its endpoint's version; nothing if it says nothing of it.
-fn bad(outcome: Outcome, pending: &Pending, load: LatencyModel) -> Option<bool> {
+fn bad(outcome: Outcome, pending: &ScheduledRequest, load: LatencyModel) -> Option<bool> {
     match outcome {
         Outcome::Failed | Outcome::Broken | Outcome::Silent => Some(true),
         Outcome::Done { took, parts: 0, .. } => Some(slow(took, load.mean_service_time())),
--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -5,18 +5,18 @@
 use crate::Configuration;
 use crate::Kind;
 use crate::Organisation;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Refusal;
 use crate::RefusalReason;
 use crate::Route;
-use crate::Work;
+use crate::ScheduledRequest;
+use crate::TokenCounts;
 use crate::quota;
 use siskinyoke_base::Millis;
 
 /// What a caller asks for, before anything is decided.
 #[derive(Debug, Clone, Copy)]
-pub struct Request<'a> {
+pub struct IncomingRequest<'a> {
     /// The host it names.
     pub host: &'a str,
     /// Its path.
@@ -37,7 +37,7 @@
 
 /// A request that may go on: who sent it and how it is to be served.
 #[derive(Debug, Clone)]
-pub struct Pass {
+pub struct RoutedRequest {
     /// Its route.
     pub route: Arc<Route>,
     /// The service that has to run it.
@@ -45,18 +45,18 @@
     /// Its organisation, where one is needed.
     pub organisation: Option<Arc<Organisation>>,
     /// How urgent it is.
-    pub rank: Rank,
+    pub rank: Priority,
     /// When it arrived.
     pub arrived: Millis,
     /// When nobody waits for it any more.
     pub until: Millis,
     /// What it asks of an endpoint.
-    pub work: Work,
+    pub work: TokenCounts,
     /// What it takes of its organisation's quota.
     pub units: f64,
 }
 
-impl Pass {
+impl RoutedRequest {
     /// Returns the units it takes, as they stand in messages.
     pub fn whole_units(&self) -> u64 {
         quota::to_u64(self.units)
@@ -76,7 +76,7 @@
 
 pub(super) fn find_route(
     configuration: &Configuration,
-    request: Request<'_>,
+    request: IncomingRequest<'_>,
 ) -> Result<Arc<Route>, Refusal> {
     let route = configuration.route(request.host, request.path);
     route.cloned().ok_or(Refusal {
@@ -88,7 +88,7 @@
 pub(super) fn authenticate(
     configuration: &Configuration,
     route: &Route,
-    request: Request<'_>,
+    request: IncomingRequest<'_>,
 ) -> Result<Option<Arc<Organisation>>, Refusal> {
     if !configuration.requires_key() {
         return Ok(None);
@@ -109,8 +109,8 @@
     now: Millis,
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
-    request: Request<'_>,
-) -> Result<Pass, Refusal> {
+    request: IncomingRequest<'_>,
+) -> Result<RoutedRequest, Refusal> {
     let Some(service) = route.pick_service(request.draw).cloned() else {
         return Err(Refusal {
             reason: RefusalReason::NoEndpoint,
@@ -119,16 +119,16 @@
     };
     let span = request.deadline.unwrap_or(route.timeout).min(route.timeout);
     let arrived = now.since(request.held);
-    let rank = Rank::new(
+    let rank = Priority::new(
         organisation.as_ref().and_then(|it| it.priority),
         route.priority,
     );
-    Ok(Pass {
+    Ok(RoutedRequest {
         service,
         rank,
         arrived,
         until: arrived + span,
-        work: Work::new(request.tokens, request.estimate),
+        work: TokenCounts::new(request.tokens, request.estimate),
         units: units(organisation.as_deref(), request.tokens),
         organisation,
         route,
@@ -149,8 +149,8 @@
     }
 }
 
-pub(super) fn pending(pass: &Pass, fingerprint: u64) -> Pending {
-    Pending {
+pub(super) fn pending(pass: &RoutedRequest, fingerprint: u64) -> ScheduledRequest {
+    ScheduledRequest {
         service: pass.service.clone(),
         route: pass.route.clone(),
         rank: pass.rank,
--- a/crates/siskinyoke-dispatch/src/latency_model.rs
+++ b/crates/siskinyoke-dispatch/src/latency_model.rs
@@ -1,6 +1,6 @@
 //! How long requests of one service take, as this instance sees it.
 
-use crate::Work;
+use crate::TokenCounts;
 use crate::regression::LinearRegression;
 use siskinyoke_base::Millis;
 
@@ -64,12 +64,18 @@
 
 impl LatencyModel {
     /// Takes note that the first part of an answer came after this time.
-    pub fn record_first_part(&mut self, work: &Work, first: Millis) {
+    pub fn record_first_part(&mut self, work: &TokenCounts, first: Millis) {
         self.first_part.record(work.prompt, millis_to_f64(first));
     }
 
     /// Takes note of a finished stay whose answer had so many parts.
-    pub fn record_completion(&mut self, work: &Work, first: Millis, took: Millis, parts: u32) {
+    pub fn record_completion(
+        &mut self,
+        work: &TokenCounts,
+        first: Millis,
+        took: Millis,
+        parts: u32,
+    ) {
         self.service_time += (millis_to_f64(took) - self.service_time) * MEAN_WEIGHT;
         if parts > 1 {
             let piece = millis_to_f64(took.since(first)) / f64::from(parts - 1);
@@ -104,7 +110,7 @@
     }
 
     /// Returns the expected time to the first part of a request's answer.
-    pub fn first_part_time(&self, work: &Work) -> Millis {
+    pub fn first_part_time(&self, work: &TokenCounts) -> Millis {
         millis_from_f64(self.first_part.predict(work.prompt))
     }
 
@@ -114,12 +120,12 @@
     }
 
     /// Returns the expected time of a request on an endpoint.
-    pub fn service_time_of(&self, work: &Work) -> Millis {
+    pub fn service_time_of(&self, work: &TokenCounts) -> Millis {
         self.first_part_time(work) + self.remaining_time(self.expected_parts(work))
     }
 
     /// Returns the expected parts of an answer.
-    pub fn expected_parts(&self, work: &Work) -> f64 {
+    pub fn expected_parts(&self, work: &TokenCounts) -> f64 {
         work.output * self.mean_parts / self.mean_tokens
     }
 }
--- a/crates/siskinyoke-dispatch/src/pending.rs
+++ b/crates/siskinyoke-dispatch/src/pending.rs
@@ -7,7 +7,7 @@
 
 use crate::EndpointKey;
 use crate::Route;
-use crate::Work;
+use crate::TokenCounts;
 use siskinyoke_base::Millis;
 
 /// Names one admitted request within an instance.
@@ -18,9 +18,9 @@
 ///
 /// The organisation's priority goes before the route's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Rank(pub u16);
+pub struct Priority(pub u16);
 
-impl Rank {
+impl Priority {
     /// Joins the two priorities into one rank.
     pub fn new(organisation: Option<u8>, route: u8) -> Self {
         let first = organisation.unwrap_or(route);
@@ -31,24 +31,24 @@
 /// Which of two waiting requests goes first: by rank, then what can still be on time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Order(pub u32);
+pub struct QueueOrder(pub u32);
 
-impl Order {
+impl QueueOrder {
     /// Joins a rank and whether the answer would be late by now.
-    pub fn new(rank: Rank, late: bool) -> Self {
+    pub fn new(rank: Priority, late: bool) -> Self {
         Self(u32::from(rank.0) << 1 | u32::from(late))
     }
 }
 
 /// One request as the decisions see it.
 #[derive(Debug, Clone)]
-pub struct Pending {
+pub struct ScheduledRequest {
     /// The service that has to run it.
     pub service: Arc<str>,
     /// The route it came by.
     pub route: Arc<Route>,
     /// How urgent it is.
-    pub rank: Rank,
+    pub rank: Priority,
     /// When it arrived.
     pub arrived: Millis,
     /// When it would have arrived to stand where it does among those of its order: the head start of short
@@ -57,7 +57,7 @@
     /// When the caller, or the route, stops waiting for it.
     pub until: Millis,
     /// What it asks of an endpoint.
-    pub work: Work,
+    pub work: TokenCounts,
     /// Identifies what runs: the same for each resend of the same work.
     pub fingerprint: u64,
     /// Endpoints it was given to, reached or not.
@@ -72,9 +72,9 @@
     pub canary: bool,
 }
 
-impl Pending {
+impl ScheduledRequest {
     /// Returns its order among waiting requests.
-    pub fn order(&self) -> Order {
-        Order::new(self.rank, self.late)
+    pub fn order(&self) -> QueueOrder {
+        QueueOrder::new(self.rank, self.late)
     }
 }
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placing.rs
@@ -6,7 +6,7 @@
 use crate::EndpointKey;
 use crate::Kind;
 use crate::Outcome;
-use crate::Pending;
+use crate::ScheduledRequest;
 use crate::cost::Cost;
 use crate::health::Health;
 use crate::latency_model::LatencyModel;
@@ -68,7 +68,7 @@
     /// The present time.
     pub now: Millis,
     /// The request.
-    pub pending: &'a Pending,
+    pub pending: &'a ScheduledRequest,
     /// How its service's requests fare.
     pub load: &'a LatencyModel,
     /// Whether it can wait for another endpoint and still be on time.
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use crate::Ticket;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::report::WaitingRow;
 use siskinyoke_base::Millis;
 
 /// Where a request stands in the queue: order, then turn, then ticket.
-pub type QueueKey = (Order, Millis, Ticket);
+pub type QueueKey = (QueueOrder, Millis, Ticket);
 
 /// Requests of one service that wait for a place.
 #[derive(Debug, Default)]
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::EndpointKey;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::stable_hash;
 
 /// One instance's present state, as told to its peers many times a second.
@@ -94,7 +94,7 @@
     /// The service, hashed.
     pub service: u32,
     /// Their order: the smaller goes first.
-    pub order: Order,
+    pub order: QueueOrder,
     /// How many wait.
     pub count: u16,
     /// How long the first of them has waited, in ms, with its head start.
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -18,10 +18,10 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Outcome;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Refusal;
 use crate::RefusalReason;
+use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::demand::Demand;
 use crate::latency_model::LatencyModel;
@@ -57,7 +57,7 @@
 // A request at an endpoint.
 #[derive(Debug)]
 struct RunningRequest {
-    pending: Pending,
+    pending: ScheduledRequest,
     endpoint: EndpointKey,
     sent_at: Millis,
     // What went before it at its endpoint when it was sent.
@@ -88,12 +88,12 @@
 pub struct Scheduler {
     placing: Placing,
     queues: BTreeMap<Arc<str>, Queue>,
-    waiting: Map<Ticket, Pending>,
+    waiting: Map<Ticket, ScheduledRequest>,
     running: Map<Ticket, RunningRequest>,
     in_flight: BTreeMap<EndpointKey, RunningRow>,
     latencies: Map<Arc<str>, LatencyModel>,
     demands: Map<Arc<str>, Demand>,
-    overloads: Map<(Arc<str>, Rank), OverloadWindow>,
+    overloads: Map<(Arc<str>, Priority), OverloadWindow>,
     rate_limits: RateLimits,
     // Places given to other shards, by the question that asked for each.
     lent_slots: Map<u64, lending::LentSlot>,
@@ -123,7 +123,7 @@
     pub fn admit(
         &mut self,
         now: Millis,
-        pending: Pending,
+        pending: ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> Result<Ticket, Refusal> {
@@ -135,7 +135,7 @@
             });
         }
         let load = self.latency_model(&pending.service);
-        let pending = Pending {
+        let pending = ScheduledRequest {
             position: wait::queue_position(&pending, load),
             ..pending
         };
@@ -151,7 +151,7 @@
         }
         // Another shard may have a place: it is asked before the request is refused.
         if registry.divided() && !self.recently_declined(now, &pending.service) {
-            return Ok(self.enqueue(Pending {
+            return Ok(self.enqueue(ScheduledRequest {
                 pressed: true,
                 ..pending
             }));
@@ -161,8 +161,8 @@
     }
 
     /// Lets a request wait for another endpoint after one did not serve it.
-    pub fn requeue(&mut self, pending: Pending) -> Ticket {
-        self.enqueue(Pending {
+    pub fn requeue(&mut self, pending: ScheduledRequest) -> Ticket {
+        self.enqueue(ScheduledRequest {
             late: false,
             pressed: false,
             canary: false,
@@ -194,7 +194,7 @@
         now: Millis,
         ticket: Ticket,
         outcome: Outcome,
-    ) -> Option<Pending> {
+    ) -> Option<ScheduledRequest> {
         let RunningRequest {
             mut pending,
             endpoint,
@@ -271,7 +271,7 @@
     }
 
     /// Takes out waiting requests that must not run any more.
-    pub fn cancel_matching(&mut self, matches: impl Fn(&Pending) -> bool) -> Vec<Ticket> {
+    pub fn cancel_matching(&mut self, matches: impl Fn(&ScheduledRequest) -> bool) -> Vec<Ticket> {
         let found = self.waiting.iter().filter(|row| matches(row.1));
         let tickets: Vec<Ticket> = found.map(|row| *row.0).collect();
         for ticket in &tickets {
@@ -281,7 +281,7 @@
     }
 
     /// Returns the request that runs under a ticket.
-    pub fn running(&self, ticket: Ticket) -> Option<&Pending> {
+    pub fn running(&self, ticket: Ticket) -> Option<&ScheduledRequest> {
         self.running.get(&ticket).map(|running| &running.pending)
     }
 
@@ -289,7 +289,7 @@
     pub fn has_alternative(
         &self,
         now: Millis,
-        pending: &Pending,
+        pending: &ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> bool {
@@ -356,7 +356,7 @@
         })
     }
 
-    fn enqueue(&mut self, pending: Pending) -> Ticket {
+    fn enqueue(&mut self, pending: ScheduledRequest) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         let queue = self.queues.entry(pending.service.clone()).or_default();
@@ -374,6 +374,6 @@
         .sum()
 }
 
-fn queue_key(ticket: Ticket, pending: &Pending) -> QueueKey {
+fn queue_key(ticket: Ticket, pending: &ScheduledRequest) -> QueueKey {
     (pending.order(), pending.position, ticket)
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -6,9 +6,9 @@
 use super::Decision;
 use super::Scheduler;
 use super::queue_key;
-use crate::Pending;
 use crate::Refusal;
 use crate::RefusalReason;
+use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::queue::QueueKey;
 use crate::wait;
@@ -51,7 +51,7 @@
         if settled && waited < bearable {
             return None;
         }
-        let late = Pending {
+        let late = ScheduledRequest {
             late: true,
             ..pending.clone()
         };
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -15,11 +15,11 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Kind;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Route;
+use crate::ScheduledRequest;
 use crate::Ticket;
-use crate::Work;
+use crate::TokenCounts;
 use crate::latency_model::millis_from_f64;
 use crate::latency_model::millis_to_f64;
 use crate::message::SlotRequest;
@@ -212,7 +212,7 @@
     pub(super) fn best_endpoint(
         &self,
         now: Millis,
-        guest: &Pending,
+        guest: &ScheduledRequest,
         candidates: &[Candidate],
     ) -> Option<EndpointKey> {
         let load = self.latency_model(&guest.service);
@@ -241,7 +241,7 @@
     }
 }
 
-fn slot_request(now: Millis, pending: &Pending) -> SlotRequest {
+fn slot_request(now: Millis, pending: &ScheduledRequest) -> SlotRequest {
     let small = |span: Millis| u32::try_from(span.0).unwrap_or(u32::MAX);
     SlotRequest {
         service: short_hash(&pending.service),
@@ -256,7 +256,11 @@
 }
 
 // Another shard's request, as far as the choice of an endpoint needs it.
-pub(super) fn borrower_request(now: Millis, service: &Arc<str>, need: &SlotRequest) -> Pending {
+pub(super) fn borrower_request(
+    now: Millis,
+    service: &Arc<str>,
+    need: &SlotRequest,
+) -> ScheduledRequest {
     let span = |ms: u32| Millis(u64::from(ms));
     let arrived = now.since(span(need.waited));
     let until = now + span(need.remaining_wait);
@@ -277,14 +281,14 @@
         auth_exempt: true,
         resumable: false,
     };
-    Pending {
+    ScheduledRequest {
         service: service.clone(),
         route: Arc::new(route),
-        rank: Rank::new(None, 0),
+        rank: Priority::new(None, 0),
         arrived,
         position: arrived,
         until,
-        work: Work {
+        work: TokenCounts {
             prompt: f64::from(need.prompt_tokens),
             output: f64::from(need.output_tokens),
         },
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use crate::EndpointKey;
-use crate::Pending;
+use crate::ScheduledRequest;
 use crate::latency_model::millis_to_f64;
 use siskinyoke_base::Millis;
 
@@ -12,7 +12,12 @@
 const MIN_PARTS_FOR_SPEED: u32 = 4;
 
 impl Scheduler {
-    pub(super) fn record_first_part(&mut self, key: EndpointKey, pending: &Pending, first: Millis) {
+    pub(super) fn record_first_part(
+        &mut self,
+        key: EndpointKey,
+        pending: &ScheduledRequest,
+        first: Millis,
+    ) {
         let load = self.latencies.entry(pending.service.clone()).or_default();
         self.placing
             .paced(key, first, load.first_part_time(&pending.work));
@@ -22,7 +27,7 @@
     pub(super) fn record_remaining_parts(
         &mut self,
         key: EndpointKey,
-        pending: &Pending,
+        pending: &ScheduledRequest,
         rest: Millis,
         parts: u32,
         pause: Millis,
@@ -38,7 +43,7 @@
     }
 
     // The prompt of a request at an endpoint is read, or no longer to be read.
-    pub(super) fn remove_prefill_tokens(&mut self, key: EndpointKey, pending: &Pending) {
+    pub(super) fn remove_prefill_tokens(&mut self, key: EndpointKey, pending: &ScheduledRequest) {
         if let Some(busy) = self.in_flight.get_mut(&key) {
             busy.prefill_tokens = busy.prefill_tokens.saturating_sub(pending.work.unread());
         }
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -11,7 +11,7 @@
 use crate::Endpoint;
 use crate::Ticket;
 use crate::latency_model::LatencyModel;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::placing::Candidate;
 use crate::placing::Placing;
 use crate::placing::Query;
@@ -254,7 +254,7 @@
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
-fn claimed_by_peers(rows: &[WaitingRow], order: Order, waited: Millis) -> u32 {
+fn claimed_by_peers(rows: &[WaitingRow], order: QueueOrder, waited: Millis) -> u32 {
     rows.iter()
         .map(|row| {
             if row.order < order {
--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -4,9 +4,9 @@
 
 use super::ClusterView;
 use super::Scheduler;
-use crate::Pending;
 use crate::Refusal;
 use crate::RefusalReason;
+use crate::ScheduledRequest;
 use crate::forecast::WaitForecast;
 use crate::latency_model::millis_to_f64;
 use crate::queue::Queue;
@@ -20,7 +20,12 @@
 
 impl Scheduler {
     // When a request should come back for which there is expected to be a place after `wait`.
-    pub(super) fn retry_after(&mut self, now: Millis, pending: &Pending, wait: Millis) -> Millis {
+    pub(super) fn retry_after(
+        &mut self,
+        now: Millis,
+        pending: &ScheduledRequest,
+        wait: Millis,
+    ) -> Millis {
         let window = self
             .overloads
             .entry((pending.service.clone(), pending.rank));
@@ -29,7 +34,11 @@
     }
 
     // Whether a request is expected to be on time, were it to join its queue now.
-    pub(super) fn expected_on_time(&self, view: &ClusterView<'_>, pending: &Pending) -> bool {
+    pub(super) fn expected_on_time(
+        &self,
+        view: &ClusterView<'_>,
+        pending: &ScheduledRequest,
+    ) -> bool {
         self.expected_wait(view, pending)
             <= wait::queue_timeout(pending, self.latency_model(&pending.service))
     }
@@ -38,9 +47,9 @@
     pub(super) fn admit_late(
         &mut self,
         view: &ClusterView<'_>,
-        pending: Pending,
-    ) -> Result<Pending, Refusal> {
-        let pending = Pending {
+        pending: ScheduledRequest,
+    ) -> Result<ScheduledRequest, Refusal> {
+        let pending = ScheduledRequest {
             late: true,
             ..pending
         };
@@ -56,13 +65,17 @@
     }
 
     // How long a request is expected to wait, were it to join its queue now.
-    pub(super) fn expected_wait(&self, view: &ClusterView<'_>, pending: &Pending) -> Millis {
+    pub(super) fn expected_wait(
+        &self,
+        view: &ClusterView<'_>,
+        pending: &ScheduledRequest,
+    ) -> Millis {
         let ahead = self.work_ahead(view, pending);
         self.forecast(view, pending).wait(ahead)
     }
 
     // Sums up the work that goes before a request, here and at peers.
-    fn work_ahead(&self, view: &ClusterView<'_>, pending: &Pending) -> f64 {
+    fn work_ahead(&self, view: &ClusterView<'_>, pending: &ScheduledRequest) -> f64 {
         let load = self.latency_model(&pending.service);
         let own = self.queues.get(&pending.service).into_iter();
         let own = own.flat_map(Queue::iter);
@@ -77,7 +90,7 @@
             .sum::<f64>()
     }
 
-    fn forecast(&self, view: &ClusterView<'_>, pending: &Pending) -> WaitForecast {
+    fn forecast(&self, view: &ClusterView<'_>, pending: &ScheduledRequest) -> WaitForecast {
         let awake = self.available(view.now, view.registry.fit(&pending.service));
         let awake = awake.into_iter();
         let load = self.latency_model(&pending.service);
@@ -96,7 +109,7 @@
 
 // The part of a peer's waiting work that goes before a request which has waited for so long. Nothing is
 // told of the rows in between, so their turns are taken to be evenly spread.
-fn peer_work_ahead(row: &WaitingRow, pending: &Pending, age: f64) -> f64 {
+fn peer_work_ahead(row: &WaitingRow, pending: &ScheduledRequest, age: f64) -> f64 {
     let work = f64::from(row.service_time);
     let oldest = f64::from(row.oldest_wait);
     match row.order.cmp(&pending.order()) {
--- a/crates/siskinyoke-dispatch/src/token_counts.rs
+++ b/crates/siskinyoke-dispatch/src/token_counts.rs
@@ -2,14 +2,14 @@
 
 /// What a request asks of an endpoint, in tokens; nothing for plain services.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Work {
+pub struct TokenCounts {
     /// Tokens of prompt to be read before the first part of the answer.
     pub prompt: f64,
     /// Tokens of output that are expected: its caller's estimate, or else the most that it allows.
     pub output: f64,
 }
 
-impl Work {
+impl TokenCounts {
     /// Makes it from prompt tokens and the most output tokens, and the caller's estimate of output.
     #[expect(
         clippy::cast_precision_loss,
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -4,7 +4,7 @@
 
 use crate::Endpoint;
 use crate::Kind;
-use crate::Pending;
+use crate::ScheduledRequest;
 use crate::latency_model::LatencyModel;
 use crate::latency_model::millis_from_f64;
 use crate::latency_model::millis_to_f64;
@@ -30,7 +30,7 @@
 ///
 /// Where more is asked for than there are places, short work first serves more callers in time; times on an
 /// endpoint differ a hundredfold.
-pub(crate) fn queue_position(pending: &Pending, load: LatencyModel) -> Millis {
+pub(crate) fn queue_position(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
     let max_penalty = millis_to_f64(pending.route.latency_objective) * MAX_PENALTY_RATIO;
     let penalty = (millis_to_f64(load.service_time_of(&pending.work)) * LENGTH_PENALTY_RATIO)
         .min(max_penalty);
@@ -44,7 +44,7 @@
 /// What lost its first endpoint is served even late, up to the time that its own run needs. All other work
 /// waits only as long as its answer can still be on time, whatever its rank: served first come first
 /// served, urgent work is all late in a peak.
-pub(crate) fn queue_timeout(pending: &Pending, load: LatencyModel) -> Millis {
+pub(crate) fn queue_timeout(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
     let whole = max_wait(pending, load);
     if is_retry(pending) {
         return whole;
@@ -66,12 +66,12 @@
 
 /// Returns how long a request may wait whose answer will be late: half of its time, so that its
 /// caller has the other half to come back in.
-pub(crate) fn late_timeout(pending: &Pending, load: LatencyModel) -> Millis {
+pub(crate) fn late_timeout(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
     Millis(pending.until.since(pending.arrived).0 / 2).min(max_wait(pending, load))
 }
 
 // The longest wait after which the caller is still there for the answer.
-pub(crate) fn max_wait(pending: &Pending, load: LatencyModel) -> Millis {
+pub(crate) fn max_wait(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
     let whole = pending
         .until
         .since(pending.arrived)
@@ -85,17 +85,17 @@
 }
 
 // Whether every endpoint that could take a request was tried for it: no wait can help then.
-pub(crate) fn all_tried(pending: &Pending, fit: &[Arc<Endpoint>]) -> bool {
+pub(crate) fn all_tried(pending: &ScheduledRequest, fit: &[Arc<Endpoint>]) -> bool {
     !pending.tried.is_empty() && fit.iter().all(|it| pending.tried.contains(&it.key()))
 }
 
 // Whether a request waits as long as its caller does: one that lost its endpoint has waited before.
-pub(crate) fn is_retry(pending: &Pending) -> bool {
+pub(crate) fn is_retry(pending: &ScheduledRequest) -> bool {
     !pending.tried.is_empty()
 }
 
 // Spreads returns over half as much time again, so that callers refused together do not return
 // together.
-pub(crate) fn with_jitter(after: Millis, pending: &Pending) -> Millis {
+pub(crate) fn with_jitter(after: Millis, pending: &ScheduledRequest) -> Millis {
     after + Millis(after.0 * (pending.fingerprint % 64) / 128)
 }
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -14,14 +14,14 @@
 use siskinyoke_dispatch::Limits;
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::Pending;
-use siskinyoke_dispatch::Rank;
+use siskinyoke_dispatch::Priority;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Route;
+use siskinyoke_dispatch::ScheduledRequest;
 use siskinyoke_dispatch::Service;
-use siskinyoke_dispatch::Work;
+use siskinyoke_dispatch::TokenCounts;
 use siskinyoke_dispatch::core::Identity;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::quota::QuotaPolicy;
 use siskinyoke_dispatch::report::InstanceInfo;
 use siskinyoke_dispatch::report::InstanceLocation;
@@ -51,16 +51,16 @@
     }
 }
 
-pub fn pending(kind: Kind, priority: u8, arrived: u64) -> Pending {
+pub fn pending(kind: Kind, priority: u8, arrived: u64) -> ScheduledRequest {
     let route = route(kind, priority);
-    Pending {
+    ScheduledRequest {
         service: "lm".into(),
-        rank: Rank::new(None, priority),
+        rank: Priority::new(None, priority),
         arrived: Millis(arrived),
         position: Millis(arrived),
         until: Millis(arrived) + route.timeout,
         route: Arc::new(route),
-        work: Work::default(),
+        work: TokenCounts::default(),
         fingerprint: arrived,
         tried: Vec::new(),
         sent: 0,
@@ -144,8 +144,8 @@
     core
 }
 
-pub fn request(path: &str) -> Request<'_> {
-    Request {
+pub fn request(path: &str) -> IncomingRequest<'_> {
+    IncomingRequest {
         host: "host",
         path,
         held: Millis::ZERO,
--- a/crates/siskinyoke-dispatch/tests/configuration.rs
+++ b/crates/siskinyoke-dispatch/tests/configuration.rs
@@ -13,7 +13,7 @@
 use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Route;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 
 #[test]
 fn the_longest_prefix_takes_a_request() {
@@ -77,7 +77,7 @@
         reason(core.pass(Millis(0), request("/nowhere/"))),
         RefusalReason::NoRoute
     );
-    let stranger = Request {
+    let stranger = IncomingRequest {
         key: Some("x"),
         ..request("/safe/x")
     };
@@ -85,7 +85,7 @@
         reason(core.pass(Millis(0), stranger)),
         RefusalReason::UnknownKey
     );
-    let nobody = Request {
+    let nobody = IncomingRequest {
         key: None,
         ..request("/safe/x")
     };
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -20,7 +20,7 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 
 const INSTANCE_COUNT: usize = 3;
 const ENDPOINT_COUNT: usize = 4;
@@ -322,7 +322,7 @@
         let instance = self.random_index(INSTANCE_COUNT);
         let now = Millis(self.now);
         let number = self.requests.len();
-        let wanted = Request {
+        let wanted = IncomingRequest {
             deadline: Some(Millis(self.rng.random_range(500..=MAX_DEADLINE_MS))),
             ..request(path)
         };
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -36,7 +36,7 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::message::SlotRequest;
 use siskinyoke_dispatch::message::UnitsRequest;
 
@@ -152,7 +152,7 @@
     // Asks for a quota, as the gateway does: the own shard first, then some instances of others.
     fn request_quota(&mut self, at: usize, units: u64) {
         let now = Millis(self.now);
-        let wanted = Request {
+        let wanted = IncomingRequest {
             tokens: Some((units, 0)),
             draw: self.rng.random(),
             ..request("/stream/x")
@@ -256,7 +256,7 @@
 
     fn submit(&mut self, at: usize) {
         let now = Millis(self.now);
-        let wanted = Request {
+        let wanted = IncomingRequest {
             tokens: Some((1, 1)),
             ..request("/safe/x")
         };
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -24,7 +24,7 @@
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Route;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 
 const INSTANCES: usize = 2;
 const SLOTS: u32 = 12;
@@ -167,7 +167,7 @@
         let number = self.jobs.len();
         let instance = number % INSTANCES;
         let path = format!("/{class}/");
-        let wanted = Request {
+        let wanted = IncomingRequest {
             host: "host",
             path: &path,
             held: Millis::ZERO,
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -13,10 +13,10 @@
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::Pending;
+use siskinyoke_dispatch::ScheduledRequest;
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::Work;
+use siskinyoke_dispatch::TokenCounts;
 use siskinyoke_dispatch::latency_model::LatencyModel;
 use siskinyoke_dispatch::peers::Peers;
 use siskinyoke_dispatch::placing::Candidate;
@@ -57,7 +57,7 @@
         world
     }
 
-    fn admit(&mut self, pending: Pending) -> Ticket {
+    fn admit(&mut self, pending: ScheduledRequest) -> Ticket {
         let now = pending.arrived;
         let admitted = self
             .scheduler
@@ -77,9 +77,9 @@
     }
 }
 
-fn stream(at: u64, prompt: f64, output: f64) -> Pending {
-    Pending {
-        work: Work { prompt, output },
+fn stream(at: u64, prompt: f64, output: f64) -> ScheduledRequest {
+    ScheduledRequest {
+        work: TokenCounts { prompt, output },
         ..pending(Kind::Stream, 0, at)
     }
 }
@@ -240,7 +240,7 @@
     let mut load = LatencyModel::default();
     for number in 0..100_u32 {
         let prompt = f64::from(number) * 100.0;
-        let work = Work {
+        let work = TokenCounts {
             prompt,
             output: 100.0,
         };
@@ -285,7 +285,7 @@
     let pending = stream(0, 100.0, 1_500.0);
     let whole = load.service_time_of(&pending.work);
     let left = Millis(whole.0 * 3 / 2);
-    let pending = Pending {
+    let pending = ScheduledRequest {
         until: left,
         ..pending
     };
@@ -312,7 +312,7 @@
         Some(0),
         "enough time"
     );
-    let short = Pending {
+    let short = ScheduledRequest {
         until: Millis(left.0 - 100),
         ..pending.clone()
     };
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -12,7 +12,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::RefusalReason;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::stable_hash;
 
 const RATE_UNITS_PER_SECOND: f64 = 100_000.0;
@@ -74,7 +74,7 @@
                 if core
                     .pass(
                         Millis(now),
-                        Request {
+                        IncomingRequest {
                             draw,
                             ..request("/safe/x")
                         },
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -24,7 +24,7 @@
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::message::SlotRequest;
 
 const STEP_MS: u64 = 10;
@@ -242,7 +242,7 @@
                 continue;
             }
             let now = Millis(self.now);
-            let wanted = Request {
+            let wanted = IncomingRequest {
                 deadline: Some(Millis(3_000)),
                 ..request("/safe/")
             };
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -18,7 +18,7 @@
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::peers::Peers;
-use siskinyoke_dispatch::pending::Order;
+use siskinyoke_dispatch::pending::QueueOrder;
 use siskinyoke_dispatch::registry::Registry;
 use siskinyoke_dispatch::report::WaitingRow;
 use siskinyoke_dispatch::report::short_hash;
@@ -92,7 +92,7 @@
     let mut told = report("peer", 1);
     told.waiting = vec![WaitingRow {
         service: short_hash("lm"),
-        order: Order(0),
+        order: QueueOrder(0),
         count: 1,
         oldest_wait: 5,
         service_time: 200,
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -39,8 +39,8 @@
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::RefusalReason;
-use siskinyoke_dispatch::core::Pass;
-use siskinyoke_dispatch::core::Request as Wanted;
+use siskinyoke_dispatch::core::IncomingRequest as Wanted;
+use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_dispatch::stable_hash;
 use siskinyoke_interface::FormatError;
 
@@ -212,7 +212,7 @@
     parts: &Parts,
     body: &[u8],
     arrival: Arrival,
-) -> Result<(Option<String>, Pass), Box<Response<AnswerBody>>> {
+) -> Result<(Option<String>, RoutedRequest), Box<Response<AnswerBody>>> {
     let head = match shell.interface.exchange.decode(parts, body) {
         Ok(head) => head,
         Err(err) => return Err(Box::new(unreadable(shell, &err))),
@@ -241,7 +241,7 @@
 }
 
 // Where the own shard's part of a quota is used up, others are asked before the request is refused.
-async fn pass(shell: &Shell, wanted: Wanted<'_>) -> Result<Pass, Refusal> {
+async fn pass(shell: &Shell, wanted: Wanted<'_>) -> Result<RoutedRequest, Refusal> {
     let passed = shell.core.borrow_mut().pass(shell.now(), wanted);
     let refusal = match passed {
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
@@ -265,7 +265,7 @@
     core.configuration()?.organisation_by_key(key).cloned()
 }
 
-fn parcel(shell: &Shell, parts: Parts, pass: &Pass, body: Bytes, held: Held) -> Parcel {
+fn parcel(shell: &Shell, parts: Parts, pass: &RoutedRequest, body: Bytes, held: Held) -> Parcel {
     let exchange = &shell.interface.exchange;
     let organisation = pass.organisation.as_ref().map(|it| &*it.name);
     Parcel {
@@ -281,7 +281,7 @@
 async fn admit(
     shell: &Rc<Shell>,
     id: Option<String>,
-    pass: Pass,
+    pass: RoutedRequest,
     parcel: Parcel,
     arrival: Arrival,
 ) -> Response<AnswerBody> {
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -31,7 +31,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::core::Pass;
+use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_dispatch::latency_model::LatencyModel;
 use siskinyoke_interface::Verdict;
 
@@ -59,7 +59,7 @@
     /// What all tasks share.
     pub shell: Rc<Shell>,
     /// The request as the decisions see it.
-    pub pass: Pass,
+    pub pass: RoutedRequest,
     /// The request as endpoints see it.
     pub parcel: Parcel,
     /// Its identity.
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -10,7 +10,7 @@
 use crate::store::Client;
 use crate::store::StoreError;
 use siskinyoke_base::Millis;
-use siskinyoke_dispatch::core::Due;
+use siskinyoke_dispatch::core::StatusWrite;
 
 /// How long a write may take. One whose answer is lost may still take effect: its condition decides.
 const LIMIT: Millis = Millis(1_500);
@@ -50,7 +50,7 @@
     });
 }
 
-async fn write(shell: &Shell, client: &mut Client, due: &Due) {
+async fn write(shell: &Shell, client: &mut Client, due: &StatusWrite) {
     let documents = &shell.interface.documents;
     let store = &shell.interface.store;
     let key = documents.state_key(&due.order.service);
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -31,7 +31,7 @@
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Identity;
-use siskinyoke_dispatch::core::Pass;
+use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_interface::Interface;
 
 /// What a waiting request is told.
@@ -45,7 +45,7 @@
     /// Its organisation.
     pub organisation: Option<&'a str>,
     /// What the filters found, if it passed them.
-    pub pass: Option<&'a Pass>,
+    pub pass: Option<&'a RoutedRequest>,
     /// Whether it was let in, so that it has an answer's line besides.
     pub admitted: bool,
 }
@@ -60,7 +60,7 @@
     }
 
     /// What is known of a request that passed the filters.
-    pub fn passed(id: Option<&'a str>, pass: &'a Pass) -> Self {
+    pub fn passed(id: Option<&'a str>, pass: &'a RoutedRequest) -> Self {
         Self {
             id,
             organisation: pass.organisation.as_ref().map(|it| &*it.name),
