--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -3,12 +3,12 @@
 mod fleet;
 mod identity;
 mod lending;
-mod pass;
 mod rate_limits;
+mod reporting;
 mod retry;
 mod rollouts;
+mod routing;
 mod store;
-mod talk;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,10 +34,10 @@
 use siskinyoke_base::Millis;
 
 pub use self::identity::Identity;
-pub use self::pass::Pass;
-pub use self::pass::Request;
-pub use self::rollouts::Due;
-pub use self::rollouts::Shift;
+pub use self::rollouts::StatusWrite;
+pub use self::rollouts::TrafficShift;
+pub use self::routing::IncomingRequest;
+pub use self::routing::RoutedRequest;
 
 /// When a caller should come back whose work crashed endpoints: not soon.
 const SUSPECT: Millis = Millis::from_secs(30);
@@ -160,10 +160,14 @@
     /// # Errors
     ///
     /// The refusal; the request has not run and never will.
-    pub fn pass(&mut self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
+    pub fn pass(
+        &mut self,
+        now: Millis,
+        request: IncomingRequest<'_>,
+    ) -> Result<RoutedRequest, Refusal> {
         let pass = self.examine(now, request)?;
         self.budget(&pass.service).record_request(now);
-        self.take_quota(now, &pass, pass::chance(request.draw), 0)?;
+        self.take_quota(now, &pass, routing::chance(request.draw), 0)?;
         Ok(pass)
     }
 
@@ -177,19 +181,19 @@
     pub fn pass_again(
         &mut self,
         now: Millis,
-        request: Request<'_>,
+        request: IncomingRequest<'_>,
         given: u64,
-    ) -> Result<Pass, Refusal> {
+    ) -> Result<RoutedRequest, Refusal> {
         let pass = self.examine(now, request)?;
-        self.take_quota(now, &pass, pass::chance(request.draw), given)?;
+        self.take_quota(now, &pass, routing::chance(request.draw), given)?;
         Ok(pass)
     }
 
-    fn examine(&self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
+    fn examine(&self, now: Millis, request: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
         let configuration = self.in_force()?.clone();
-        let route = pass::find_route(&configuration, request)?;
-        let organisation = pass::authenticate(&configuration, &route, request)?;
-        pass::measure(now, route, organisation, request)
+        let route = routing::find_route(&configuration, request)?;
+        let organisation = routing::authenticate(&configuration, &route, request)?;
+        routing::measure(now, route, organisation, request)
     }
 
     /// Lets a whole request wait for an endpoint.
@@ -197,14 +201,19 @@
     /// # Errors
     ///
     /// The refusal; the request has not run, and its quota is given back.
-    pub fn admit(&mut self, now: Millis, pass: &Pass, print: u64) -> Result<Ticket, Refusal> {
+    pub fn admit(
+        &mut self,
+        now: Millis,
+        pass: &RoutedRequest,
+        print: u64,
+    ) -> Result<Ticket, Refusal> {
         let result = if self.quarantine.refuses(now, print) {
             Err(Refusal {
                 reason: RefusalReason::Quarantined,
                 retry_after: SUSPECT,
             })
         } else {
-            let mut pending = pass::pending(pass, print);
+            let mut pending = routing::pending(pass, print);
             let exposure = self.me.exposure;
             let rollout = self.registry.rollout(&pending.service);
             pending.canary = rollout.is_some_and(|it| it.draw(now, exposure));
@@ -218,7 +227,7 @@
     }
 
     /// Gives back the quota of a request that did not run.
-    pub fn give_back(&mut self, pass: &Pass) {
+    pub fn give_back(&mut self, pass: &RoutedRequest) {
         if let Some(organisation) = &pass.organisation {
             self.quotas.refund(organisation, pass.units);
         }
@@ -271,7 +280,7 @@
 
     /// Takes note that the first part of a running request's answer came.
     pub fn began(&mut self, now: Millis, ticket: Ticket) {
-        self.scheduler.first_part_at(now, ticket);
+        self.scheduler.first_part_received(now, ticket);
     }
 
     /// Takes out a request, waiting or running, whose caller left.
@@ -294,7 +303,7 @@
     fn take_quota(
         &mut self,
         now: Millis,
-        pass: &Pass,
+        pass: &RoutedRequest,
         chance: f64,
         given: u64,
     ) -> Result<(), Refusal> {
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use crate::Ticket;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::report::WaitingRow;
 use siskinyoke_base::Millis;
 
 /// Where a request stands in the queue: order, then turn, then ticket.
-pub type QueueKey = (Order, Millis, Ticket);
+pub type QueueKey = (QueueOrder, Millis, Ticket);
 
 /// Requests of one service that wait for a place.
 #[derive(Debug, Default)]
@@ -23,8 +23,8 @@
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, place: QueueKey) {
-        self.keys.remove(&place);
+    pub fn remove(&mut self, key: QueueKey) {
+        self.keys.remove(&key);
     }
 
     /// Returns the places in order.
@@ -42,11 +42,11 @@
         &self,
         now: Millis,
         service: u32,
-        stay: impl Fn(Ticket) -> Millis,
+        service_time: impl Fn(Ticket) -> Millis,
     ) -> Vec<WaitingRow> {
         let mut rows: Vec<WaitingRow> = Vec::new();
         for (order, position, ticket) in &self.keys {
-            let work = u32::try_from(stay(*ticket).0).unwrap_or(u32::MAX);
+            let work = u32::try_from(service_time(*ticket).0).unwrap_or(u32::MAX);
             match rows.last_mut() {
                 Some(row) if row.order == *order => {
                     row.count = row.count.saturating_add(1);
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::EndpointKey;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::stable_hash;
 
 /// The current state of one instance, sent to its peers many times a second.
@@ -31,7 +31,7 @@
     pub store_reachable: bool,
     /// Its running requests by endpoint.
     pub running: Vec<RunningRow>,
-    /// Its waiting requests by service and priority order.
+    /// Its waiting requests by service and queue order.
     pub waiting: Vec<WaitingRow>,
     /// Quota units used since the process started, less those borrowed from other shards, by hash of the
     /// organisation's name.
@@ -92,13 +92,13 @@
     pub peers: Vec<String>,
 }
 
-/// The waiting requests of one service and priority order.
+/// The waiting requests of one service and queue order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRow {
     /// The hash of the service's name.
     pub service: u32,
-    /// The priority order of the requests; lower values go first.
-    pub order: Order,
+    /// The queue order of the requests; lower values go first.
+    pub order: QueueOrder,
     /// The number of waiting requests.
     pub count: u16,
     /// How long the first of them has waited, including its head start, in ms.
