--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -21,7 +21,7 @@
 use crate::Ticket;
 use crate::budget::Budget;
 use crate::cold_start;
-use crate::listing::Listing;
+use crate::leased_entries::Listing;
 use crate::peers::Peers;
 use crate::quarantine::Quarantine;
 use crate::quota;
--- a/crates/siskinyoke-dispatch/src/cost.rs
+++ b/crates/siskinyoke-dispatch/src/cost.rs
@@ -1,17 +1,17 @@
 //! What it takes to serve a request at one endpoint.
 
 /// What a late first part weighs, as a multiple of the usual time on an endpoint.
-const LATE: f64 = 3.0;
+const LATE_PENALTY_RATIO: f64 = 3.0;
 
 /// What it weighs that all who are served at an endpoint pause for too long while it reads a prompt,
 /// as a multiple of the usual time.
 ///
 /// Long prompts make streams at a slow endpoint late that are on time at any other.
-const STALL: f64 = 8.0;
+const STALL_PENALTY_RATIO: f64 = 8.0;
 
 /// What it weighs that an answer would not be whole before its caller leaves, as a multiple of the
 /// usual time.
-const OVERRUN: f64 = 8.0;
+const TIMEOUT_PENALTY_RATIO: f64 = 8.0;
 
 /// What it takes to serve a request at one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
@@ -29,9 +29,10 @@
 impl Cost {
     /// Adds it up; the least is best.
     pub(crate) fn sum(&self) -> f64 {
-        let weigh = |holds: bool, weight: f64| if holds { weight } else { 0.0 };
-        let failing = weigh(self.late, LATE) + weigh(self.overruns, OVERRUN);
-        self.time + failing + self.stalled * STALL
+        let penalty = |holds: bool, weight: f64| if holds { weight } else { 0.0 };
+        let failing =
+            penalty(self.late, LATE_PENALTY_RATIO) + penalty(self.overruns, TIMEOUT_PENALTY_RATIO);
+        self.time + failing + self.stalled * STALL_PENALTY_RATIO
     }
 
     /// Returns whether it does harm, where a request can wait for another place.
--- a/crates/siskinyoke-dispatch/src/directory.rs
+++ b/crates/siskinyoke-dispatch/src/directory.rs
@@ -5,10 +5,10 @@
 /// The fewest instances named to a caller, where there are so many.
 ///
 /// Callers keep the answer for seconds: with one name only, its end would leave them with none.
-const FEWEST: usize = 2;
+const MIN_INSTANCES: usize = 2;
 
 /// The most instances named to a caller.
-const MOST: usize = 64;
+const MAX_INSTANCES: usize = 64;
 
 /// Chooses among the ready instances those that a caller of a data centre is told to use.
 ///
@@ -16,13 +16,13 @@
 /// between data centres cost most.
 pub fn choose<'a>(centre: &str, ready: impl Iterator<Item = &'a Place>) -> Vec<String> {
     let ready: Vec<&Place> = ready.collect();
-    let near: Vec<&&Place> = ready.iter().filter(|it| it.centre == centre).collect();
-    let mut fronts: Vec<String> = if near.len() >= FEWEST {
-        near.iter().map(|it| it.front.clone()).collect()
+    let local: Vec<&&Place> = ready.iter().filter(|it| it.centre == centre).collect();
+    let mut addresses: Vec<String> = if local.len() >= MIN_INSTANCES {
+        local.iter().map(|it| it.front.clone()).collect()
     } else {
         ready.iter().map(|it| it.front.clone()).collect()
     };
-    fronts.sort();
-    fronts.truncate(MOST);
-    fronts
+    addresses.sort();
+    addresses.truncate(MAX_INSTANCES);
+    addresses
 }
--- a/crates/siskinyoke-dispatch/src/health.rs
+++ b/crates/siskinyoke-dispatch/src/health.rs
@@ -6,27 +6,27 @@
 /// How much a new observation counts in a running mean.
 ///
 /// A tenth follows a change within some ten requests, half a second of work on a busy endpoint.
-const WEIGHT: f64 = 0.1;
+const SMOOTHING_RATIO: f64 = 0.1;
 
 /// How long an endpoint that could not be reached rests at first.
 ///
 /// About the time in which a crashed process is noticed by all; it doubles with each strike.
-const REST: Millis = Millis(200);
+const MIN_BACKOFF: Millis = Millis(200);
 
 /// The longest rest: the usual time in which a crashed endpoint is back.
-const LONGEST: Millis = Millis(2_000);
+const MAX_BACKOFF: Millis = Millis(2_000);
 
 /// How long an endpoint rests that said it had no room: a fifth of a usual run.
-const FULL: Millis = Millis(40);
+const FULL_BACKOFF: Millis = Millis(40);
 
 /// How long an address rests that another endpoint has taken over: the entry follows in that time.
-const MOVED: Millis = Millis(3_000);
+const MOVED_BACKOFF: Millis = Millis(3_000);
 
 /// What this instance has seen of one endpoint.
 #[derive(Debug, Clone)]
 pub struct Health {
-    rests: Millis,
-    strikes: u32,
+    backoff_until: Millis,
+    failure_streak: u32,
     failures: f64,
     pace: f64,
     seen: f64,
@@ -36,8 +36,8 @@
 impl Default for Health {
     fn default() -> Self {
         Self {
-            rests: Millis::ZERO,
-            strikes: 0,
+            backoff_until: Millis::ZERO,
+            failure_streak: 0,
             failures: 0.0,
             pace: 1.0,
             seen: 0.0,
@@ -50,19 +50,19 @@
     /// Takes note of how a stay ended.
     pub fn ended(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
-            Outcome::Done { .. } => self.succeeded(),
-            Outcome::Failed => self.failures += (1.0 - self.failures) * WEIGHT,
-            Outcome::Full => self.rest(now + FULL),
-            Outcome::Moved => self.rest(now + MOVED),
-            Outcome::Unreached | Outcome::Silent => self.strike(now),
-            Outcome::Broken => self.broken(now),
+            Outcome::Done { .. } => self.record_success(),
+            Outcome::Failed => self.failures += (1.0 - self.failures) * SMOOTHING_RATIO,
+            Outcome::Full => self.back_off_until(now + FULL_BACKOFF),
+            Outcome::Moved => self.back_off_until(now + MOVED_BACKOFF),
+            Outcome::Unreached | Outcome::Silent => self.record_unresponsive(now),
+            Outcome::Broken => self.record_broken(now),
             Outcome::Left => {}
         }
     }
 
     /// Returns whether the endpoint rests.
     pub fn resting(&self, now: Millis) -> bool {
-        now < self.rests
+        now < self.backoff_until
     }
 
     /// Returns the part of its requests that failed lately.
@@ -82,7 +82,7 @@
 
     /// Takes note whether a stream paused for too long.
     pub fn paused(&mut self, long: bool) {
-        self.held += (f64::from(u8::from(long)) - self.held) * WEIGHT;
+        self.held += (f64::from(u8::from(long)) - self.held) * SMOOTHING_RATIO;
     }
 
     /// Returns how many times its pace was observed.
@@ -95,37 +95,37 @@
     /// The first observations count more, so that a slow endpoint shows with its first answers.
     pub fn paced(&mut self, pace: f64) {
         self.seen += 1.0;
-        let weight = (1.0 / (self.seen + 1.0)).max(WEIGHT);
+        let weight = (1.0 / (self.seen + 1.0)).max(SMOOTHING_RATIO);
         self.pace += (pace - self.pace) * weight;
     }
 
-    fn succeeded(&mut self) {
-        self.strikes = 0;
-        self.failures -= self.failures * WEIGHT;
+    fn record_success(&mut self) {
+        self.failure_streak = 0;
+        self.failures -= self.failures * SMOOTHING_RATIO;
     }
 
     // A single broken answer is often a fault of that answer; only a second one in a row
     // says that the endpoint is down, and resting a sound one wastes its slots.
-    fn broken(&mut self, now: Millis) {
-        self.failures += (1.0 - self.failures) * WEIGHT;
-        self.strikes += 1;
-        if self.strikes >= 2 {
-            self.rest_long(now);
+    fn record_broken(&mut self, now: Millis) {
+        self.failures += (1.0 - self.failures) * SMOOTHING_RATIO;
+        self.failure_streak += 1;
+        if self.failure_streak >= 2 {
+            self.back_off(now);
         }
     }
 
-    fn strike(&mut self, now: Millis) {
-        self.failures += (1.0 - self.failures) * WEIGHT;
-        self.strikes += 1;
-        self.rest_long(now);
+    fn record_unresponsive(&mut self, now: Millis) {
+        self.failures += (1.0 - self.failures) * SMOOTHING_RATIO;
+        self.failure_streak += 1;
+        self.back_off(now);
     }
 
-    fn rest_long(&mut self, now: Millis) {
-        let doubled = REST.0 << self.strikes.saturating_sub(1).min(6);
-        self.rest(now + Millis(doubled.min(LONGEST.0)));
+    fn back_off(&mut self, now: Millis) {
+        let doubled = MIN_BACKOFF.0 << self.failure_streak.saturating_sub(1).min(6);
+        self.back_off_until(now + Millis(doubled.min(MAX_BACKOFF.0)));
     }
 
-    fn rest(&mut self, until: Millis) {
-        self.rests = self.rests.max(until);
+    fn back_off_until(&mut self, until: Millis) {
+        self.backoff_until = self.backoff_until.max(until);
     }
 }
--- a/crates/siskinyoke-dispatch/src/listing.rs
+++ b/crates/siskinyoke-dispatch/src/leased_entries.rs
@@ -9,29 +9,29 @@
 ///
 /// Their leases may have run out while the store was away; living writers are back within two
 /// seconds of its return. Dropping their entries at once would refuse all work for that time.
-const RETURN: Millis = Millis(2_300);
+const OUTAGE_GRACE: Millis = Millis(2_300);
 
 #[derive(Debug, Clone)]
 struct Entry<T> {
     value: T,
     // Set while the entry is missing from the store: believed until then.
-    missing: Option<Millis>,
+    expires: Option<Millis>,
 }
 
 /// Entries of the store that live as long as their writer renews them.
 #[derive(Debug)]
 pub struct Listing<T> {
     entries: BTreeMap<Arc<str>, Entry<T>>,
-    away: bool,
-    back: Option<Millis>,
+    unreachable: bool,
+    regained: Option<Millis>,
 }
 
 impl<T> Default for Listing<T> {
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
-            away: false,
-            back: None,
+            unreachable: false,
+            regained: None,
         }
     }
 }
@@ -39,15 +39,15 @@
 impl<T> Listing<T> {
     /// Takes note that the store could not be reached.
     pub fn store_lost(&mut self) {
-        self.away = true;
-        self.back = None;
+        self.unreachable = true;
+        self.regained = None;
     }
 
     /// Takes note that the store answers again.
     pub fn store_back(&mut self, now: Millis) {
-        if self.away {
-            self.away = false;
-            self.back = Some(now);
+        if self.unreachable {
+            self.unreachable = false;
+            self.regained = Some(now);
         }
     }
 
@@ -57,7 +57,7 @@
             name.into(),
             Entry {
                 value,
-                missing: None,
+                expires: None,
             },
         );
     }
@@ -68,7 +68,7 @@
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
-        entry.missing.get_or_insert(now + grace);
+        entry.expires.get_or_insert(now + grace);
         self.sweep(now);
     }
 
@@ -76,7 +76,7 @@
     pub fn sweep(&mut self, now: Millis) -> bool {
         let before = self.entries.len();
         self.entries
-            .retain(|_, entry| entry.missing.is_none_or(|until| now < until));
+            .retain(|_, entry| entry.expires.is_none_or(|until| now < until));
         self.entries.len() < before
     }
 
@@ -88,9 +88,9 @@
     }
 
     fn grace(&self, now: Millis) -> Millis {
-        match self.back {
-            _ if self.away => RETURN,
-            Some(back) => RETURN.since(now.since(back)),
+        match self.regained {
+            _ if self.unreachable => OUTAGE_GRACE,
+            Some(regained) => OUTAGE_GRACE.since(now.since(regained)),
             None => Millis::ZERO,
         }
     }
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -19,48 +19,48 @@
 /// How much worse an endpoint in another data centre is taken to be, as a part of its pace.
 ///
 /// Enough to decide between equals, too little to leave a faster one idle.
-const FAR: f64 = 0.3;
+const REMOTE_PENALTY_RATIO: f64 = 0.3;
 
 /// How much worse an endpoint is taken to be whose places are all taken, as a part of its pace.
 ///
 /// Some endpoints slow down when they are nearly full; it spreads work over equals.
-const CROWDED: f64 = 0.3;
+const LOAD_PENALTY_RATIO: f64 = 0.3;
 
 /// How far instances differ in which of several like endpoints they use first, as a part of its pace.
 ///
 /// Instances of a shard see the same free places at the same moment. Were they of one mind on the best of
 /// them, each would fill it before it hears of the others, and requests would queue there beside free
 /// places. Less than what makes an endpoint a worse choice by itself.
-const PREFERENCE: f64 = 0.2;
+const PREFERENCE_SPREAD_RATIO: f64 = 0.2;
 
 /// How much a failure weighs against an endpoint when one is chosen.
-const FAILING: f64 = 3.0;
+const FAILURE_PENALTY_RATIO: f64 = 3.0;
 
 /// How much longer than expected an answer may take and must still be whole in time, where its request can
 /// wait for another endpoint.
 ///
 /// Callers' estimates are right at the median; one answer in five is half as long again.
-const MARGIN: f64 = 1.5;
+const TIMEOUT_MARGIN_RATIO: f64 = 1.5;
 
 /// The pace beyond which an endpoint counts as slow.
 ///
 /// Beyond the scatter of equal endpoints' paces; waiting for a usual one is worth it then.
-const SLOW: f64 = 1.3;
+const SLOW_RATIO: f64 = 1.3;
 
 /// Observations from which on an instance goes by its own: one or two may have waited behind a long prompt.
-const ENOUGH: f64 = 3.0;
+const MIN_OBSERVATIONS: f64 = 3.0;
 
 /// The steps in which paces are told, for each multiple of the usual one: a byte holds up to thirty-two times
 /// the usual one, in steps finer than the scatter of one endpoint's answers.
-const EIGHTHS: f64 = 8.0;
+const SPEED_STEPS_PER_UNIT: f64 = 8.0;
 
 /// The part of streams that pause for too long beyond which the next one is expected to.
 ///
 /// Below one half, so that an endpoint is passed by before most of its streams are late.
-const HELD: f64 = 0.3;
+const STALL_THRESHOLD_RATIO: f64 = 0.3;
 
 /// Parts of an answer up to which such a pause seldom falls into it.
-const SHORT: f64 = 8.0;
+const SHORT_ANSWER_PARTS: f64 = 8.0;
 
 /// A request that is to be placed.
 #[derive(Debug, Clone, Copy)]
@@ -104,7 +104,7 @@
     name: Box<str>,
     health: Map<EndpointKey, Health>,
     // Paces that peers saw, by shortened key.
-    told: Map<u32, f64>,
+    peer_speeds: Map<u32, f64>,
 }
 
 impl Placing {
@@ -114,7 +114,7 @@
             centre: centre.into(),
             name: name.into(),
             health: Map::default(),
-            told: Map::default(),
+            peer_speeds: Map::default(),
         }
     }
 
@@ -141,18 +141,18 @@
     /// What peers saw stands in until there are a few observations of our own.
     pub fn pace(&self, key: EndpointKey) -> f64 {
         let own = self.health.get(&key);
-        let told = self.told.get(&key.short()).copied();
+        let peer_speed = self.peer_speeds.get(&key.short()).copied();
         match own {
-            Some(health) if health.seen() >= ENOUGH => health.pace(),
-            Some(health) => told.unwrap_or_else(|| health.pace()),
-            None => told.unwrap_or(1.0),
+            Some(health) if health.seen() >= MIN_OBSERVATIONS => health.pace(),
+            Some(health) => peer_speed.unwrap_or_else(|| health.pace()),
+            None => peer_speed.unwrap_or(1.0),
         }
     }
 
     /// Returns whether nobody has seen yet how fast an endpoint is.
     pub fn unknown(&self, key: EndpointKey) -> bool {
         let seen = self.health.get(&key).map_or(0.0, Health::seen);
-        seen == 0.0 && !self.told.contains_key(&key.short())
+        seen == 0.0 && !self.peer_speeds.contains_key(&key.short())
     }
 
     /// Returns an endpoint's pace as it stands in reports.
@@ -163,14 +163,16 @@
     )]
     pub fn tell(&self, key: EndpointKey) -> u8 {
         let seen = self.health.get(&key).filter(|it| it.seen() > 0.0);
-        seen.map_or(0, |it| (it.pace() * EIGHTHS).clamp(1.0, 255.0) as u8)
+        seen.map_or(0, |it| {
+            (it.pace() * SPEED_STEPS_PER_UNIT).clamp(1.0, 255.0) as u8
+        })
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn heard(&mut self, rows: &[Busy]) {
         for row in rows.iter().filter(|row| row.pace > 0) {
-            self.told
-                .insert(row.endpoint, f64::from(row.pace) / EIGHTHS);
+            self.peer_speeds
+                .insert(row.endpoint, f64::from(row.pace) / SPEED_STEPS_PER_UNIT);
         }
     }
 
@@ -202,13 +204,13 @@
     ///
     /// Where even the fastest one does, none counts as slow: there is nothing better to wait for.
     pub fn slow(&self, key: EndpointKey, fastest: f64) -> bool {
-        self.pace(key) > SLOW * fastest.max(1.0)
+        self.pace(key) > SLOW_RATIO * fastest.max(1.0)
     }
 
     /// Forgets endpoints that are not among the known ones.
     pub fn forget(&mut self, known: &[EndpointKey]) {
         self.health.retain(|key, _| known.contains(key));
-        self.told
+        self.peer_speeds
             .retain(|short, _| known.iter().any(|key| key.short() == *short));
     }
 
@@ -230,11 +232,16 @@
         let far = if endpoint.centre == self.centre {
             0.0
         } else {
-            FAR
+            REMOTE_PENALTY_RATIO
         };
         let pace = self.pace(endpoint.key());
-        let preference = self.preference(endpoint.key()) * PREFERENCE;
-        let time = pace * (1.0 + taken * CROWDED + far + failures * FAILING + preference);
+        let preference = self.preference(endpoint.key()) * PREFERENCE_SPREAD_RATIO;
+        let time = pace
+            * (1.0
+                + taken * LOAD_PENALTY_RATIO
+                + far
+                + failures * FAILURE_PENALTY_RATIO
+                + preference);
         if pending.route.kind != Kind::Stream {
             return Cost {
                 time,
@@ -247,7 +254,8 @@
         let time = time + pace * float(delay) / float(load.stay()).max(1.0);
         let begins = float(now.since(pending.arrived)) + float(first) * pace;
         let held = health.map_or(0.0, Health::held);
-        let pauses = load.parts_of(&pending.work) > SHORT && held > HELD;
+        let pauses =
+            load.parts_of(&pending.work) > SHORT_ANSWER_PARTS && held > STALL_THRESHOLD_RATIO;
         let stalls = load.stall(unread.prompt) * pace > float(pending.route.gap);
         Cost {
             time,
@@ -261,6 +269,10 @@
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
 fn overruns(query: &Query<'_>, pace: f64) -> bool {
     let stay = float(query.load.stay_of(&query.pending.work)) * pace;
-    let margin = if query.can_wait { MARGIN } else { 1.0 };
+    let margin = if query.can_wait {
+        TIMEOUT_MARGIN_RATIO
+    } else {
+        1.0
+    };
     stay * margin > float(query.pending.until.since(query.now))
 }
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -6,7 +6,7 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::News;
-use crate::listing::Listing;
+use crate::leased_entries::Listing;
 use crate::report::short;
 use crate::rollout::Order;
 use crate::rollout::Rollout;
@@ -19,19 +19,19 @@
 
 /// How many endpoints known to have left are told to peers; the latest are enough, as the store
 /// tells the same within seconds.
-const TOLD: usize = 16;
+const MAX_REPORTED_DEPARTURES: usize = 16;
 
 /// How long a start that left is remembered: no entry of it comes that late.
-const REMEMBERED: Millis = Millis::from_secs(600);
+const DEPARTURE_RETENTION: Millis = Millis::from_secs(600);
 
 /// The endpoints that each shard needs of a service, so that a failed request has another to go to.
-const FEWEST: usize = 2;
+const MIN_SHARD_ENDPOINTS: usize = 2;
 
 /// The endpoints that are known, by the key they have in the store.
 #[derive(Debug, Default)]
 pub struct Registry {
-    listing: Listing<Arc<Endpoint>>,
-    leavers: Map<EndpointKey, Millis>,
+    entries: Listing<Arc<Endpoint>>,
+    departures: Map<EndpointKey, Millis>,
     shard: usize,
     // The number of instances in each shard.
     shards: Vec<usize>,
@@ -41,18 +41,18 @@
     canaries: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
     rollouts: BTreeMap<Arc<str>, Rollout>,
     // The shards that use an endpoint of this one's, by its shortened key: several where they share it.
-    sharers: Map<u32, Vec<usize>>,
+    sharing_shards: Map<u32, Vec<usize>>,
 }
 
 impl Registry {
     /// Takes note that the store could not be reached.
     pub fn store_lost(&mut self) {
-        self.listing.store_lost();
+        self.entries.store_lost();
     }
 
     /// Takes note that the store answers again.
     pub fn store_back(&mut self, now: Millis) {
-        self.listing.store_back(now);
+        self.entries.store_back(now);
     }
 
     /// Takes note of this instance's shard, and of the number of instances in each.
@@ -75,7 +75,7 @@
         for item in news {
             match item {
                 News::Endpoint(endpoint) => self.add(now, endpoint),
-                News::EndpointGone(id) => self.listing.remove(now, &id),
+                News::EndpointGone(id) => self.entries.remove(now, &id),
                 News::Instance(..)
                 | News::InstanceGone(_)
                 | News::Order(_)
@@ -88,21 +88,22 @@
 
     /// Takes note that an endpoint's entry is gone.
     pub fn remove(&mut self, now: Millis, id: &str) {
-        self.listing.remove(now, id);
+        self.entries.remove(now, id);
         self.choose();
     }
 
     /// Takes over from a peer that an endpoint is leaving or gone.
     pub fn left(&mut self, now: Millis, key: EndpointKey) {
-        if self.leavers.insert(key, now).is_none() {
+        if self.departures.insert(key, now).is_none() {
             self.choose();
         }
     }
 
     /// Drops entries whose time is over.
     pub fn sweep(&mut self, now: Millis) {
-        self.leavers.retain(|_, at| now.since(*at) < REMEMBERED);
-        if self.listing.sweep(now) {
+        self.departures
+            .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
+        if self.entries.sweep(now) {
             self.choose();
         }
     }
@@ -185,7 +186,7 @@
     /// An endpoint that several shards share has no more of them hold its limit than there are holders. Nothing of
     /// it is this shard's where the endpoint is another's.
     pub(crate) fn portion(&self, endpoint: u32, holders: usize) -> f64 {
-        let Some(shards) = self.sharers.get(&endpoint) else {
+        let Some(shards) = self.sharing_shards.get(&endpoint) else {
             return 0.0;
         };
         let rank = |shard: &usize| stable_hash(&(endpoint, shard));
@@ -199,27 +200,34 @@
 
     /// Returns all endpoints that are known.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
-        self.listing.iter().map(|row| row.1)
+        self.entries.iter().map(|row| row.1)
     }
 
     /// Returns the endpoints known to be leaving or gone that peers should hear of.
     pub fn news(&self) -> Vec<EndpointKey> {
-        let mut all: Vec<_> = self.leavers.iter().map(|(key, at)| (*at, *key)).collect();
+        let mut all: Vec<_> = self
+            .departures
+            .iter()
+            .map(|(key, at)| (*at, *key))
+            .collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
-        all.into_iter().take(TOLD).map(|(_, key)| key).collect()
+        all.into_iter()
+            .take(MAX_REPORTED_DEPARTURES)
+            .map(|(_, key)| key)
+            .collect()
     }
 
     fn add(&mut self, now: Millis, endpoint: Endpoint) {
         if endpoint.draining {
-            self.leavers.insert(endpoint.key(), now);
+            self.departures.insert(endpoint.key(), now);
         }
         let id = endpoint.id.clone();
-        self.listing.put(&id, Arc::new(endpoint));
+        self.entries.put(&id, Arc::new(endpoint));
     }
 
     fn choose(&mut self) {
         let mut services: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>> = BTreeMap::new();
-        for endpoint in self.listing.iter().map(|row| row.1) {
+        for endpoint in self.entries.iter().map(|row| row.1) {
             if !self.leaving(endpoint) {
                 services
                     .entry(endpoint.service.clone())
@@ -228,7 +236,7 @@
             }
         }
         self.canaries.clear();
-        let mut sharers = Map::default();
+        let mut sharing_shards = Map::default();
         for (service, rollout) in &mut self.rollouts {
             let endpoints = services.get(service).into_iter().flatten();
             rollout.take_endpoints(endpoints.map(|it| &**it));
@@ -237,33 +245,33 @@
             if let Some(rollout) = self.rollouts.get(service) {
                 let mut new = endpoints.clone();
                 new.retain(|it| rollout.usage(it) == Use::Canary);
-                let mut new = self.own(&new, &mut sharers);
+                let mut new = self.own(&new, &mut sharing_shards);
                 new.truncate(rollout.canaries());
                 endpoints.retain(|it| rollout.usage(it) == Use::Full);
                 self.canaries.insert(service.clone(), new);
             }
-            *endpoints = self.own(endpoints, &mut sharers);
+            *endpoints = self.own(endpoints, &mut sharing_shards);
         }
         self.fit = services;
         let own = self.fit.values().chain(self.canaries.values()).flatten();
         for endpoint in own {
-            let shards = sharers.entry(endpoint.key().short());
+            let shards = sharing_shards.entry(endpoint.key().short());
             shards.or_insert_with(|| vec![self.shard]);
         }
-        self.sharers = sharers;
+        self.sharing_shards = sharing_shards;
     }
 
     // The endpoints of a service that belong to this instance's shard.
     fn own(
         &self,
         endpoints: &[Arc<Endpoint>],
-        sharers: &mut Map<u32, Vec<usize>>,
+        sharing_shards: &mut Map<u32, Vec<usize>>,
     ) -> Vec<Arc<Endpoint>> {
         if self.shards.len() <= 1 || endpoints.is_empty() {
             return endpoints.to_vec();
         }
-        if endpoints.len() < FEWEST * self.shards.len() {
-            return self.shared(endpoints, sharers);
+        if endpoints.len() < MIN_SHARD_ENDPOINTS * self.shards.len() {
+            return self.shared(endpoints, sharing_shards);
         }
         let rows: Vec<_> = endpoints.iter().map(|it| (&*it.centre, &*it.id)).collect();
         let assigned = shards::assign(&rows, &self.shards);
@@ -276,7 +284,7 @@
     fn shared(
         &self,
         endpoints: &[Arc<Endpoint>],
-        sharers: &mut Map<u32, Vec<usize>>,
+        sharing_shards: &mut Map<u32, Vec<usize>>,
     ) -> Vec<Arc<Endpoint>> {
         let count = endpoints.len();
         let shards = self.shards.len();
@@ -287,7 +295,7 @@
                 let endpoint = &endpoints[at];
                 let users: Vec<usize> = (0..shards).filter(|it| all[*it].contains(&at)).collect();
                 let count = u32::try_from(users.len()).unwrap_or(u32::MAX);
-                sharers.insert(endpoint.key().short(), users);
+                sharing_shards.insert(endpoint.key().short(), users);
                 let part = (endpoint.slots * 3).div_ceil(count * 2).max(2);
                 Arc::new(Endpoint {
                     slots: part.min(endpoint.slots),
@@ -299,7 +307,7 @@
 
     // A start that once said it was leaving stays leaving, whatever an older entry says later.
     fn leaving(&self, endpoint: &Endpoint) -> bool {
-        endpoint.draining || self.leavers.contains_key(&endpoint.key())
+        endpoint.draining || self.departures.contains_key(&endpoint.key())
     }
 }
 
@@ -308,8 +316,8 @@
     let mut few: Vec<usize> = (shard..count).step_by(shards).collect();
     let first = few.first().copied().unwrap_or(shard % count);
     let more = (0..count).map(|step| (first + step) % count);
-    for at in more.take(FEWEST) {
-        if few.len() < FEWEST && !few.contains(&at) {
+    for at in more.take(MIN_SHARD_ENDPOINTS) {
+        if few.len() < MIN_SHARD_ENDPOINTS && !few.contains(&at) {
             few.push(at);
         }
     }
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -8,7 +8,7 @@
 //! of the standing version at the same time. There is no coordinator: whoever sees enough evidence writes the
 //! outcome under a condition on the status and the order that it knows, so that no two outcomes can stand.
 
-mod judge;
+mod analysis;
 mod order;
 mod status;
 
@@ -22,51 +22,51 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-pub use self::judge::Sample;
-pub use self::judge::Tally;
+pub use self::analysis::Sample;
+pub use self::analysis::Tally;
 pub use self::order::Order;
 pub use self::status::State;
 pub use self::status::Status;
 
 /// The part of the operators' bound on exposure that the canary share takes.
-const MARGIN: f64 = 0.5;
+const EXPOSURE_RATIO: f64 = 0.5;
 
 /// The part of an order's time after which traffic begins to move to the new version, unless that is bad.
-const RAMP: f64 = 0.55;
+const RAMP_START_RATIO: f64 = 0.55;
 
 /// The part of an order's time after which all traffic has moved.
 ///
 /// It moves by and by, as some versions are bad under load only.
-const MOVED: f64 = 0.75;
+const RAMP_END_RATIO: f64 = 0.75;
 
 /// The part of the requests that is drawn for the new version at the most.
 ///
 /// The others go to the standing version, whose answers of the same time the new ones are compared with.
-const MOST: f64 = 0.8;
+const MAX_NEW_RATIO: f64 = 0.8;
 
 /// The part of an order's time after which the new version is in force.
 ///
 /// Old endpoints stop without draining then; until then what they run can end.
-const COMPLETE: f64 = 0.93;
+const COMPLETION_RATIO: f64 = 0.93;
 
 /// Endpoints to which an instance sends the canary share.
 ///
 /// Few, so that they are loaded as they will be; more than one, so that one that fails does not condemn all.
-const CANARIES: usize = 2;
+const CANARY_ENDPOINTS: usize = 2;
 
 /// The part of the standing endpoints' slots that those of the new version must have for traffic to move.
-const ENOUGH: f64 = 0.5;
+const MIN_SLOTS_RATIO: f64 = 0.5;
 
 /// How long old endpoints are left out after the new version is in force.
 ///
 /// By then their entries are gone. Endpoints of any version that start later are of the operators' choice.
-const SETTLED: Millis = Millis::from_secs(20);
+const SETTLE_TIME: Millis = Millis::from_secs(20);
 
 /// How long what a peer saw counts after its report; it fades at the peer, and only while that is heard.
-const HEARD: Millis = Millis(1_000);
+const PEER_REPORT_TTL: Millis = Millis(1_000);
 
 /// How long an instance waits for the one whose turn it is to write, by its own position in turn.
-const TURN: Millis = Millis(250);
+const WRITE_STAGGER: Millis = Millis(250);
 
 /// Where the traffic of a service goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -116,9 +116,9 @@
     order: Order,
     status: Option<Status>,
     // When the order was placed, as far as this instance and its peers know.
-    begun: Millis,
+    started: Millis,
     // Versions that were ordered before and never came into force.
-    banned: Vec<Arc<str>>,
+    excluded_versions: Vec<Arc<str>>,
     // Whether endpoints of another version were there while the order stood.
     standing: bool,
     // Slots of the endpoints of the new version and of the others.
@@ -128,7 +128,7 @@
     // Whether the operators took the order away.
     withdrawn: bool,
     // When the outcome was first known here.
-    ended: Option<Millis>,
+    decided_at: Option<Millis>,
     // Requests that may go to the new version, with fractions.
     credit: f64,
     tally: Tally,
@@ -143,24 +143,24 @@
     /// Each instance counts the canary share of its own requests, beginning with a random fraction: over all
     /// instances the share holds, whatever the size of the fleet and however often they restart.
     pub fn begin(now: Millis, order: Order, before: Option<Self>, draw: f64) -> Self {
-        let mut banned = Vec::new();
+        let mut excluded_versions = Vec::new();
         if let Some(before) = before {
-            banned = before.banned;
+            excluded_versions = before.excluded_versions;
             if !matches!(before.phase, Phase::Completed | Phase::Settled) {
-                banned.push(before.order.version);
+                excluded_versions.push(before.order.version);
             }
         }
-        banned.retain(|it| *it != order.version);
+        excluded_versions.retain(|it| *it != order.version);
         Self {
             order,
             status: None,
-            begun: now,
-            banned,
+            started: now,
+            excluded_versions,
             standing: false,
             slots: [0, 0],
             condemned: false,
             withdrawn: false,
-            ended: None,
+            decided_at: None,
             credit: draw,
             tally: Tally::default(),
             told: Map::default(),
@@ -202,7 +202,7 @@
         self.slots = [0, 0];
         for endpoint in endpoints {
             let new = endpoint.version == self.order.version;
-            if !new && self.banned.contains(&endpoint.version) {
+            if !new && self.excluded_versions.contains(&endpoint.version) {
                 continue;
             }
             self.standing |= !new;
@@ -222,7 +222,7 @@
             return;
         }
         // The peer that has known the order for longest is nearest to the truth.
-        self.begun = self.begun.min(now.since(Millis(canary.age)));
+        self.started = self.started.min(now.since(Millis(canary.age)));
         self.condemned |= canary.condemned;
         if shard {
             self.told.insert(source, (now, canary.clone()));
@@ -235,7 +235,7 @@
         Canary {
             service: short(&self.order.service),
             order: self.order.revision,
-            age: now.since(self.begun).0,
+            age: now.since(self.started).0,
             condemned: self.condemned,
             samples: self.tally.samples(now),
         }
@@ -243,7 +243,7 @@
 
     /// Returns whether peers have something to hear.
     pub fn tells(&self) -> bool {
-        self.judging() || (self.condemned && !self.decided())
+        self.judging() || (self.condemned && !self.is_decided())
     }
 
     /// Counts a request, and returns whether it is for the new version; `bound` is the largest part of
@@ -252,7 +252,7 @@
         if !matches!(self.phase, Phase::Trial | Phase::Ramp) || self.slots[0] == 0 {
             return false;
         }
-        self.credit = (self.credit + self.share(now, bound * MARGIN)).min(2.0);
+        self.credit = (self.credit + self.share(now, bound * EXPOSURE_RATIO)).min(2.0);
         if self.credit < 1.0 {
             return false;
         }
@@ -276,7 +276,7 @@
     /// Returns what an endpoint may get.
     pub fn usage(&self, endpoint: &Endpoint) -> Use {
         let new = endpoint.version == self.order.version;
-        if !new && self.banned.contains(&endpoint.version) {
+        if !new && self.excluded_versions.contains(&endpoint.version) {
             return Use::None;
         }
         match (self.phase, new) {
@@ -291,7 +291,7 @@
     /// Returns how many endpoints of the new version share what is drawn for it.
     pub fn canaries(&self) -> usize {
         if self.phase == Phase::Trial {
-            CANARIES
+            CANARY_ENDPOINTS
         } else {
             usize::MAX
         }
@@ -299,9 +299,9 @@
 
     /// Works out where the traffic goes now, and returns whether that changed.
     pub fn advance(&mut self, now: Millis) -> bool {
-        let phase = self.next(now);
+        let phase = self.next_phase(now);
         if matches!(phase, Phase::Completed | Phase::RolledBack) {
-            self.ended.get_or_insert(now);
+            self.decided_at.get_or_insert(now);
         }
         let changed = phase != self.phase;
         self.phase = phase;
@@ -310,27 +310,27 @@
 
     /// Returns the state that is to be written, by an instance of this position in turn.
     pub fn due(&self, now: Millis, position: usize) -> Option<State> {
-        if self.decided() {
+        if self.is_decided() {
             return None;
         }
-        let position = Millis(TURN.0 * u64::try_from(position).unwrap_or(0));
-        let age = now.since(self.begun).since(position);
+        let position = Millis(WRITE_STAGGER.0 * u64::try_from(position).unwrap_or(0));
+        let age = now.since(self.started).since(position);
         if self.condemned {
             return Some(State::RolledBack);
         }
-        if self.phase == Phase::Moved && age >= self.part(COMPLETE) {
+        if self.phase == Phase::Moved && age >= self.part_of_span(COMPLETION_RATIO) {
             return Some(State::Completed);
         }
         // Its endpoints never came, or too few of them.
         if self.phase != Phase::Moved && age >= self.order.span {
             return Some(State::RolledBack);
         }
-        let running = self.current().is_some();
+        let running = self.current_state().is_some();
         (!running && age > Millis::ZERO).then_some(State::Running)
     }
 
-    fn next(&self, now: Millis) -> Phase {
-        match self.current() {
+    fn next_phase(&self, now: Millis) -> Phase {
+        match self.current_state() {
             _ if self.phase == Phase::Settled => return Phase::Settled,
             Some(State::Completed) => return self.completed(now),
             Some(State::RolledBack) => return Phase::RolledBack,
@@ -343,12 +343,12 @@
         if !self.standing {
             return Phase::Moved;
         }
-        let age = now.since(self.begun);
+        let age = now.since(self.started);
         let [new, standing] = self.slots.map(f64::from);
-        if new < standing * ENOUGH || age < self.part(RAMP) {
+        if new < standing * MIN_SLOTS_RATIO || age < self.part_of_span(RAMP_START_RATIO) {
             return Phase::Trial;
         }
-        if age < self.part(MOVED) {
+        if age < self.part_of_span(RAMP_END_RATIO) {
             Phase::Ramp
         } else {
             Phase::Moved
@@ -356,7 +356,10 @@
     }
 
     fn completed(&self, now: Millis) -> Phase {
-        if self.ended.is_some_and(|it| now.since(it) >= SETTLED) {
+        if self
+            .decided_at
+            .is_some_and(|it| now.since(it) >= SETTLE_TIME)
+        {
             Phase::Settled
         } else {
             Phase::Completed
@@ -368,34 +371,38 @@
         if self.phase == Phase::Trial {
             return canary;
         }
-        let [begin, end] = [RAMP, MOVED].map(|it| float(self.part(it)));
-        let age = float(now.since(self.begun));
-        ((age - begin) / (end - begin)).clamp(canary, MOST)
+        let [begin, end] =
+            [RAMP_START_RATIO, RAMP_END_RATIO].map(|it| float(self.part_of_span(it)));
+        let age = float(now.since(self.started));
+        ((age - begin) / (end - begin)).clamp(canary, MAX_NEW_RATIO)
     }
 
     // The state of this order, as far as the store tells.
-    fn current(&self) -> Option<State> {
+    fn current_state(&self) -> Option<State> {
         let status = self.status.as_ref()?;
         let ours = status.revision > self.order.revision && status.version == self.order.version;
         ours.then_some(status.state)
     }
 
-    fn decided(&self) -> bool {
-        matches!(self.current(), Some(State::Completed | State::RolledBack))
+    fn is_decided(&self) -> bool {
+        matches!(
+            self.current_state(),
+            Some(State::Completed | State::RolledBack)
+        )
     }
 
-    fn part(&self, part: f64) -> Millis {
-        millis(float(self.order.span) * part)
+    fn part_of_span(&self, ratio: f64) -> Millis {
+        millis(float(self.order.span) * ratio)
     }
 
     fn judge(&mut self, now: Millis) {
-        if self.condemned || !self.standing || !self.judging() || self.decided() {
+        if self.condemned || !self.standing || !self.judging() || self.is_decided() {
             return;
         }
         let own = self.tally.samples(now);
         let told = self.told.values();
-        let told = told.filter(|it| now.since(it.0) <= HEARD);
+        let told = told.filter(|it| now.since(it.0) <= PEER_REPORT_TTL);
         let told = told.flat_map(|it| &it.1.samples);
-        self.condemned = judge::bad(own.iter().chain(told));
+        self.condemned = analysis::bad(own.iter().chain(told));
     }
 }
--- a/crates/siskinyoke-dispatch/src/rollout/judge.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/analysis.rs
@@ -14,29 +14,29 @@
 /// How long an answer counts, of either version.
 ///
 /// Of what slows all endpoints down, both versions' answers tell alike only as far as they are of the same time.
-const MEMORY: Millis = Millis::from_secs(6);
+const DECAY_TIME: Millis = Millis::from_secs(6);
 
 /// By how much more of its answers, among those that would be good, a bad version spoils at least.
-const WORSE: f64 = 0.15;
+const MIN_EXCESS_RATIO: f64 = 0.15;
 
 /// The share of bad answers of a standing version that is taken at least.
-const USUAL: f64 = 0.02;
+const MIN_BASELINE_RATIO: f64 = 0.02;
 
 /// The logarithm of the odds at which a version is condemned: ten thousand to one.
 ///
 /// Each shard of a large fleet judges by itself, again with each answer.
-const ODDS: f64 = 9.2;
+const LOG_ODDS_THRESHOLD: f64 = 9.2;
 
 /// Endpoints of the new version that must have given bad answers.
 ///
 /// One that crashed or lies in a cut data centre says nothing of its version.
-const ENDPOINTS: usize = 2;
+const MIN_BAD_ENDPOINTS: usize = 2;
 
 /// Endpoints with bad answers that are named to peers.
-const NAMED: usize = 4;
+const MAX_NAMED_ENDPOINTS: usize = 4;
 
 /// Fractions of an answer in which faded counts are told.
-const SIXTEENTHS: f64 = 16.0;
+const COUNT_STEPS_PER_UNIT: f64 = 16.0;
 
 /// One answer.
 #[derive(Debug, Clone, Copy)]
@@ -54,11 +54,11 @@
 /// The answers of both versions by route, as this instance saw them lately.
 #[derive(Debug, Default)]
 pub struct Tally {
-    routes: BTreeMap<u32, Route>,
+    routes: BTreeMap<u32, RouteTally>,
 }
 
 #[derive(Debug, Default)]
-struct Route {
+struct RouteTally {
     at: Millis,
     new: Counts,
     standing: Counts,
@@ -75,7 +75,7 @@
     /// Counts an answer.
     pub fn add(&mut self, now: Millis, sample: Sample) {
         let route = self.routes.entry(sample.route).or_default();
-        route.fade(now);
+        route.decay(now);
         let counts = if sample.new {
             &mut route.new
         } else {
@@ -83,7 +83,7 @@
         };
         counts.all += 1.0;
         counts.bad += f64::from(u8::from(sample.bad));
-        if sample.new && sample.bad && route.endpoints.len() < NAMED {
+        if sample.new && sample.bad && route.endpoints.len() < MAX_NAMED_ENDPOINTS {
             route.endpoints.insert(sample.endpoint);
         }
     }
@@ -103,28 +103,28 @@
     }
 }
 
-impl Route {
-    fn fade(&mut self, now: Millis) {
+impl RouteTally {
+    fn decay(&mut self, now: Millis) {
         let left = left(now.since(self.at));
         self.at = now;
-        self.new.fade(left);
-        self.standing.fade(left);
+        self.new.decay(left);
+        self.standing.decay(left);
     }
 }
 
 impl Counts {
-    fn fade(&mut self, left: f64) {
+    fn decay(&mut self, left: f64) {
         self.all *= left;
         self.bad *= left;
     }
 
     fn told(self, left: f64) -> (u16, u16) {
-        (sixteenths(self.all * left), sixteenths(self.bad * left))
+        (to_steps(self.all * left), to_steps(self.bad * left))
     }
 
     fn add(&mut self, told: (u16, u16)) {
-        self.all += f64::from(told.0) / SIXTEENTHS;
-        self.bad += f64::from(told.1) / SIXTEENTHS;
+        self.all += f64::from(told.0) / COUNT_STEPS_PER_UNIT;
+        self.bad += f64::from(told.1) / COUNT_STEPS_PER_UNIT;
     }
 }
 
@@ -136,7 +136,7 @@
         routes.entry(row.route).or_default().add(row);
         all.add(row);
     }
-    all.condemns() || routes.values().any(Evidence::condemns)
+    all.is_conclusive() || routes.values().any(Evidence::is_conclusive)
 }
 
 #[derive(Debug, Default)]
@@ -153,14 +153,14 @@
         self.endpoints.extend(&row.endpoints);
     }
 
-    fn condemns(&self) -> bool {
-        self.endpoints.len() >= ENDPOINTS && self.odds() >= ODDS
+    fn is_conclusive(&self) -> bool {
+        self.endpoints.len() >= MIN_BAD_ENDPOINTS && self.log_odds() >= LOG_ODDS_THRESHOLD
     }
 
     // The logarithm of the odds that the new version is worse, by its answers.
-    fn odds(&self) -> f64 {
+    fn log_odds(&self) -> f64 {
         let usual = self.usual();
-        let worse = usual + WORSE * (1.0 - usual);
+        let worse = usual + MIN_EXCESS_RATIO * (1.0 - usual);
         let bad = (worse / usual).ln();
         let good = ((1.0 - worse) / (1.0 - usual)).ln();
         self.new.bad * bad + (self.new.all - self.new.bad).max(0.0) * good
@@ -171,13 +171,13 @@
         let all = self.standing.all + 1.0;
         let share = (self.standing.bad + 0.5) / all;
         let error = (share * (1.0 - share).max(0.0) / all).sqrt();
-        (share + error).clamp(USUAL, 0.9)
+        (share + error).clamp(MIN_BASELINE_RATIO, 0.9)
     }
 }
 
 // What is left of an answer that came so long ago.
 fn left(age: Millis) -> f64 {
-    (-float(age) / float(MEMORY)).exp()
+    (-float(age) / float(DECAY_TIME)).exp()
 }
 
 #[expect(
@@ -185,6 +185,6 @@
     clippy::cast_sign_loss,
     reason = "held to what the field holds"
 )]
-fn sixteenths(count: f64) -> u16 {
-    (count * SIXTEENTHS).clamp(0.0, f64::from(u16::MAX)) as u16
+fn to_steps(count: f64) -> u16 {
+    (count * COUNT_STEPS_PER_UNIT).clamp(0.0, f64::from(u16::MAX)) as u16
 }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -29,7 +29,7 @@
 use crate::load::millis;
 use crate::overload_window::OverloadWindow;
 use crate::peers::Peers;
-use crate::placing::Placing;
+use crate::placement::Placing;
 use crate::queue::Place;
 use crate::queue::Queue;
 use crate::rate_limits::RateLimits;
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -23,8 +23,8 @@
 use crate::load::float;
 use crate::load::millis;
 use crate::message::PlaceNeed;
-use crate::placing::Candidate;
-use crate::placing::Query;
+use crate::placement::Candidate;
+use crate::placement::Query;
 use crate::report::short;
 use siskinyoke_base::Millis;
 
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -19,9 +19,9 @@
 use siskinyoke_dispatch::Work;
 use siskinyoke_dispatch::load::Load;
 use siskinyoke_dispatch::peers::Peers;
-use siskinyoke_dispatch::placing::Candidate;
-use siskinyoke_dispatch::placing::Placing;
-use siskinyoke_dispatch::placing::Query;
+use siskinyoke_dispatch::placement::Candidate;
+use siskinyoke_dispatch::placement::Placing;
+use siskinyoke_dispatch::placement::Query;
 use siskinyoke_dispatch::registry::Registry;
 use siskinyoke_dispatch::report::Busy;
 
