--- a/crates/siskinyoke-dispatch/src/message.rs
+++ b/crates/siskinyoke-dispatch/src/message.rs
@@ -13,7 +13,7 @@
     Report(Box<Report>),
     /// Asks an instance of another shard for something that the sender's shard lacks just now; the number
     /// names the question in its answer.
-    Borrow(u64, Need),
+    Borrow(u64, BorrowRequest),
     /// Answers a question.
     Lend(u64, Grant),
     /// Returns a place that was given in answer to a question.
@@ -22,18 +22,20 @@
 
 /// What an instance asks another shard for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Need {
+pub enum BorrowRequest {
     /// Units of an organisation's quota.
-    Units(UnitsNeed),
+    Units(QuotaRequest),
     /// A place at an endpoint for one request, from another shard.
-    Place(PlaceNeed),
+    #[serde(rename = "Place")]
+    Place(SlotRequest),
     /// A place at an endpoint whose rate limit the receiver holds a part of, from an instance of the same shard.
-    Reserved(PlaceNeed),
+    #[serde(rename = "Reserved")]
+    RateLimitedSlot(SlotRequest),
 }
 
 /// Units of an organisation's quota that are asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UnitsNeed {
+pub struct QuotaRequest {
     /// The organisation, hashed.
     pub organisation: u32,
     /// How many.
@@ -42,22 +44,27 @@
 
 /// A request for which a place is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceNeed {
+pub struct SlotRequest {
     /// Its service, hashed.
     pub service: u32,
     /// Whether its answer comes as events.
     pub stream: bool,
     /// Tokens of prompt.
+    #[serde(rename = "prompt")]
     pub prompt: u32,
     /// Tokens of output that are expected.
+    #[serde(rename = "output")]
     pub output: u32,
     /// Its latency objective, in ms.
+    #[serde(rename = "aim")]
     pub aim: u32,
     /// The longest pause between two events, in ms.
+    #[serde(rename = "gap")]
     pub gap: u32,
     /// How long it has waited, in ms.
     pub waited: u32,
     /// How long its caller goes on waiting, in ms.
+    #[serde(rename = "left")]
     pub left: u32,
 }
 
@@ -65,9 +72,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
     /// Nothing: it has none to spare.
+    #[serde(rename = "Nothing")]
     Nothing,
     /// So many units, which it has taken off its own part.
     Units(u64),
     /// A place at this endpoint, counted as taken until it is returned.
+    #[serde(rename = "Place")]
     Place(EndpointKey),
 }
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -25,40 +25,47 @@
     /// The store's revision up to which it knows everything; 0 before it has read any.
     pub revision: u64,
     /// Whether its last call of the store succeeded.
+    #[serde(rename = "reaches")]
     pub reaches: bool,
     /// Its requests at each endpoint.
-    pub running: Vec<Busy>,
+    pub running: Vec<RunningRow>,
     /// Its waiting requests by service and order.
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<WaitingRow>,
     /// Units used by organisation since its start, less those that other shards gave.
+    #[serde(rename = "spent")]
     pub spent: Vec<(u32, i64)>,
     /// Rate limits that endpoints name, while there are any.
     pub limits: Vec<LimitRow>,
     /// The answers of versions on trial, while there are any.
-    pub canaries: Vec<Canary>,
+    pub canaries: Vec<CanaryReport>,
     /// What changes seldom, in a few reports a second.
-    pub about: Option<About>,
+    #[serde(rename = "about")]
+    pub about: Option<InstanceInfo>,
 }
 
 /// One instance's requests at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Busy {
+pub struct RunningRow {
     /// The endpoint's key, shortened.
     pub endpoint: u32,
     /// How many run there.
     pub count: u16,
     /// Prompt tokens of those whose answer has not begun.
+    #[serde(rename = "unread")]
     pub unread: u32,
     /// The endpoint's pace as the sender has seen it, in eighths of what is usual; 0 if it has not.
+    #[serde(rename = "pace")]
     pub pace: u8,
 }
 
 /// Where an instance is found.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct InstanceLocation {
     /// Where callers reach it.
+    #[serde(rename = "front")]
     pub front: String,
     /// Where peers reach it.
+    #[serde(rename = "inner")]
     pub inner: String,
     /// Its data centre.
     pub centre: String,
@@ -66,12 +73,14 @@
 
 /// What an instance tells of itself now and then.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
+pub struct InstanceInfo {
     /// Its name.
     pub name: String,
     /// Where it is found.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub place: InstanceLocation,
     /// Endpoints it knows to be leaving or gone.
+    #[serde(rename = "leavers")]
     pub leavers: Vec<EndpointKey>,
     /// Work that crashed endpoints, with the starts of these.
     pub quarantine: Vec<(u64, Vec<u32>)>,
@@ -81,7 +90,7 @@
 
 /// The waiting requests of one service and order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct WaitingRow {
     /// The service, hashed.
     pub service: u32,
     /// Their order: the smaller goes first.
@@ -89,8 +98,10 @@
     /// How many wait.
     pub count: u16,
     /// How long the first of them has waited, in ms, with its head start.
+    #[serde(rename = "oldest")]
     pub oldest: u32,
     /// How long they keep a place of the usual pace busy, in ms.
+    #[serde(rename = "work")]
     pub work: u32,
 }
 
@@ -107,7 +118,7 @@
 
 /// What an instance saw of a version on trial.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Canary {
+pub struct CanaryReport {
     /// The service, hashed.
     pub service: u32,
     /// The store's revision of the order.
@@ -115,6 +126,7 @@
     /// How long the order has been known, in ms.
     pub age: u64,
     /// Whether the version was found to be bad.
+    #[serde(rename = "condemned")]
     pub condemned: bool,
     /// The answers by route.
     pub samples: Vec<CanaryRow>,
@@ -128,12 +140,13 @@
     /// Those of the new version.
     pub new: (u16, u16),
     /// Those of the standing version.
+    #[serde(rename = "standing")]
     pub standing: (u16, u16),
     /// Some endpoints of the new version that gave bad ones, by shortened key.
     pub endpoints: Vec<u32>,
 }
 
 /// Returns a name's hash as it stands in reports.
-pub fn short(name: &str) -> u32 {
+pub fn short_hash(name: &str) -> u32 {
     (stable_hash(&name) >> 32) as u32
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -9,11 +9,11 @@
 use crate::Ticket;
 use crate::load::Load;
 use crate::load::float;
-use crate::message::PlaceNeed;
+use crate::message::SlotRequest;
 use crate::rate_limits::LimitChange;
 use crate::rate_limits::RateLimits;
+use crate::report::InstanceLocation;
 use crate::report::LimitRow;
-use crate::report::Place;
 use siskinyoke_base::Millis;
 
 const MS_PER_S: f64 = 1_000.0;
@@ -27,8 +27,8 @@
     /// Takes in an answer of an endpoint to a request that was sent at `sent`, with the limit that it names.
     pub fn note_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis, rate: Option<f64>) {
         match rate {
-            Some(rate) => self.limits.named(now, key, rate),
-            None => self.limits.unnamed(now, key, sent),
+            Some(rate) => self.limits.observe_limit(now, key, rate),
+            None => self.limits.observe_no_limit(now, key, sent),
         }
     }
 
@@ -39,26 +39,30 @@
 
     /// Returns the limits that were named, changed or lifted since this was last asked.
     pub fn limit_changes(&mut self) -> Vec<LimitChange> {
-        self.limits.changes()
+        self.limits.take_changes()
     }
 
     /// Gives a token of a rate limit to a peer's request, unless requests wait here.
-    pub(crate) fn lend_token(&mut self, view: &View<'_>, need: &PlaceNeed) -> Option<EndpointKey> {
+    pub(crate) fn lend_token(
+        &mut self,
+        view: &View<'_>,
+        need: &SlotRequest,
+    ) -> Option<EndpointKey> {
         let service = view.registry.service(need.service)?;
         if self.queues.get(&service).is_some_and(|it| !it.is_empty()) {
             return None;
         }
-        self.limits.settle(view);
+        self.limits.update_rates(view);
         let mut candidates = self.free(view, &service);
         candidates.retain(|it| it.reserved);
         let guest = guest(view.now, &service, need);
         let key = self.best_for(view.now, &guest, &candidates)?;
-        self.limits.take(key);
+        self.limits.take_token(key);
         Some(key)
     }
 
     /// Returns the peers that may give a token for a service's requests.
-    pub(crate) fn holders<'a>(&self, view: &View<'a>, service: u32) -> Vec<&'a Place> {
+    pub(crate) fn holders<'a>(&self, view: &View<'a>, service: u32) -> Vec<&'a InstanceLocation> {
         let Some(service) = view.registry.service(service) else {
             return Vec::new();
         };
@@ -84,7 +88,7 @@
     pub(super) fn capacity(&self, endpoint: &Endpoint, load: &Load) -> f64 {
         let key = endpoint.key();
         let slots = f64::from(endpoint.slots) / self.placing.pace(key);
-        let limit = self.limits.throughput(key);
+        let limit = self.limits.shard_rate(key);
         limit.map_or(slots, |rate| {
             slots.min(rate * float(load.stay()) / MS_PER_S)
         })
