--- a/crates/siskinyoke-dispatch/src/directory.rs
+++ b/crates/siskinyoke-dispatch/src/directory.rs
@@ -18,9 +18,9 @@
     let ready: Vec<&InstanceLocation> = ready.collect();
     let local: Vec<&&InstanceLocation> = ready.iter().filter(|it| it.centre == centre).collect();
     let mut addresses: Vec<String> = if local.len() >= MIN_INSTANCES {
-        local.iter().map(|it| it.front.clone()).collect()
+        local.iter().map(|it| it.caller_address.clone()).collect()
     } else {
-        ready.iter().map(|it| it.front.clone()).collect()
+        ready.iter().map(|it| it.caller_address.clone()).collect()
     };
     addresses.sort();
     addresses.truncate(MAX_INSTANCES);
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -9,8 +9,8 @@
 use crate::Pending;
 use crate::cost::Cost;
 use crate::health::Health;
-use crate::load::Load;
-use crate::load::float;
+use crate::latency_model::Load;
+use crate::latency_model::float;
 use crate::report::RunningRow;
 use crate::stable_hash;
 use siskinyoke_base::Map;
@@ -170,9 +170,11 @@
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn heard(&mut self, rows: &[RunningRow]) {
-        for row in rows.iter().filter(|row| row.pace > 0) {
-            self.peer_speeds
-                .insert(row.endpoint, f64::from(row.pace) / SPEED_STEPS_PER_UNIT);
+        for row in rows.iter().filter(|row| row.speed_factor > 0) {
+            self.peer_speeds.insert(
+                row.endpoint,
+                f64::from(row.speed_factor) / SPEED_STEPS_PER_UNIT,
+            );
         }
     }
 
@@ -256,10 +258,10 @@
         let held = health.map_or(0.0, Health::held);
         let pauses =
             load.parts_of(&pending.work) > SHORT_ANSWER_PARTS && held > STALL_THRESHOLD_RATIO;
-        let stalls = load.stall(unread.prompt) * pace > float(pending.route.gap);
+        let stalls = load.stall(unread.prompt) * pace > float(pending.route.max_gap);
         Cost {
             time,
-            late: begins > float(pending.route.aim) || pauses,
+            late: begins > float(pending.route.latency_objective) || pauses,
             overruns: overruns(query, pace),
             stalled: if stalls { taken } else { 0.0 },
         }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -7,10 +7,10 @@
 
 mod expiry;
 mod lending;
-mod pace;
+mod observations;
 mod rate_limits;
 mod starting;
-mod waits;
+mod wait_estimate;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,13 +20,13 @@
 use crate::Outcome;
 use crate::Pending;
 use crate::Rank;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::Ticket;
 use crate::demand::Demand;
-use crate::load::Load;
-use crate::load::float;
-use crate::load::millis;
+use crate::latency_model::Load;
+use crate::latency_model::float;
+use crate::latency_model::millis;
 use crate::overload_window::OverloadWindow;
 use crate::peers::Peers;
 use crate::placement::Placing;
@@ -130,8 +130,8 @@
         let places = places(&pending.service, registry);
         if places == 0 {
             return Err(Refusal {
-                reason: Reason::NoEndpoint,
-                after: ABSENT,
+                reason: RefusalReason::NoEndpoint,
+                retry_after: ABSENT,
             });
         }
         let load = self.load(&pending.service);
@@ -304,7 +304,7 @@
     /// Returns this instance's requests at each endpoint.
     pub fn counts(&self) -> Vec<RunningRow> {
         let counts = self.counts.iter().map(|(key, busy)| RunningRow {
-            pace: self.placing.tell(*key),
+            speed_factor: self.placing.tell(*key),
             ..*busy
         });
         counts.collect()
@@ -344,8 +344,8 @@
         self.counts.entry(key).or_insert(RunningRow {
             endpoint: key.short(),
             count: 0,
-            unread: 0,
-            pace: 0,
+            prefill_tokens: 0,
+            speed_factor: 0,
         })
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/pace.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use crate::EndpointKey;
 use crate::Pending;
-use crate::load::float;
+use crate::latency_model::float;
 use siskinyoke_base::Millis;
 
 /// Parts of an answer beyond which their pauses tell the endpoint's pace.
@@ -31,14 +31,14 @@
         }
         let load = self.loads.entry(pending.service.clone()).or_default();
         self.placing.paced(key, rest, load.rest(f64::from(parts)));
-        self.placing.paused(key, pause > pending.route.gap);
+        self.placing.paused(key, pause > pending.route.max_gap);
         load.paused(float(pause) / self.placing.pace(key));
     }
 
     // The prompt of a request at an endpoint is read, or no longer to be read.
     pub(super) fn read(&mut self, key: EndpointKey, pending: &Pending) {
         if let Some(busy) = self.counts.get_mut(&key) {
-            busy.unread = busy.unread.saturating_sub(pending.work.unread());
+            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(pending.work.unread());
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -7,8 +7,8 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Ticket;
-use crate::load::Load;
-use crate::load::float;
+use crate::latency_model::Load;
+use crate::latency_model::float;
 use crate::message::SlotRequest;
 use crate::rate_limits::LimitChange;
 use crate::rate_limits::RateLimits;
@@ -34,7 +34,7 @@
 
     /// Takes in the limits that a peer knows.
     pub fn hear_limits(&mut self, now: Millis, rows: &[LimitRow]) {
-        self.limits.heard(now, rows);
+        self.limits.merge_peer_limits(now, rows);
     }
 
     /// Returns the limits that were named, changed or lifted since this was last asked.
--- a/crates/siskinyoke-dispatch/src/scheduler/waits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -5,10 +5,10 @@
 use super::Scheduler;
 use super::View;
 use crate::Pending;
-use crate::Reason;
 use crate::Refusal;
+use crate::RefusalReason;
 use crate::forecast::Forecast;
-use crate::load::float;
+use crate::latency_model::float;
 use crate::queue::Queue;
 use crate::report::WaitingRow;
 use crate::report::short_hash;
@@ -49,8 +49,8 @@
             return Ok(pending);
         }
         Err(Refusal {
-            reason: Reason::Overload,
-            after: self.back(view.now, &pending, wait.since(bearable)),
+            reason: RefusalReason::Overload,
+            retry_after: self.back(view.now, &pending, wait.since(bearable)),
         })
     }
 
@@ -92,8 +92,8 @@
 // The part of a peer's waiting work that goes before a request which has waited for so long. Nothing is
 // told of the rows in between, so their turns are taken to be evenly spread.
 fn earlier(row: &WaitingRow, pending: &Pending, age: f64) -> f64 {
-    let work = f64::from(row.work);
-    let oldest = f64::from(row.oldest);
+    let work = f64::from(row.service_time);
+    let oldest = f64::from(row.oldest_wait);
     match row.order.cmp(&pending.order()) {
         Ordering::Less => work,
         Ordering::Equal if oldest > age => work * (oldest - age) / oldest,
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -14,7 +14,7 @@
 use crate::store::Client;
 use crate::store::StoreError;
 use siskinyoke_base::Millis;
-use siskinyoke_dispatch::watch::MARGIN;
+use siskinyoke_dispatch::watch::RESPONSE_MARGIN;
 use siskinyoke_dispatch::watchers::StoreRole;
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Call;
@@ -47,7 +47,7 @@
     };
     let mut pause = PAUSE;
     loop {
-        if watcher.duty() == StoreRole::Follow {
+        if watcher.duty() == StoreRole::Follower {
             sleep(LOOK.into()).await;
             continue;
         }
@@ -85,7 +85,7 @@
             });
             self.shell.log("store_duty", fields);
             self.duty = Some(duty);
-            self.shell.watching.set(duty == StoreRole::Watch);
+            self.shell.watching.set(duty == StoreRole::Watcher);
             self.shell.renew.notify_one();
         }
         duty
@@ -179,9 +179,9 @@
         let store = &*self.shell.interface.store;
         let held = self.shell.core.borrow().watch();
         let limit = if store.quiet_watch() {
-            held.max(MARGIN)
+            held.max(RESPONSE_MARGIN)
         } else {
-            held + MARGIN
+            held + RESPONSE_MARGIN
         };
         let call = store.watch(revision, held);
         let sent = self.shell.now();
