--- a/crates/siskinyoke-dispatch/src/core/talk.rs
+++ b/crates/siskinyoke-dispatch/src/core/talk.rs
@@ -33,14 +33,14 @@
         self.hear_canaries(now, &report, in_shard);
         self.hear_limits(now, &report.limits);
         if !in_shard {
-            self.peers.dismiss(source);
+            self.peers.remove(source);
             return false;
         }
         let spent = report.quota_used.clone();
-        self.scheduler.heard(&report.running);
+        self.scheduler.record_peer_usage(&report.running);
         let young = Millis(report.age) <= self.age(now) + TOGETHER;
-        match self.peers.heard(now, report) {
-            Received::Nothing => return false,
+        match self.peers.receive(now, report) {
+            Received::Ignored => return false,
             Received::NewProcess(before) => {
                 if let Some(before) = before {
                     self.quotas.forget_peer(before);
@@ -82,7 +82,7 @@
             revision: self.view.revision,
             store_reachable: self.view.reaches,
             running: self.scheduler.counts(),
-            waiting: self.scheduler.summary(now),
+            waiting: self.scheduler.queue_summary(now),
             quota_used: self.quotas.usage(since),
             limits: self.scheduler.limits().report_rows(now, since),
             canaries: self.canaries(now),
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -16,7 +16,7 @@
 use crate::report::InstanceInfo;
 use crate::report::InstanceLocation;
 use crate::report::LimitRow;
-use crate::scheduler::View;
+use crate::scheduler::ClusterView;
 use crate::stable_hash;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
@@ -125,12 +125,12 @@
     }
 
     /// Works out this instance's parts, by who is heard now.
-    pub(crate) fn update_rates(&mut self, view: &View<'_>) {
+    pub(crate) fn update_rates(&mut self, view: &ClusterView<'_>) {
         if self.limits.is_empty() {
             return;
         }
         let peers = view.peers.fresh(view.now);
-        let mut names: Vec<&str> = peers.map(|peer| &*peer.about.name).collect();
+        let mut names: Vec<&str> = peers.map(|peer| &*peer.info.name).collect();
         names.push(&self.instance);
         for (endpoint, limit) in &mut self.limits {
             let Some(rate) = limit.rate() else { continue };
@@ -148,7 +148,7 @@
     /// Returns the peers that hold a part of the limit of any of these endpoints.
     pub(crate) fn holders<'a>(
         &self,
-        view: &View<'a>,
+        view: &ClusterView<'a>,
         endpoints: &[Arc<Endpoint>],
     ) -> Vec<&'a InstanceLocation> {
         let limits: Vec<(u32, f64)> = endpoints
@@ -156,7 +156,7 @@
             .map(|it| it.key().short())
             .filter_map(|key| Some((key, self.limits.get(&key)?.shard_rate()?)))
             .collect();
-        let peers: Vec<&InstanceInfo> = view.peers.fresh(view.now).map(|it| &it.about).collect();
+        let peers: Vec<&InstanceInfo> = view.peers.fresh(view.now).map(|it| &it.info).collect();
         let mut names: Vec<&str> = peers.iter().map(|it| &*it.name).collect();
         names.push(&self.instance);
         let holds = |name: &str| {
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 
 use crate::Endpoint;
-use crate::latency_model::float;
-use crate::latency_model::millis;
+use crate::latency_model::millis_from_f64;
+use crate::latency_model::millis_to_f64;
 use crate::report::CanaryReport;
 use crate::report::short_hash;
 use siskinyoke_base::Map;
@@ -372,8 +372,8 @@
             return canary;
         }
         let [begin, end] =
-            [RAMP_START_RATIO, RAMP_END_RATIO].map(|it| float(self.part_of_span(it)));
-        let age = float(now.since(self.started));
+            [RAMP_START_RATIO, RAMP_END_RATIO].map(|it| millis_to_f64(self.part_of_span(it)));
+        let age = millis_to_f64(now.since(self.started));
         ((age - begin) / (end - begin)).clamp(canary, MAX_NEW_RATIO)
     }
 
@@ -392,7 +392,7 @@
     }
 
     fn part_of_span(&self, ratio: f64) -> Millis {
-        millis(float(self.order.span) * ratio)
+        millis_from_f64(millis_to_f64(self.order.span) * ratio)
     }
 
     fn judge(&mut self, now: Millis) {
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -48,12 +48,12 @@
 /// Answers with the metrics page.
 pub fn metrics(shell: &Shell, _: &Request<Incoming>) -> Response<AnswerBody> {
     let core = shell.core.borrow();
-    let (waiting, running) = core.scheduler().size();
+    let (waiting, running) = core.scheduler().request_counts();
     shell.metrics.state("waiting", count(waiting));
     shell.metrics.state("running", count(running));
     shell
         .metrics
-        .state("peers", count(core.peers().count(shell.now()) - 1));
+        .state("peers", count(core.peers().instance_count(shell.now()) - 1));
     shell
         .metrics
         .state("store", f64::from(u8::from(core.stored())));
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -197,7 +197,7 @@
     pub fn log_refusal(&self, request: Known<'_>, refusal: Refusal) {
         let now = self.now();
         let core = self.core.borrow();
-        let (waiting, running) = core.scheduler().size();
+        let (waiting, running) = core.scheduler().request_counts();
         let fields = json!({
             "id": request.id,
             "admitted": request.admitted,
@@ -210,8 +210,8 @@
             "after_ms": refusal.retry_after.0,
             "waiting": waiting,
             "running": running,
-            "peers": core.peers().count(now) - 1,
-            "quota_share": core.peers().share(now),
+            "peers": core.peers().instance_count(now) - 1,
+            "quota_share": core.peers().fleet_share(now),
             "configuration": core.version(),
             "store": core.stored(),
             "revision": core.revision(),
@@ -260,7 +260,7 @@
         }
         lending::places(self);
         self.changed.notify_one();
-        if self.core.borrow().scheduler().size().0 > 0 {
+        if self.core.borrow().scheduler().request_counts().0 > 0 {
             self.queued.notify_one();
         }
     }
