--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -126,7 +126,7 @@
     // Whether an endpoint is of the new version, where its service's versions are compared.
     fn compared(&mut self, service: &str, key: EndpointKey) -> Option<bool> {
         let rollout = self.registry.rollout(service)?;
-        if !rollout.judging() {
+        if !rollout.is_comparing() {
             return None;
         }
         let version = rollout.order().version.clone();
--- a/crates/siskinyoke-dispatch/src/cost.rs
+++ b/crates/siskinyoke-dispatch/src/cost.rs
@@ -17,26 +17,26 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Cost {
     /// The time as a multiple of the usual one, with what makes it uncertain.
-    pub(crate) time: f64,
+    pub(crate) relative_time: f64,
     /// Whether the first part would come late.
     pub(crate) late: bool,
     /// Whether the answer would not be whole before its caller leaves.
-    pub(crate) overruns: bool,
+    pub(crate) times_out: bool,
     /// The part of the endpoint's places whose answers would pause for too long.
-    pub(crate) stalled: f64,
+    pub(crate) stalled_ratio: f64,
 }
 
 impl Cost {
     /// Adds it up; the least is best.
-    pub(crate) fn sum(&self) -> f64 {
+    pub(crate) fn total(&self) -> f64 {
         let penalty = |holds: bool, weight: f64| if holds { weight } else { 0.0 };
-        let failing =
-            penalty(self.late, LATE_PENALTY_RATIO) + penalty(self.overruns, TIMEOUT_PENALTY_RATIO);
-        self.time + failing + self.stalled * STALL_PENALTY_RATIO
+        let penalties =
+            penalty(self.late, LATE_PENALTY_RATIO) + penalty(self.times_out, TIMEOUT_PENALTY_RATIO);
+        self.relative_time + penalties + self.stalled_ratio * STALL_PENALTY_RATIO
     }
 
     /// Returns whether it does harm, where a request can wait for another place.
-    pub(crate) fn spoils(&self, can_wait: bool) -> bool {
-        self.overruns || self.stalled > 0.0 || (can_wait && self.late)
+    pub(crate) fn is_unacceptable(&self, can_wait: bool) -> bool {
+        self.times_out || self.stalled_ratio > 0.0 || (can_wait && self.late)
     }
 }
--- a/crates/siskinyoke-dispatch/src/health.rs
+++ b/crates/siskinyoke-dispatch/src/health.rs
@@ -27,10 +27,10 @@
 pub struct Health {
     backoff_until: Millis,
     failure_streak: u32,
-    failures: f64,
-    pace: f64,
-    seen: f64,
-    held: f64,
+    failure_ratio: f64,
+    speed_factor: f64,
+    observations: f64,
+    stall_ratio: f64,
 }
 
 impl Default for Health {
@@ -38,10 +38,10 @@
         Self {
             backoff_until: Millis::ZERO,
             failure_streak: 0,
-            failures: 0.0,
-            pace: 1.0,
-            seen: 0.0,
-            held: 0.0,
+            failure_ratio: 0.0,
+            speed_factor: 1.0,
+            observations: 0.0,
+            stall_ratio: 0.0,
         }
     }
 }
@@ -51,7 +51,7 @@
     pub fn ended(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
             Outcome::Done { .. } => self.record_success(),
-            Outcome::Failed => self.failures += (1.0 - self.failures) * SMOOTHING_RATIO,
+            Outcome::Failed => self.failure_ratio += (1.0 - self.failure_ratio) * SMOOTHING_RATIO,
             Outcome::Full => self.back_off_until(now + FULL_BACKOFF),
             Outcome::Moved => self.back_off_until(now + MOVED_BACKOFF),
             Outcome::Unreached | Outcome::Silent => self.record_unresponsive(now),
@@ -66,48 +66,48 @@
     }
 
     /// Returns the part of its requests that failed lately.
-    pub fn failures(&self) -> f64 {
-        self.failures
+    pub fn failure_ratio(&self) -> f64 {
+        self.failure_ratio
     }
 
     /// Returns how long it takes for the same work, as a multiple of what is usual in its service.
-    pub fn pace(&self) -> f64 {
-        self.pace
+    pub fn speed_factor(&self) -> f64 {
+        self.speed_factor
     }
 
     /// Returns the part of its streams that paused for too long lately.
-    pub fn held(&self) -> f64 {
-        self.held
+    pub fn stall_ratio(&self) -> f64 {
+        self.stall_ratio
     }
 
     /// Takes note whether a stream paused for too long.
     pub fn paused(&mut self, long: bool) {
-        self.held += (f64::from(u8::from(long)) - self.held) * SMOOTHING_RATIO;
+        self.stall_ratio += (f64::from(u8::from(long)) - self.stall_ratio) * SMOOTHING_RATIO;
     }
 
     /// Returns how many times its pace was observed.
-    pub fn seen(&self) -> f64 {
-        self.seen
+    pub fn observations(&self) -> f64 {
+        self.observations
     }
 
     /// Takes note that something took a multiple of what is usual in its service.
     ///
     /// The first observations count more, so that a slow endpoint shows with its first answers.
     pub fn paced(&mut self, pace: f64) {
-        self.seen += 1.0;
-        let weight = (1.0 / (self.seen + 1.0)).max(SMOOTHING_RATIO);
-        self.pace += (pace - self.pace) * weight;
+        self.observations += 1.0;
+        let weight = (1.0 / (self.observations + 1.0)).max(SMOOTHING_RATIO);
+        self.speed_factor += (pace - self.speed_factor) * weight;
     }
 
     fn record_success(&mut self) {
         self.failure_streak = 0;
-        self.failures -= self.failures * SMOOTHING_RATIO;
+        self.failure_ratio -= self.failure_ratio * SMOOTHING_RATIO;
     }
 
     // A single broken answer is often a fault of that answer; only a second one in a row
     // says that the endpoint is down, and resting a sound one wastes its slots.
     fn record_broken(&mut self, now: Millis) {
-        self.failures += (1.0 - self.failures) * SMOOTHING_RATIO;
+        self.failure_ratio += (1.0 - self.failure_ratio) * SMOOTHING_RATIO;
         self.failure_streak += 1;
         if self.failure_streak >= 2 {
             self.back_off(now);
@@ -115,7 +115,7 @@
     }
 
     fn record_unresponsive(&mut self, now: Millis) {
-        self.failures += (1.0 - self.failures) * SMOOTHING_RATIO;
+        self.failure_ratio += (1.0 - self.failure_ratio) * SMOOTHING_RATIO;
         self.failure_streak += 1;
         self.back_off(now);
     }
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -24,7 +24,7 @@
 /// How much worse an endpoint is taken to be whose places are all taken, as a part of its pace.
 ///
 /// Some endpoints slow down when they are nearly full; it spreads work over equals.
-const LOAD_PENALTY_RATIO: f64 = 0.3;
+const OCCUPANCY_PENALTY_RATIO: f64 = 0.3;
 
 /// How far instances differ in which of several like endpoints they use first, as a part of its pace.
 ///
@@ -143,15 +143,15 @@
         let own = self.health.get(&key);
         let peer_speed = self.peer_speeds.get(&key.short()).copied();
         match own {
-            Some(health) if health.seen() >= MIN_OBSERVATIONS => health.pace(),
-            Some(health) => peer_speed.unwrap_or_else(|| health.pace()),
+            Some(health) if health.observations() >= MIN_OBSERVATIONS => health.speed_factor(),
+            Some(health) => peer_speed.unwrap_or_else(|| health.speed_factor()),
             None => peer_speed.unwrap_or(1.0),
         }
     }
 
     /// Returns whether nobody has seen yet how fast an endpoint is.
     pub fn unknown(&self, key: EndpointKey) -> bool {
-        let seen = self.health.get(&key).map_or(0.0, Health::seen);
+        let seen = self.health.get(&key).map_or(0.0, Health::observations);
         seen == 0.0 && !self.peer_speeds.contains_key(&key.short())
     }
 
@@ -159,12 +159,12 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "held to what a byte holds"
+        reason = "clamped to the range of a byte"
     )]
     pub fn tell(&self, key: EndpointKey) -> u8 {
-        let seen = self.health.get(&key).filter(|it| it.seen() > 0.0);
+        let seen = self.health.get(&key).filter(|it| it.observations() > 0.0);
         seen.map_or(0, |it| {
-            (it.pace() * SPEED_STEPS_PER_UNIT).clamp(1.0, 255.0) as u8
+            (it.speed_factor() * SPEED_STEPS_PER_UNIT).clamp(1.0, 255.0) as u8
         })
     }
 
@@ -190,16 +190,17 @@
     /// `usual` says whether the endpoints of a usual pace may be used; slow and reserved ones always may. A request with
     /// time to wait is given to no slow endpoint that would spoil it or the work there.
     pub fn best(&self, query: &Query<'_>, candidates: &[Candidate], usual: bool) -> Option<usize> {
-        let fit = candidates.iter().enumerate().filter(|(_, candidate)| {
+        let eligible = candidates.iter().enumerate().filter(|(_, candidate)| {
             candidate.left > 0
                 && (usual || candidate.slow || candidate.reserved)
                 && !query.pending.tried.contains(&candidate.endpoint.key())
         });
-        let costs = fit.map(|(at, candidate)| (at, self.cost(query, candidate)));
-        let (at, cost) = costs.min_by(|one, other| one.1.sum().total_cmp(&other.1.sum()))?;
-        let spoils = candidates[at].slow && cost.spoils(query.can_wait);
-        let waits = query.can_wait && cost.overruns && !overruns(query, candidates[at].fastest);
-        (!spoils && !waits).then_some(at)
+        let costs = eligible.map(|(at, candidate)| (at, self.cost(query, candidate)));
+        let (at, cost) = costs.min_by(|one, other| one.1.total().total_cmp(&other.1.total()))?;
+        let unacceptable = candidates[at].slow && cost.is_unacceptable(query.can_wait);
+        let should_wait =
+            query.can_wait && cost.times_out && !times_out(query, candidates[at].fastest);
+        (!unacceptable && !should_wait).then_some(at)
     }
 
     /// Returns whether an endpoint takes much longer for the same work than is usual in its service.
@@ -228,10 +229,10 @@
         } = query;
         let endpoint = &candidate.endpoint;
         let health = self.health.get(&endpoint.key());
-        let failures = health.map_or(0.0, Health::failures);
-        let taken =
+        let failure_ratio = health.map_or(0.0, Health::failure_ratio);
+        let occupancy =
             f64::from(endpoint.slots.saturating_sub(candidate.left)) / f64::from(endpoint.slots);
-        let far = if endpoint.centre == self.centre {
+        let remote_penalty = if endpoint.centre == self.centre {
             0.0
         } else {
             REMOTE_PENALTY_RATIO
@@ -240,13 +241,13 @@
         let preference = self.preference(endpoint.key()) * PREFERENCE_SPREAD_RATIO;
         let time = pace
             * (1.0
-                + taken * LOAD_PENALTY_RATIO
-                + far
-                + failures * FAILURE_PENALTY_RATIO
+                + occupancy * OCCUPANCY_PENALTY_RATIO
+                + remote_penalty
+                + failure_ratio * FAILURE_PENALTY_RATIO
                 + preference);
         if pending.route.kind != Kind::Stream {
             return Cost {
-                time,
+                relative_time: time,
                 ..Cost::default()
             };
         }
@@ -256,22 +257,22 @@
         let time =
             time + pace * millis_to_f64(delay) / millis_to_f64(load.mean_service_time()).max(1.0);
         let begins = millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * pace;
-        let held = health.map_or(0.0, Health::held);
-        let pauses =
-            load.expected_parts(&pending.work) > SHORT_ANSWER_PARTS && held > STALL_THRESHOLD_RATIO;
+        let stall_ratio = health.map_or(0.0, Health::stall_ratio);
+        let pauses = load.expected_parts(&pending.work) > SHORT_ANSWER_PARTS
+            && stall_ratio > STALL_THRESHOLD_RATIO;
         let stalls =
             load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.max_gap);
         Cost {
-            time,
+            relative_time: time,
             late: begins > millis_to_f64(pending.route.latency_objective) || pauses,
-            overruns: overruns(query, pace),
-            stalled: if stalls { taken } else { 0.0 },
+            times_out: times_out(query, pace),
+            stalled_ratio: if stalls { occupancy } else { 0.0 },
         }
     }
 }
 
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
-fn overruns(query: &Query<'_>, pace: f64) -> bool {
+fn times_out(query: &Query<'_>, pace: f64) -> bool {
     let stay = millis_to_f64(query.load.service_time_of(&query.pending.work)) * pace;
     let margin = if query.can_wait {
         TIMEOUT_MARGIN_RATIO
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -34,9 +34,9 @@
     departures: Map<EndpointKey, Millis>,
     shard: usize,
     // The number of instances in each shard.
-    shards: Vec<usize>,
+    shard_sizes: Vec<usize>,
     // The endpoints that may get new work from here, by service.
-    fit: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
+    eligible: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
     // Those that get what is drawn for the version on trial.
     canaries: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
     rollouts: BTreeMap<Arc<str>, Rollout>,
@@ -56,18 +56,18 @@
     }
 
     /// Takes note of this instance's shard, and of the number of instances in each.
-    pub fn settle(&mut self, shard: usize, shards: Vec<usize>) {
-        if self.shard != shard || self.shards != shards {
+    pub fn settle(&mut self, shard: usize, sizes: Vec<usize>) {
+        if self.shard != shard || self.shard_sizes != sizes {
             self.shard = shard;
-            self.shards = shards;
-            self.choose();
+            self.shard_sizes = sizes;
+            self.update_eligible();
         }
     }
 
     /// Adds an endpoint or replaces what it said of itself.
     pub fn put(&mut self, now: Millis, endpoint: Endpoint) {
         self.add(now, endpoint);
-        self.choose();
+        self.update_eligible();
     }
 
     /// Takes in changes of endpoints' entries, all at once.
@@ -83,19 +83,19 @@
                 | StoreUpdate::RolloutStatus(..) => {}
             }
         }
-        self.choose();
+        self.update_eligible();
     }
 
     /// Takes note that an endpoint's entry is gone.
     pub fn remove(&mut self, now: Millis, id: &str) {
         self.entries.remove(now, id);
-        self.choose();
+        self.update_eligible();
     }
 
     /// Takes over from a peer that an endpoint is leaving or gone.
     pub fn left(&mut self, now: Millis, key: EndpointKey) {
         if self.departures.insert(key, now).is_none() {
-            self.choose();
+            self.update_eligible();
         }
     }
 
@@ -104,13 +104,13 @@
         self.departures
             .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
         if self.entries.sweep(now) {
-            self.choose();
+            self.update_eligible();
         }
     }
 
     /// Returns the endpoints of a service that may get new work from here, in a fixed order.
     pub fn fit(&self, service: &str) -> &[Arc<Endpoint>] {
-        self.fit.get(service).map_or(&[], Vec::as_slice)
+        self.eligible.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the endpoints that get what is drawn for the version on trial.
@@ -128,7 +128,7 @@
         let before = self.rollouts.remove(&service);
         let rollout = Rollout::begin(now, order, before, draw);
         self.rollouts.insert(service, rollout);
-        self.choose();
+        self.update_eligible();
     }
 
     /// Takes in how far the order for a service has come.
@@ -159,26 +159,26 @@
         let changed = rollouts.filter_map(|row| row.1.advance(now).then(|| row.0.clone()));
         let changed: Vec<_> = changed.collect();
         if !changed.is_empty() {
-            self.choose();
+            self.update_eligible();
         }
         changed
     }
 
     /// Returns whether the fleet is divided into shards with endpoints of their own.
     pub fn divided(&self) -> bool {
-        self.shards.len() > 1
+        self.shard_sizes.len() > 1
     }
 
     /// Returns the service of a hashed name that has endpoints here.
     pub fn service(&self, name: u32) -> Option<Arc<str>> {
-        let known = self.fit.keys().find(|it| short_hash(it) == name);
+        let known = self.eligible.keys().find(|it| short_hash(it) == name);
         known.cloned()
     }
 
     /// Returns an endpoint of any shard that may get new work.
     pub fn find(&self, key: EndpointKey) -> Option<&Arc<Endpoint>> {
         let found = self.all().find(|it| it.key() == key);
-        found.filter(|it| !self.leaving(it))
+        found.filter(|it| !self.is_leaving(it))
     }
 
     /// Returns the part of a limit that is this instance's shard's, of a limit that has so many holders.
@@ -225,10 +225,10 @@
         self.entries.put(&id, Arc::new(endpoint));
     }
 
-    fn choose(&mut self) {
+    fn update_eligible(&mut self) {
         let mut services: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>> = BTreeMap::new();
         for endpoint in self.entries.iter().map(|row| row.1) {
-            if !self.leaving(endpoint) {
+            if !self.is_leaving(endpoint) {
                 services
                     .entry(endpoint.service.clone())
                     .or_default()
@@ -245,15 +245,19 @@
             if let Some(rollout) = self.rollouts.get(service) {
                 let mut new = endpoints.clone();
                 new.retain(|it| rollout.usage(it) == Use::Canary);
-                let mut new = self.own(&new, &mut sharing_shards);
+                let mut new = self.own_endpoints(&new, &mut sharing_shards);
                 new.truncate(rollout.canaries());
                 endpoints.retain(|it| rollout.usage(it) == Use::Full);
                 self.canaries.insert(service.clone(), new);
             }
-            *endpoints = self.own(endpoints, &mut sharing_shards);
+            *endpoints = self.own_endpoints(endpoints, &mut sharing_shards);
         }
-        self.fit = services;
-        let own = self.fit.values().chain(self.canaries.values()).flatten();
+        self.eligible = services;
+        let own = self
+            .eligible
+            .values()
+            .chain(self.canaries.values())
+            .flatten();
         for endpoint in own {
             let shards = sharing_shards.entry(endpoint.key().short());
             shards.or_insert_with(|| vec![self.shard]);
@@ -262,34 +266,36 @@
     }
 
     // The endpoints of a service that belong to this instance's shard.
-    fn own(
+    fn own_endpoints(
         &self,
         endpoints: &[Arc<Endpoint>],
         sharing_shards: &mut Map<u32, Vec<usize>>,
     ) -> Vec<Arc<Endpoint>> {
-        if self.shards.len() <= 1 || endpoints.is_empty() {
+        if self.shard_sizes.len() <= 1 || endpoints.is_empty() {
             return endpoints.to_vec();
         }
-        if endpoints.len() < MIN_SHARD_ENDPOINTS * self.shards.len() {
-            return self.shared(endpoints, sharing_shards);
+        if endpoints.len() < MIN_SHARD_ENDPOINTS * self.shard_sizes.len() {
+            return self.shared_endpoints(endpoints, sharing_shards);
         }
         let rows: Vec<_> = endpoints.iter().map(|it| (&*it.centre, &*it.id)).collect();
-        let assigned = shards::assign(&rows, &self.shards);
+        let assigned = shards::assign(&rows, &self.shard_sizes);
         let mine = |it: &&Arc<Endpoint>| assigned.get(&*it.id) == Some(&self.shard);
         endpoints.iter().filter(mine).cloned().collect()
     }
 
     // Too few endpoints for each shard to have its own: shards share them. Each takes half as much
     // again as its even part, as the shards' overloads seldom meet.
-    fn shared(
+    fn shared_endpoints(
         &self,
         endpoints: &[Arc<Endpoint>],
         sharing_shards: &mut Map<u32, Vec<usize>>,
     ) -> Vec<Arc<Endpoint>> {
         let count = endpoints.len();
-        let shards = self.shards.len();
-        let all: Vec<Vec<usize>> = (0..shards).map(|shard| few(shard, shards, count)).collect();
-        few(self.shard, shards, count)
+        let shards = self.shard_sizes.len();
+        let all: Vec<Vec<usize>> = (0..shards)
+            .map(|shard| shared_indices(shard, shards, count))
+            .collect();
+        shared_indices(self.shard, shards, count)
             .into_iter()
             .map(|at| {
                 let endpoint = &endpoints[at];
@@ -306,20 +312,20 @@
     }
 
     // A start that once said it was leaving stays leaving, whatever an older entry says later.
-    fn leaving(&self, endpoint: &Endpoint) -> bool {
+    fn is_leaving(&self, endpoint: &Endpoint) -> bool {
         endpoint.draining || self.departures.contains_key(&endpoint.key())
     }
 }
 
 // The places of a shard's endpoints among a few: each one in some shard, and for each shard two.
-fn few(shard: usize, shards: usize, count: usize) -> Vec<usize> {
-    let mut few: Vec<usize> = (shard..count).step_by(shards).collect();
-    let first = few.first().copied().unwrap_or(shard % count);
-    let more = (0..count).map(|step| (first + step) % count);
-    for at in more.take(MIN_SHARD_ENDPOINTS) {
-        if few.len() < MIN_SHARD_ENDPOINTS && !few.contains(&at) {
-            few.push(at);
+fn shared_indices(shard: usize, shards: usize, count: usize) -> Vec<usize> {
+    let mut indices: Vec<usize> = (shard..count).step_by(shards).collect();
+    let first = indices.first().copied().unwrap_or(shard % count);
+    let candidates = (0..count).map(|step| (first + step) % count);
+    for at in candidates.take(MIN_SHARD_ENDPOINTS) {
+        if indices.len() < MIN_SHARD_ENDPOINTS && !indices.contains(&at) {
+            indices.push(at);
         }
     }
-    few
+    indices
 }
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -120,20 +120,20 @@
     // Versions that were ordered before and never came into force.
     excluded_versions: Vec<Arc<str>>,
     // Whether endpoints of another version were there while the order stood.
-    standing: bool,
+    stable_seen: bool,
     // Slots of the endpoints of the new version and of the others.
     slots: [u32; 2],
     // Whether this instance or one of its peers found the new version to be bad, or the order was withdrawn.
-    condemned: bool,
+    failed: bool,
     // Whether the operators took the order away.
     withdrawn: bool,
     // When the outcome was first known here.
     decided_at: Option<Millis>,
     // Requests that may go to the new version, with fractions.
-    credit: f64,
+    canary_credit: f64,
     tally: Tally,
     // What peers saw, and when they said so.
-    told: Map<u64, (Millis, CanaryReport)>,
+    peer_reports: Map<u64, (Millis, CanaryReport)>,
     phase: Phase,
 }
 
@@ -156,14 +156,14 @@
             status: None,
             started: now,
             excluded_versions,
-            standing: false,
+            stable_seen: false,
             slots: [0, 0],
-            condemned: false,
+            failed: false,
             withdrawn: false,
             decided_at: None,
-            credit: draw,
+            canary_credit: draw,
             tally: Tally::default(),
-            told: Map::default(),
+            peer_reports: Map::default(),
             phase: Phase::Trial,
         }
     }
@@ -205,14 +205,14 @@
             if !new && self.excluded_versions.contains(&endpoint.version) {
                 continue;
             }
-            self.standing |= !new;
+            self.stable_seen |= !new;
             self.slots[usize::from(!new)] += endpoint.slots;
         }
     }
 
     /// Takes note that the operators withdrew the order: the new version gets nothing more.
     pub fn withdraw(&mut self) {
-        self.condemned = true;
+        self.failed = true;
         self.withdrawn = true;
     }
 
@@ -223,10 +223,10 @@
         }
         // The peer that has known the order for longest is nearest to the truth.
         self.started = self.started.min(now.since(Millis(canary.age)));
-        self.condemned |= canary.failed;
+        self.failed |= canary.failed;
         if shard {
-            self.told.insert(source, (now, canary.clone()));
-            self.judge(now);
+            self.peer_reports.insert(source, (now, canary.clone()));
+            self.evaluate(now);
         }
     }
 
@@ -236,14 +236,14 @@
             service: short_hash(&self.order.service),
             order: self.order.revision,
             age: now.since(self.started).0,
-            failed: self.condemned,
-            samples: self.tally.samples(now),
+            failed: self.failed,
+            samples: self.tally.rows(now),
         }
     }
 
     /// Returns whether peers have something to hear.
     pub fn tells(&self) -> bool {
-        self.judging() || (self.condemned && !self.is_decided())
+        self.is_comparing() || (self.failed && !self.is_decided())
     }
 
     /// Counts a request, and returns whether it is for the new version; `bound` is the largest part of
@@ -252,24 +252,25 @@
         if !matches!(self.phase, Phase::Trial | Phase::Ramp) || self.slots[0] == 0 {
             return false;
         }
-        self.credit = (self.credit + self.share(now, bound * EXPOSURE_RATIO)).min(2.0);
-        if self.credit < 1.0 {
+        self.canary_credit =
+            (self.canary_credit + self.new_version_share(now, bound * EXPOSURE_RATIO)).min(2.0);
+        if self.canary_credit < 1.0 {
             return false;
         }
-        self.credit -= 1.0;
+        self.canary_credit -= 1.0;
         true
     }
 
     /// Returns whether answers are compared: while both versions answer.
-    pub fn judging(&self) -> bool {
+    pub fn is_comparing(&self) -> bool {
         matches!(self.phase, Phase::Trial | Phase::Ramp)
     }
 
     /// Takes note of an answer, good or bad, of a route.
     pub fn answered(&mut self, now: Millis, sample: Sample) {
-        if self.judging() {
+        if self.is_comparing() {
             self.tally.add(now, sample);
-            self.judge(now);
+            self.evaluate(now);
         }
     }
 
@@ -283,7 +284,7 @@
             (Phase::Trial | Phase::Ramp, true) => Use::Canary,
             (Phase::Moved | Phase::Completed, false) => Use::None,
             // Where no other version may be used, the ordered one was standing before.
-            (Phase::RolledBack, true) if self.standing => Use::None,
+            (Phase::RolledBack, true) if self.stable_seen => Use::None,
             _ => Use::Full,
         }
     }
@@ -315,14 +316,14 @@
         }
         let position = Millis(WRITE_STAGGER.0 * u64::try_from(position).unwrap_or(0));
         let age = now.since(self.started).since(position);
-        if self.condemned {
+        if self.failed {
             return Some(State::RolledBack);
         }
-        if self.phase == Phase::Moved && age >= self.part_of_span(COMPLETION_RATIO) {
+        if self.phase == Phase::Moved && age >= self.part_of_duration(COMPLETION_RATIO) {
             return Some(State::Completed);
         }
         // Its endpoints never came, or too few of them.
-        if self.phase != Phase::Moved && age >= self.order.span {
+        if self.phase != Phase::Moved && age >= self.order.duration {
             return Some(State::RolledBack);
         }
         let running = self.current_state().is_some();
@@ -332,30 +333,30 @@
     fn next_phase(&self, now: Millis) -> Phase {
         match self.current_state() {
             _ if self.phase == Phase::Settled => return Phase::Settled,
-            Some(State::Completed) => return self.completed(now),
+            Some(State::Completed) => return self.completed_phase(now),
             Some(State::RolledBack) => return Phase::RolledBack,
             Some(State::Running) | None => {}
         }
-        if self.condemned {
+        if self.failed {
             return Phase::RolledBack;
         }
         // An order for the version that is in force changes nothing.
-        if !self.standing {
+        if !self.stable_seen {
             return Phase::Moved;
         }
         let age = now.since(self.started);
-        let [new, standing] = self.slots.map(f64::from);
-        if new < standing * MIN_SLOTS_RATIO || age < self.part_of_span(RAMP_START_RATIO) {
+        let [new, stable] = self.slots.map(f64::from);
+        if new < stable * MIN_SLOTS_RATIO || age < self.part_of_duration(RAMP_START_RATIO) {
             return Phase::Trial;
         }
-        if age < self.part_of_span(RAMP_END_RATIO) {
+        if age < self.part_of_duration(RAMP_END_RATIO) {
             Phase::Ramp
         } else {
             Phase::Moved
         }
     }
 
-    fn completed(&self, now: Millis) -> Phase {
+    fn completed_phase(&self, now: Millis) -> Phase {
         if self
             .decided_at
             .is_some_and(|it| now.since(it) >= SETTLE_TIME)
@@ -367,12 +368,12 @@
     }
 
     // The part of the requests that is drawn for the new version.
-    fn share(&self, now: Millis, canary: f64) -> f64 {
+    fn new_version_share(&self, now: Millis, canary: f64) -> f64 {
         if self.phase == Phase::Trial {
             return canary;
         }
         let [begin, end] =
-            [RAMP_START_RATIO, RAMP_END_RATIO].map(|it| millis_to_f64(self.part_of_span(it)));
+            [RAMP_START_RATIO, RAMP_END_RATIO].map(|it| millis_to_f64(self.part_of_duration(it)));
         let age = millis_to_f64(now.since(self.started));
         ((age - begin) / (end - begin)).clamp(canary, MAX_NEW_RATIO)
     }
@@ -391,18 +392,18 @@
         )
     }
 
-    fn part_of_span(&self, ratio: f64) -> Millis {
-        millis_from_f64(millis_to_f64(self.order.span) * ratio)
+    fn part_of_duration(&self, ratio: f64) -> Millis {
+        millis_from_f64(millis_to_f64(self.order.duration) * ratio)
     }
 
-    fn judge(&mut self, now: Millis) {
-        if self.condemned || !self.standing || !self.judging() || self.is_decided() {
+    fn evaluate(&mut self, now: Millis) {
+        if self.failed || !self.stable_seen || !self.is_comparing() || self.is_decided() {
             return;
         }
-        let own = self.tally.samples(now);
-        let told = self.told.values();
-        let told = told.filter(|it| now.since(it.0) <= PEER_REPORT_TTL);
-        let told = told.flat_map(|it| &it.1.samples);
-        self.condemned = analysis::bad(own.iter().chain(told));
+        let own = self.tally.rows(now);
+        let reports = self.peer_reports.values();
+        let reports = reports.filter(|it| now.since(it.0) <= PEER_REPORT_TTL);
+        let reports = reports.flat_map(|it| &it.1.samples);
+        self.failed = analysis::is_worse(own.iter().chain(reports));
     }
 }
--- a/crates/siskinyoke-dispatch/src/rollout/analysis.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/analysis.rs
@@ -20,7 +20,7 @@
 const MIN_EXCESS_RATIO: f64 = 0.15;
 
 /// The share of bad answers of a standing version that is taken at least.
-const MIN_BASELINE_RATIO: f64 = 0.02;
+const MIN_STABLE_BAD_RATIO: f64 = 0.02;
 
 /// The logarithm of the odds at which a version is condemned: ten thousand to one.
 ///
@@ -59,15 +59,15 @@
 
 #[derive(Debug, Default)]
 struct RouteTally {
-    at: Millis,
+    updated: Millis,
     new: Counts,
-    standing: Counts,
-    endpoints: BTreeSet<u32>,
+    stable: Counts,
+    bad_endpoints: BTreeSet<u32>,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
 struct Counts {
-    all: f64,
+    total: f64,
     bad: f64,
 }
 
@@ -79,24 +79,24 @@
         let counts = if sample.new {
             &mut route.new
         } else {
-            &mut route.standing
+            &mut route.stable
         };
-        counts.all += 1.0;
+        counts.total += 1.0;
         counts.bad += f64::from(u8::from(sample.bad));
-        if sample.new && sample.bad && route.endpoints.len() < MAX_NAMED_ENDPOINTS {
-            route.endpoints.insert(sample.endpoint);
+        if sample.new && sample.bad && route.bad_endpoints.len() < MAX_NAMED_ENDPOINTS {
+            route.bad_endpoints.insert(sample.endpoint);
         }
     }
 
     /// Returns the counts as peers are told them.
-    pub fn samples(&self, now: Millis) -> Vec<CanaryRow> {
+    pub fn rows(&self, now: Millis) -> Vec<CanaryRow> {
         let rows = self.routes.iter().map(|(route, counts)| {
-            let left = left(now.since(counts.at));
+            let factor = decay_factor(now.since(counts.updated));
             CanaryRow {
                 route: *route,
-                new: counts.new.told(left),
-                stable: counts.standing.told(left),
-                endpoints: counts.endpoints.iter().copied().collect(),
+                new: counts.new.to_row(factor),
+                stable: counts.stable.to_row(factor),
+                endpoints: counts.bad_endpoints.iter().copied().collect(),
             }
         });
         rows.collect()
@@ -105,31 +105,31 @@
 
 impl RouteTally {
     fn decay(&mut self, now: Millis) {
-        let left = left(now.since(self.at));
-        self.at = now;
-        self.new.decay(left);
-        self.standing.decay(left);
+        let factor = decay_factor(now.since(self.updated));
+        self.updated = now;
+        self.new.decay(factor);
+        self.stable.decay(factor);
     }
 }
 
 impl Counts {
-    fn decay(&mut self, left: f64) {
-        self.all *= left;
-        self.bad *= left;
+    fn decay(&mut self, factor: f64) {
+        self.total *= factor;
+        self.bad *= factor;
     }
 
-    fn told(self, left: f64) -> (u16, u16) {
-        (to_steps(self.all * left), to_steps(self.bad * left))
+    fn to_row(self, factor: f64) -> (u16, u16) {
+        (to_steps(self.total * factor), to_steps(self.bad * factor))
     }
 
-    fn add(&mut self, told: (u16, u16)) {
-        self.all += f64::from(told.0) / COUNT_STEPS_PER_UNIT;
-        self.bad += f64::from(told.1) / COUNT_STEPS_PER_UNIT;
+    fn add_row(&mut self, row: (u16, u16)) {
+        self.total += f64::from(row.0) / COUNT_STEPS_PER_UNIT;
+        self.bad += f64::from(row.1) / COUNT_STEPS_PER_UNIT;
     }
 }
 
 /// Returns whether the answers of several instances condemn the new version, on one route or over all.
-pub fn bad<'a>(rows: impl Iterator<Item = &'a CanaryRow>) -> bool {
+pub fn is_worse<'a>(rows: impl Iterator<Item = &'a CanaryRow>) -> bool {
     let mut routes: BTreeMap<u32, Evidence> = BTreeMap::new();
     let mut all = Evidence::default();
     for row in rows {
@@ -142,41 +142,41 @@
 #[derive(Debug, Default)]
 struct Evidence {
     new: Counts,
-    standing: Counts,
-    endpoints: BTreeSet<u32>,
+    stable: Counts,
+    bad_endpoints: BTreeSet<u32>,
 }
 
 impl Evidence {
     fn add(&mut self, row: &CanaryRow) {
-        self.new.add(row.new);
-        self.standing.add(row.stable);
-        self.endpoints.extend(&row.endpoints);
+        self.new.add_row(row.new);
+        self.stable.add_row(row.stable);
+        self.bad_endpoints.extend(&row.endpoints);
     }
 
     fn is_conclusive(&self) -> bool {
-        self.endpoints.len() >= MIN_BAD_ENDPOINTS && self.log_odds() >= LOG_ODDS_THRESHOLD
+        self.bad_endpoints.len() >= MIN_BAD_ENDPOINTS && self.log_odds() >= LOG_ODDS_THRESHOLD
     }
 
     // The logarithm of the odds that the new version is worse, by its answers.
     fn log_odds(&self) -> f64 {
-        let usual = self.usual();
-        let worse = usual + MIN_EXCESS_RATIO * (1.0 - usual);
-        let bad = (worse / usual).ln();
-        let good = ((1.0 - worse) / (1.0 - usual)).ln();
-        self.new.bad * bad + (self.new.all - self.new.bad).max(0.0) * good
+        let stable = self.stable_bad_ratio();
+        let worse = stable + MIN_EXCESS_RATIO * (1.0 - stable);
+        let bad = (worse / stable).ln();
+        let good = ((1.0 - worse) / (1.0 - stable)).ln();
+        self.new.bad * bad + (self.new.total - self.new.bad).max(0.0) * good
     }
 
     // The share of bad answers of the standing version, with one standard error.
-    fn usual(&self) -> f64 {
-        let all = self.standing.all + 1.0;
-        let share = (self.standing.bad + 0.5) / all;
-        let error = (share * (1.0 - share).max(0.0) / all).sqrt();
-        (share + error).clamp(MIN_BASELINE_RATIO, 0.9)
+    fn stable_bad_ratio(&self) -> f64 {
+        let total = self.stable.total + 1.0;
+        let share = (self.stable.bad + 0.5) / total;
+        let error = (share * (1.0 - share).max(0.0) / total).sqrt();
+        (share + error).clamp(MIN_STABLE_BAD_RATIO, 0.9)
     }
 }
 
 // What is left of an answer that came so long ago.
-fn left(age: Millis) -> f64 {
+fn decay_factor(age: Millis) -> f64 {
     (-millis_to_f64(age) / millis_to_f64(DECAY_TIME)).exp()
 }
 
--- a/crates/siskinyoke-dispatch/src/rollout/order.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/order.rs
@@ -12,7 +12,7 @@
     /// The version that its traffic is to move to.
     pub version: Arc<str>,
     /// How long the move may take.
-    pub span: Millis,
+    pub duration: Millis,
     /// The store's revision of the order, which tells it from others for the same version.
     pub revision: u64,
 }
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -21,7 +21,7 @@
     Order {
         service: "lm".into(),
         version: version.into(),
-        span: SPAN,
+        duration: SPAN,
         revision,
     }
 }
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -222,7 +222,7 @@
         let order = Order {
             service: "lm".into(),
             version: "v2".into(),
-            span: Millis(SPAN),
+            duration: Millis(SPAN),
             revision: self.revision() + 1,
         };
         self.changes.push(StoreUpdate::RolloutOrder(order));
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -119,7 +119,7 @@
             Some(Order {
                 service: service.into(),
                 version: text.version.into(),
-                span: text.span,
+                duration: text.span,
                 revision,
             })
         }
