--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -15,11 +15,11 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Kind;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Route;
+use crate::ScheduledRequest;
 use crate::Ticket;
-use crate::Work;
+use crate::TokenCounts;
 use crate::latency_model::millis_from_f64;
 use crate::latency_model::millis_to_f64;
 use crate::message::SlotRequest;
@@ -58,10 +58,10 @@
 /// A place that was given to another shard.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LentSlot {
-    key: EndpointKey,
-    prompt_tokens: u32,
+    endpoint: EndpointKey,
+    prefill_tokens: u32,
     // When its prompt is expected to be read, and when it is taken back unasked.
-    prompt_end: Option<Millis>,
+    prefill_end: Option<Millis>,
     expires_at: Millis,
 }
 
@@ -74,7 +74,10 @@
 
 impl Scheduler {
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
-    pub(crate) fn borrow_needs(&mut self, view: &ClusterView<'_>) -> Vec<(Ticket, BorrowRequest)> {
+    pub(crate) fn borrow_requests(
+        &mut self,
+        view: &ClusterView<'_>,
+    ) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let askable = self.queues.iter().flat_map(|(service, queue)| {
             let place = view.registry.divided() && !self.recently_declined(now, service);
@@ -87,7 +90,7 @@
             .take(MAX_BORROW_QUERIES);
         let mut needs = Vec::new();
         for (ticket, place, reserved) in due {
-            let need = place_need(now, &self.waiting[&ticket]);
+            let need = slot_request(now, &self.waiting[&ticket]);
             needs.extend(place.then_some((ticket, BorrowRequest::Slot(need))));
             needs.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(need))));
         }
@@ -129,16 +132,16 @@
             millis_to_f64(load.service_time_of(&guest.work)) * pace * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
         let given = LentSlot {
-            key,
-            prompt_tokens: guest.work.unread(),
-            prompt_end: Some(
+            endpoint: key,
+            prefill_tokens: guest.work.unread(),
+            prefill_end: Some(
                 view.now + millis_from_f64(millis_to_f64(load.first_part_time(&guest.work)) * pace),
             ),
             expires_at: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
         };
         let busy = self.usage_mut(key);
         busy.count += 1;
-        busy.prefill_tokens += given.prompt_tokens;
+        busy.prefill_tokens += given.prefill_tokens;
         self.lent_slots.insert(id, given);
         Some(key)
     }
@@ -148,10 +151,10 @@
         let Some(loan) = self.lent_slots.remove(&id) else {
             return;
         };
-        let busy = self.usage_mut(loan.key);
+        let busy = self.usage_mut(loan.endpoint);
         busy.count = busy.count.saturating_sub(1);
-        if loan.prompt_end.is_some() {
-            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
+        if loan.prefill_end.is_some() {
+            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
     }
@@ -164,10 +167,10 @@
             self.reclaim_slot(id);
         }
         for loan in self.lent_slots.values_mut() {
-            if loan.prompt_end.take_if(|at| *at <= now).is_some()
-                && let Some(busy) = self.in_flight.get_mut(&loan.key)
+            if loan.prefill_end.take_if(|at| *at <= now).is_some()
+                && let Some(busy) = self.in_flight.get_mut(&loan.endpoint)
             {
-                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
+                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
             }
         }
     }
@@ -209,7 +212,7 @@
     pub(super) fn best_endpoint(
         &self,
         now: Millis,
-        guest: &Pending,
+        guest: &ScheduledRequest,
         candidates: &[Candidate],
     ) -> Option<EndpointKey> {
         let load = self.latency_model(&guest.service);
@@ -238,7 +241,7 @@
     }
 }
 
-fn place_need(now: Millis, pending: &Pending) -> SlotRequest {
+fn slot_request(now: Millis, pending: &ScheduledRequest) -> SlotRequest {
     let small = |span: Millis| u32::try_from(span.0).unwrap_or(u32::MAX);
     SlotRequest {
         service: short_hash(&pending.service),
@@ -253,7 +256,11 @@
 }
 
 // Another shard's request, as far as the choice of an endpoint needs it.
-pub(super) fn borrower_request(now: Millis, service: &Arc<str>, need: &SlotRequest) -> Pending {
+pub(super) fn borrower_request(
+    now: Millis,
+    service: &Arc<str>,
+    need: &SlotRequest,
+) -> ScheduledRequest {
     let span = |ms: u32| Millis(u64::from(ms));
     let arrived = now.since(span(need.waited));
     let until = now + span(need.remaining_wait);
@@ -274,14 +281,14 @@
         auth_exempt: true,
         resumable: false,
     };
-    Pending {
+    ScheduledRequest {
         service: service.clone(),
         route: Arc::new(route),
-        rank: Rank::new(None, 0),
+        rank: Priority::new(None, 0),
         arrived,
         position: arrived,
         until,
-        work: Work {
+        work: TokenCounts {
             prompt: f64::from(need.prompt_tokens),
             output: f64::from(need.output_tokens),
         },
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -5,13 +5,13 @@
 use super::Backlog;
 use super::ClusterView;
 use super::Decision;
-use super::Running;
+use super::RunningRequest;
 use super::Scheduler;
 use super::queue_key;
 use crate::Endpoint;
 use crate::Ticket;
 use crate::latency_model::LatencyModel;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::placement::Candidate;
 use crate::placement::Placing;
 use crate::placement::Query;
@@ -213,9 +213,9 @@
         let busy = self.usage_mut(key);
         busy.count += 1;
         busy.prefill_tokens += pending.work.unread();
-        let running = Running {
+        let running = RunningRequest {
             pending,
-            key,
+            endpoint: key,
             sent_at: now,
             backlog: ahead,
             first_part_at: None,
@@ -238,7 +238,7 @@
     let queued = candidate.left <= candidate.extra;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
-        prompt_tokens: candidate.unread,
+        prefill_tokens: candidate.unread,
         slot_wait: Millis(if queued {
             load.mean_service_time().0 / slots
         } else {
@@ -254,7 +254,7 @@
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
-fn claimed_by_peers(rows: &[WaitingRow], order: Order, waited: Millis) -> u32 {
+fn claimed_by_peers(rows: &[WaitingRow], order: QueueOrder, waited: Millis) -> u32 {
     rows.iter()
         .map(|row| {
             if row.order < order {
