--- a/crates/siskinyoke-dispatch/benches/decide.rs
+++ b/crates/siskinyoke-dispatch/benches/decide.rs
@@ -114,7 +114,7 @@
 }
 
 fn admit(core: &mut Core, now: Millis, fingerprint: u64) {
-    let Ok(pass) = core.pass(now, common::request("/stream/x")) else {
+    let Ok(pass) = core.route(now, common::request("/stream/x")) else {
         return;
     };
     black_box(core.admit(now, &pass, fingerprint).is_ok());
@@ -124,8 +124,8 @@
     admit(core, now, now.0);
     for decision in core.decide(now) {
         if let Decision::Start(ticket, _) = decision {
-            core.began(now, ticket);
-            core.ended(now, ticket, common::done(), false);
+            core.record_response_start(now, ticket);
+            core.record_outcome(now, ticket, common::done(), false);
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -40,12 +40,12 @@
 pub use self::routing::RoutedRequest;
 
 /// When a caller should come back whose work crashed endpoints: not soon.
-const SUSPECT: Millis = Millis::from_secs(30);
+const QUARANTINE_RETRY_AFTER: Millis = Millis::from_secs(30);
 
 /// One instance's state.
 #[derive(Debug)]
 pub struct Core {
-    me: Identity,
+    identity: Identity,
     configuration: Option<Arc<Configuration>>,
     registry: Registry,
     scheduler: Scheduler,
@@ -54,14 +54,14 @@
     // Instances that went, with when: most of them are back in a moment.
     departed: BTreeMap<String, Millis>,
     shard: usize,
-    shards: usize,
+    shard_count: usize,
     quotas: Quotas,
     budgets: Map<Arc<str>, RetryBudget>,
     quarantine: Quarantine,
-    view: store::StoreView,
+    store_view: store::StoreView,
     leaving: bool,
-    number: u64,
-    started: Option<Millis>,
+    report_number: u64,
+    configured_at: Option<Millis>,
 }
 
 impl Core {
@@ -76,15 +76,15 @@
             instances: Listing::default(),
             departed: BTreeMap::new(),
             shard: 0,
-            shards: 1,
+            shard_count: 1,
             quotas: Quotas::new(me.measure),
             budgets: Map::default(),
             quarantine: Quarantine::default(),
-            view: store::StoreView::default(),
+            store_view: store::StoreView::default(),
             leaving: false,
-            number: 0,
-            started: None,
-            me,
+            report_number: 0,
+            configured_at: None,
+            identity: me,
         }
     }
 
@@ -92,10 +92,10 @@
     ///
     /// Returns whether it is in force now and was not before.
     pub fn configure(&mut self, now: Millis, configuration: Configuration) -> bool {
-        if self.version() >= configuration.version {
+        if self.configuration_version() >= configuration.version {
             return false;
         }
-        self.started.get_or_insert(now);
+        self.configured_at.get_or_insert(now);
         let share = self.peers.fleet_share(now);
         self.quotas
             .configure(now, configuration.organisations(), share);
@@ -104,7 +104,7 @@
     }
 
     /// Returns the version in force, 0 for none.
-    pub fn version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |known| known.version)
     }
 
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// The refusal; the request has not run and never will.
-    pub fn in_force(&self) -> Result<&Arc<Configuration>, Refusal> {
+    pub fn require_configuration(&self) -> Result<&Arc<Configuration>, Refusal> {
         self.configuration.as_ref().ok_or(Refusal {
             reason: RefusalReason::NotReady,
             retry_after: cold_start::MIN_RETRY_AFTER,
@@ -160,14 +160,14 @@
     /// # Errors
     ///
     /// The refusal; the request has not run and never will.
-    pub fn pass(
+    pub fn route(
         &mut self,
         now: Millis,
         request: IncomingRequest<'_>,
     ) -> Result<RoutedRequest, Refusal> {
-        let pass = self.examine(now, request)?;
+        let pass = self.resolve(now, request)?;
         self.budget(&pass.service).record_request(now);
-        self.take_quota(now, &pass, routing::chance(request.draw), 0)?;
+        self.charge_quota(now, &pass, routing::unit_fraction(request.draw), 0)?;
         Ok(pass)
     }
 
@@ -178,22 +178,22 @@
     /// # Errors
     ///
     /// As [`Self::pass`].
-    pub fn pass_again(
+    pub fn route_with_borrowed_quota(
         &mut self,
         now: Millis,
         request: IncomingRequest<'_>,
         given: u64,
     ) -> Result<RoutedRequest, Refusal> {
-        let pass = self.examine(now, request)?;
-        self.take_quota(now, &pass, routing::chance(request.draw), given)?;
+        let pass = self.resolve(now, request)?;
+        self.charge_quota(now, &pass, routing::unit_fraction(request.draw), given)?;
         Ok(pass)
     }
 
-    fn examine(&self, now: Millis, request: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
-        let configuration = self.in_force()?.clone();
+    fn resolve(&self, now: Millis, request: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
+        let configuration = self.require_configuration()?.clone();
         let route = routing::find_route(&configuration, request)?;
         let organisation = routing::authenticate(&configuration, &route, request)?;
-        routing::measure(now, route, organisation, request)
+        routing::route_request(now, route, organisation, request)
     }
 
     /// Lets a whole request wait for an endpoint.
@@ -210,26 +210,26 @@
         let result = if self.quarantine.refuses(now, print) {
             Err(Refusal {
                 reason: RefusalReason::Quarantined,
-                retry_after: SUSPECT,
+                retry_after: QUARANTINE_RETRY_AFTER,
             })
         } else {
             let mut pending = routing::pending(pass, print);
-            let exposure = self.me.exposure;
+            let exposure = self.identity.exposure;
             let rollout = self.registry.rollout(&pending.service);
             pending.canary = rollout.is_some_and(|it| it.draw(now, exposure));
             self.scheduler
                 .admit(now, pending, &self.registry, &self.peers)
         };
         if result.is_err() {
-            self.give_back(pass);
+            self.refund(pass);
         }
         result
     }
 
     /// Gives back the quota of a request that did not run.
-    pub fn give_back(&mut self, pass: &RoutedRequest) {
+    pub fn refund(&mut self, pass: &RoutedRequest) {
         if let Some(organisation) = &pass.organisation {
-            self.quotas.refund(organisation, pass.units);
+            self.quotas.refund(organisation, pass.quota_cost);
         }
     }
 
@@ -243,7 +243,7 @@
                 .cancel_matching(|pending| quarantine.refuses(now, pending.fingerprint));
             let refusal = Refusal {
                 reason: RefusalReason::Quarantined,
-                retry_after: SUSPECT,
+                retry_after: QUARANTINE_RETRY_AFTER,
             };
             decisions.extend(refused.into_iter().map(|it| Decision::Refuse(it, refusal)));
         }
@@ -253,7 +253,7 @@
 
     /// Takes note of how a stay ended, and lets the request wait for another endpoint if
     /// `more` is set and both its route and the retry budget allow one.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -261,7 +261,7 @@
         more: bool,
     ) -> Option<Ticket> {
         let pending = self.scheduler.attempt_ended(now, ticket, outcome)?;
-        self.sample(now, &pending, outcome);
+        self.record_sample(now, &pending, outcome);
         match outcome {
             Outcome::Broken => {
                 if let Some(key) = pending.tried.last() {
@@ -279,7 +279,7 @@
     }
 
     /// Takes note that the first part of a running request's answer came.
-    pub fn began(&mut self, now: Millis, ticket: Ticket) {
+    pub fn record_response_start(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.first_part_received(now, ticket);
     }
 
@@ -300,7 +300,7 @@
         self.scheduler.sweep_lent_slots(now);
     }
 
-    fn take_quota(
+    fn charge_quota(
         &mut self,
         now: Millis,
         pass: &RoutedRequest,
@@ -313,7 +313,7 @@
         let share = self.peers.fleet_share(now);
         let crowd = f64::from(u32::try_from(self.peers.instance_count(now)).unwrap_or(u32::MAX));
         let wanted = QuotaRequest {
-            units: pass.units,
+            units: pass.quota_cost,
             instances: crowd,
             sample: chance,
             borrowed: quota::u64_to_f64(given),
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -50,7 +50,10 @@
 
     /// Returns the listed instances, with whether each belongs to this one's shard.
     pub fn listed(&self) -> impl Iterator<Item = (&InstanceLocation, bool)> {
-        let others = self.instances.iter().filter(|row| row.0 != self.me.name);
+        let others = self
+            .instances
+            .iter()
+            .filter(|row| row.0 != self.identity.name);
         others.map(|(name, place)| (place, self.in_shard(name)))
     }
 
@@ -58,7 +61,7 @@
     pub fn other_shards(&self) -> Vec<Vec<&InstanceLocation>> {
         let mut shards: BTreeMap<usize, Vec<&InstanceLocation>> = BTreeMap::new();
         for (name, place) in self.instances.iter() {
-            let home = shards::shard_of(name, self.shards);
+            let home = shards::shard_of(name, self.shard_count);
             if home != self.shard {
                 shards.entry(home).or_default().push(place);
             }
@@ -75,7 +78,7 @@
             .filter(|it| it.report.ready && !it.report.leaving);
         let members = peers.map(|peer| &peer.info.location);
         let others = self.listed().filter(|row| !row.1).map(|row| row.0);
-        let others = others.filter(|_| self.shards > 1);
+        let others = others.filter(|_| self.shard_count > 1);
         let ready = members
             .chain(self.ready().then_some(&own.location))
             .chain(others);
@@ -84,14 +87,14 @@
 
     /// Returns how long the store may hold a watch.
     pub fn watch(&self) -> Millis {
-        watch::hold(self.me.settle, self.reaches(), self.shards)
+        watch::watch_timeout(self.identity.settle, self.reaches(), self.shard_count)
     }
 
     /// Returns how long changes of the store should be gathered before the next look.
     ///
     /// Cells take turns, another one first after each change.
     pub fn gather(&self) -> Millis {
-        let shards = u64::try_from(self.shards).unwrap_or(1).max(1);
+        let shards = u64::try_from(self.shard_count).unwrap_or(1).max(1);
         let own = u64::try_from(self.shard).unwrap_or(0);
         GATHER + Millis(TURN.0 * ((own + self.revision()) % shards))
     }
@@ -113,7 +116,7 @@
             .fresh(now)
             .map(|peer| &peer.info.location.peer_address)
             .collect();
-        let skip = usize::try_from(self.number).unwrap_or(0) % all.len().max(1);
+        let skip = usize::try_from(self.report_number).unwrap_or(0) % all.len().max(1);
         all.iter()
             .cycle()
             .skip(skip)
@@ -138,8 +141,8 @@
         for name in self.fleet() {
             sizes[shards::shard_of(name, shards)] += 1;
         }
-        self.shard = shards::shard_of(&self.me.name, shards);
-        self.shards = shards;
+        self.shard = shards::shard_of(&self.identity.name, shards);
+        self.shard_count = shards;
         self.registry.settle(self.shard, sizes);
         if shards > 1 {
             let own = self.shard;
@@ -149,13 +152,13 @@
     }
 
     pub(super) fn in_shard(&self, name: &str) -> bool {
-        shards::shard_of(name, self.shards) == self.shard
+        shards::shard_of(name, self.shard_count) == self.shard
     }
 
     // The part of the retries beside the budget's ratio that is this instance's.
     pub(super) fn floor(&self) -> f64 {
         let fleet = self.instances.iter().count().max(FLEET);
-        self.me.floor / 2.0 / f64::from(u32::try_from(fleet).unwrap_or(u32::MAX))
+        self.identity.floor / 2.0 / f64::from(u32::try_from(fleet).unwrap_or(u32::MAX))
     }
 
     // Drops instances whose time is over.
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -20,11 +20,11 @@
         if !self.registry.divided() {
             return None;
         }
-        let pass = self.examine(now, request).ok()?;
+        let pass = self.resolve(now, request).ok()?;
         let organisation = pass.organisation.as_ref()?;
         Some(UnitsRequest {
             organisation: short_hash(&organisation.name),
-            units: pass.whole_units(),
+            units: pass.quota_units(),
         })
     }
 
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -24,13 +24,13 @@
         let source = report.source;
         let mut in_shard = true;
         if let Some(about) = &report.info {
-            if about.name == self.me.name {
+            if about.name == self.identity.name {
                 return false;
             }
             self.learn(now, about);
             in_shard = self.in_shard(&about.name);
         }
-        self.hear_canaries(now, &report, in_shard);
+        self.receive_canaries(now, &report, in_shard);
         self.hear_limits(now, &report.limits);
         if !in_shard {
             self.peers.remove(source);
@@ -66,21 +66,21 @@
 
     /// Makes the next report to peers, with what seldom changes if `whole` is set.
     pub fn report(&mut self, now: Millis, whole: bool) -> Report {
-        self.number += 1;
+        self.report_number += 1;
         let since = if whole {
             Millis::ZERO
         } else {
             Millis(now.0.saturating_sub(RECENT.0))
         };
         Report {
-            source: self.me.source,
+            source: self.identity.source,
             age: self.age(now).0,
-            number: self.number,
+            number: self.report_number,
             ready: self.ready(),
             leaving: self.leaving,
-            configuration: self.version(),
-            revision: self.view.revision,
-            store_reachable: self.view.reaches,
+            configuration: self.configuration_version(),
+            revision: self.store_view.revision,
+            store_reachable: self.store_view.reaches,
             running: self.scheduler.endpoint_usage(),
             waiting: self.scheduler.queue_summary(now),
             quota_used: self.quotas.usage(since),
@@ -97,8 +97,8 @@
 
     pub(super) fn about(&self, now: Millis) -> InstanceInfo {
         InstanceInfo {
-            name: self.me.name.clone(),
-            location: self.me.place.clone(),
+            name: self.identity.name.clone(),
+            location: self.identity.place.clone(),
             leaving_endpoints: self.registry.news(),
             quarantine: self.quarantine.news(TOLD),
             peers: self.inner_addresses(now),
@@ -106,7 +106,7 @@
     }
 
     pub(super) fn age(&self, now: Millis) -> Millis {
-        self.started
+        self.configured_at
             .map_or(Millis::ZERO, |started| now.since(started))
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -26,19 +26,20 @@
         let Some(pending) = self.scheduler.running(ticket).cloned() else {
             return false;
         };
-        let allowed = pending.route.idempotent() && pending.sent + 1 < pending.route.max_attempts;
+        let allowed =
+            pending.route.idempotent() && pending.attempts + 1 < pending.route.max_attempts;
         let elsewhere = self
             .scheduler
             .has_alternative(now, &pending, &self.registry, &self.peers);
         let floor = self.floor();
         allowed
             && elsewhere
-            && now < pending.until
+            && now < pending.deadline
             && self.budget(&pending.service).try_take(now, floor)
     }
 
     pub(super) fn budget(&mut self, service: &Arc<str>) -> &mut RetryBudget {
-        let ratio = self.me.retries * RETRIES;
+        let ratio = self.identity.retries * RETRIES;
         self.budgets
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(ratio))
@@ -58,7 +59,7 @@
         if !unrun && self.quarantine.refuses(now, pending.fingerprint) {
             return false;
         }
-        if now >= pending.until {
+        if now >= pending.deadline {
             return false;
         }
         if unsent {
@@ -68,7 +69,7 @@
             return true;
         }
         let floor = self.floor();
-        pending.sent < pending.route.max_attempts
+        pending.attempts < pending.route.max_attempts
             && self.budget(&pending.service).try_take(now, floor)
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -7,7 +7,7 @@
 use crate::Report;
 use crate::ScheduledRequest;
 use crate::core::Core;
-use crate::core::routing::chance;
+use crate::core::routing::unit_fraction;
 use crate::latency_model::LatencyModel;
 use crate::report::short_hash;
 use crate::rollout::Order;
@@ -20,10 +20,10 @@
 /// How many times longer than usual an answer takes that counts as bad.
 ///
 /// Endpoints of one version differ threefold; those of a bad one take several times as long.
-const SLOW: u64 = 3;
+const SLOWDOWN_RATIO: u64 = 3;
 
 /// By how much longer than usual it takes at the least: less is the noise of processes.
-const NOTICED: Millis = Millis(50);
+const MIN_SLOWDOWN: Millis = Millis(50);
 
 /// A change of where a service's traffic goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// The revision that the order must still have, 0 if it was withdrawn.
     ///
     /// A write may take effect late, when the same version has been ordered again.
-    pub standing: u64,
+    pub order_revision: u64,
 }
 
 impl Core {
@@ -69,28 +69,28 @@
     /// Returns the states that this instance is to write.
     ///
     /// Instances that watch the store do so, those of one shard after those of another.
-    pub fn due_states(&self, now: Millis) -> Vec<StatusWrite> {
+    pub fn status_writes(&self, now: Millis) -> Vec<StatusWrite> {
         let rollouts = self.registry.rollouts();
         let due = rollouts.filter_map(|it| {
             Some(StatusWrite {
                 order: it.order().clone(),
                 state: it.due(now, self.shard)?,
                 expected: it.status_revision(),
-                standing: it.standing_revision(),
+                order_revision: it.standing_revision(),
             })
         });
         let due: Vec<_> = due.collect();
-        let writes = !due.is_empty() && !self.leaving && self.watcher(now) == self.me.name;
+        let writes = !due.is_empty() && !self.leaving && self.watcher(now) == self.identity.name;
         if writes { due } else { Vec::new() }
     }
 
     pub(super) fn begin_rollout(&mut self, now: Millis, order: Order) {
-        let draw = stable_hash(&(self.me.source, order.revision));
-        self.registry.order(now, order, chance(draw));
+        let draw = stable_hash(&(self.identity.source, order.revision));
+        self.registry.order(now, order, unit_fraction(draw));
     }
 
     // Reports of other shards count for no endpoint, but what they know of a rollout counts for all.
-    pub(super) fn hear_canaries(&mut self, now: Millis, report: &Report, shard: bool) {
+    pub(super) fn receive_canaries(&mut self, now: Millis, report: &Report, shard: bool) {
         for canary in &report.canaries {
             let mut rollouts = self.registry.rollouts_mut();
             let rollout = rollouts.find(|it| short_hash(&it.order().service) == canary.service);
@@ -101,15 +101,20 @@
     }
 
     // Counts the answer of a service while the versions of its endpoints are compared.
-    pub(super) fn sample(&mut self, now: Millis, pending: &ScheduledRequest, outcome: Outcome) {
+    pub(super) fn record_sample(
+        &mut self,
+        now: Millis,
+        pending: &ScheduledRequest,
+        outcome: Outcome,
+    ) {
         let Some(key) = pending.tried.last() else {
             return;
         };
-        let Some(new) = self.compared(&pending.service, *key) else {
+        let Some(new) = self.is_new_version(&pending.service, *key) else {
             return;
         };
         let load = self.scheduler.latency_model(&pending.service);
-        let Some(bad) = bad(outcome, pending, load) else {
+        let Some(bad) = is_bad_answer(outcome, pending, load) else {
             return;
         };
         let sample = Sample {
@@ -124,7 +129,7 @@
     }
 
     // Whether an endpoint is of the new version, where its service's versions are compared.
-    fn compared(&mut self, service: &str, key: EndpointKey) -> Option<bool> {
+    fn is_new_version(&mut self, service: &str, key: EndpointKey) -> Option<bool> {
         let rollout = self.registry.rollout(service)?;
         if !rollout.judging() {
             return None;
@@ -136,21 +141,21 @@
 }
 
 // Whether an answer speaks against its endpoint's version; nothing if it says nothing of it.
-fn bad(outcome: Outcome, pending: &ScheduledRequest, load: LatencyModel) -> Option<bool> {
+fn is_bad_answer(outcome: Outcome, pending: &ScheduledRequest, load: LatencyModel) -> Option<bool> {
     match outcome {
         Outcome::Failed | Outcome::Broken | Outcome::Silent => Some(true),
-        Outcome::Done { took, parts: 0, .. } => Some(slow(took, load.mean_service_time())),
+        Outcome::Done { took, parts: 0, .. } => Some(is_slow(took, load.mean_service_time())),
         Outcome::Done {
             first, took, parts, ..
         } => {
-            let late = slow(first, load.first_part_time(&pending.work));
+            let late = is_slow(first, load.first_part_time(&pending.tokens));
             let rest = load.remaining_time(f64::from(parts));
-            Some(late || slow(took.since(first), rest))
+            Some(late || is_slow(took.since(first), rest))
         }
         Outcome::Full | Outcome::Moved | Outcome::Unreached | Outcome::Left => None,
     }
 }
 
-fn slow(took: Millis, usual: Millis) -> bool {
-    took.0 > usual.0 * SLOW && took > usual + NOTICED
+fn is_slow(took: Millis, usual: Millis) -> bool {
+    took.0 > usual.0 * SLOWDOWN_RATIO && took > usual + MIN_SLOWDOWN
 }
--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -22,7 +22,7 @@
     /// Its path.
     pub path: &'a str,
     /// How long it was held before it came to the filters.
-    pub held: Millis,
+    pub hold_time: Millis,
     /// Its key, if it has one.
     pub key: Option<&'a str>,
     /// How long its caller waits, if it says so.
@@ -30,7 +30,7 @@
     /// Prompt tokens and the most output tokens, if it names them.
     pub tokens: Option<(u64, u64)>,
     /// Output tokens that its caller expects, if it says so.
-    pub estimate: Option<u64>,
+    pub output_estimate: Option<u64>,
     /// An evenly spread number of its own, to split traffic by.
     pub draw: u64,
 }
@@ -53,23 +53,23 @@
     /// What it asks of an endpoint.
     pub work: TokenCounts,
     /// What it takes of its organisation's quota.
-    pub units: f64,
+    pub quota_cost: f64,
 }
 
 impl RoutedRequest {
     /// Returns the units it takes, as they stand in messages.
-    pub fn whole_units(&self) -> u64 {
-        quota::to_u64(self.units)
+    pub fn quota_units(&self) -> u64 {
+        quota::to_u64(self.quota_cost)
     }
 
     /// Returns whether the answer comes as events.
-    pub fn streams(&self) -> bool {
+    pub fn is_stream(&self) -> bool {
         self.route.kind == Kind::Stream
     }
 }
 
 // Turns an evenly spread number into one from 0 to 1, by its upper half.
-pub(super) fn chance(draw: u64) -> f64 {
+pub(super) fn unit_fraction(draw: u64) -> f64 {
     let upper = u32::try_from(draw >> 32).unwrap_or(u32::MAX);
     f64::from(upper) / f64::from(u32::MAX)
 }
@@ -105,7 +105,7 @@
     Ok(holder.cloned())
 }
 
-pub(super) fn measure(
+pub(super) fn route_request(
     now: Millis,
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
@@ -118,7 +118,7 @@
         });
     };
     let span = request.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let arrived = now.since(request.held);
+    let arrived = now.since(request.hold_time);
     let rank = Priority::new(
         organisation.as_ref().and_then(|it| it.priority),
         route.priority,
@@ -128,8 +128,8 @@
         rank,
         arrived,
         until: arrived + span,
-        work: TokenCounts::new(request.tokens, request.estimate),
-        units: units(organisation.as_deref(), request.tokens),
+        work: TokenCounts::new(request.tokens, request.output_estimate),
+        quota_cost: units(organisation.as_deref(), request.tokens),
         organisation,
         route,
     })
@@ -153,16 +153,16 @@
     ScheduledRequest {
         service: pass.service.clone(),
         route: pass.route.clone(),
-        rank: pass.rank,
+        priority: pass.rank,
         arrived: pass.arrived,
-        position: pass.arrived,
-        until: pass.until,
-        work: pass.work,
+        virtual_arrival: pass.arrived,
+        deadline: pass.until,
+        tokens: pass.work,
         fingerprint,
         tried: Vec::new(),
-        sent: 0,
+        attempts: 0,
         late: false,
-        pressed: false,
+        needs_loan: false,
         canary: false,
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -48,11 +48,11 @@
     /// All changes are taken in before shards and endpoints are worked out anew: that takes time for
     /// each endpoint, and the first reading names hundreds.
     pub fn learn_news(&mut self, now: Millis, revision: u64, news: Vec<StoreUpdate>) {
-        self.view.known.get_or_insert(now);
-        if revision > self.view.revision {
-            self.view.revision = revision;
-            self.view.behind = None;
-            self.view.asks = false;
+        self.store_view.known.get_or_insert(now);
+        if revision > self.store_view.revision {
+            self.store_view.revision = revision;
+            self.store_view.behind = None;
+            self.store_view.asks = false;
         }
         let mut fleet = false;
         let mut endpoints = Vec::new();
@@ -91,55 +91,55 @@
 
     /// Returns the store's revision up to which everything is known.
     pub fn revision(&self) -> u64 {
-        self.view.revision
+        self.store_view.revision
     }
 
     /// Returns whether anybody of the shard reaches the store.
     pub fn stored(&self) -> bool {
-        !self.view.away
+        !self.store_view.away
     }
 
     /// Returns whether this instance's last call of the store succeeded.
     pub fn reaches(&self) -> bool {
-        self.view.reaches
+        self.store_view.reaches
     }
 
     /// Takes note that a call of the store succeeded.
     pub fn store_answered(&mut self) {
-        self.view.reaches = true;
+        self.store_view.reaches = true;
     }
 
     /// Takes note that a call of the store failed.
     pub fn store_failed(&mut self, now: Millis) {
-        self.view.reaches = false;
-        self.view.failed = Some(now);
+        self.store_view.reaches = false;
+        self.store_view.failed = Some(now);
     }
 
     /// Takes note that a peer knows the store up to a revision; returns whether that is more than is
     /// known here.
     pub fn heard_revision(&mut self, now: Millis, revision: u64) -> bool {
-        let ahead = revision > self.view.revision;
+        let ahead = revision > self.store_view.revision;
         if ahead {
-            self.view.behind.get_or_insert(now);
+            self.store_view.behind.get_or_insert(now);
         }
         ahead
     }
 
     /// Returns whether the store is being read for the first time, as far as it is not known to be away.
     pub fn reads_first(&self) -> bool {
-        self.view.revision == 0 && self.view.failed.is_none()
+        self.store_view.revision == 0 && self.store_view.failed.is_none()
     }
 
     /// Takes note that a peer which knows more cannot say what: the store is asked.
     pub fn ask_store(&mut self) {
-        self.view.asks = true;
+        self.store_view.asks = true;
     }
 
     /// Returns the instance that watches the store for this one, which may be this one.
     pub fn watcher(&self, now: Millis) -> &str {
         let me = Candidate {
-            name: &self.me.name,
-            store_reachable: self.view.reaches,
+            name: &self.identity.name,
+            store_reachable: self.store_view.reaches,
         };
         let peers = self.peers.fresh(now).filter(|peer| !peer.report.leaving);
         let peers = peers.map(|peer| Candidate {
@@ -154,14 +154,14 @@
     /// The only shard of a small fleet has no other to hear of changes from if its watcher's connection
     /// goes silent, so each of its instances watches.
     pub fn duty(&self, now: Millis) -> StoreRole {
-        let view = &self.view;
+        let view = &self.store_view;
         let within = |since: Option<Millis>, span| since.is_some_and(|it| now.since(it) < span);
         let alone = self.peers.instance_count(now) == 1;
         let watches = if view.revision == 0 {
             true
         } else if alone && within(view.known, START) {
             false
-        } else if self.shards == 1 || self.watcher(now) == self.me.name {
+        } else if self.shard_count == 1 || self.watcher(now) == self.identity.name {
             true
         } else if view.reaches {
             view.asks || (view.behind.is_some() && !within(view.behind, BEHIND))
@@ -180,10 +180,10 @@
     /// What goes from the list while it is away may be back: its lease ran out in the meantime.
     pub fn notice_store(&mut self, now: Millis) -> Option<bool> {
         let away = self.away(now);
-        if away == self.view.away {
+        if away == self.store_view.away {
             return None;
         }
-        self.view.away = away;
+        self.store_view.away = away;
         if away {
             self.registry.store_lost();
             self.instances.store_lost();
@@ -195,7 +195,7 @@
     }
 
     fn away(&self, now: Millis) -> bool {
-        !self.view.reaches
+        !self.store_view.reaches
             && !self
                 .peers
                 .fresh(now)
--- a/crates/siskinyoke-dispatch/src/pending.rs
+++ b/crates/siskinyoke-dispatch/src/pending.rs
@@ -48,33 +48,33 @@
     /// The route it came by.
     pub route: Arc<Route>,
     /// How urgent it is.
-    pub rank: Priority,
+    pub priority: Priority,
     /// When it arrived.
     pub arrived: Millis,
     /// When it would have arrived to stand where it does among those of its order: the head start of short
     /// work is taken off.
-    pub position: Millis,
+    pub virtual_arrival: Millis,
     /// When the caller, or the route, stops waiting for it.
-    pub until: Millis,
+    pub deadline: Millis,
     /// What it asks of an endpoint.
-    pub work: TokenCounts,
+    pub tokens: TokenCounts,
     /// Identifies what runs: the same for each resend of the same work.
     pub fingerprint: u64,
     /// Endpoints it was given to, reached or not.
     pub tried: Vec<EndpointKey>,
     /// How many of them were reached.
-    pub sent: u32,
+    pub attempts: u32,
     /// Whether its answer would be late by now; it goes after what can still be on time.
     pub late: bool,
     /// Whether it was let in only because another shard may have a place for it.
-    pub pressed: bool,
+    pub needs_loan: bool,
     /// Whether it is for the version on trial, or runs there.
     pub canary: bool,
 }
 
 impl ScheduledRequest {
     /// Returns its order among waiting requests.
-    pub fn order(&self) -> QueueOrder {
-        QueueOrder::new(self.rank, self.late)
+    pub fn queue_order(&self) -> QueueOrder {
+        QueueOrder::new(self.priority, self.late)
     }
 }
--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placing.rs
@@ -241,14 +241,14 @@
                 ..Cost::default()
             };
         }
-        let unread = pending.work.behind(candidate.unread);
+        let unread = pending.tokens.with_backlog(candidate.unread);
         let first = load.first_part_time(&unread);
-        let delay = first.since(load.first_part_time(&pending.work));
+        let delay = first.since(load.first_part_time(&pending.tokens));
         let time =
             time + pace * millis_to_f64(delay) / millis_to_f64(load.mean_service_time()).max(1.0);
         let begins = millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * pace;
         let held = health.map_or(0.0, Health::held);
-        let pauses = load.expected_parts(&pending.work) > SHORT && held > HELD;
+        let pauses = load.expected_parts(&pending.tokens) > SHORT && held > HELD;
         let stalls =
             load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.max_gap);
         Cost {
@@ -262,7 +262,7 @@
 
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
 fn overruns(query: &Query<'_>, pace: f64) -> bool {
-    let stay = millis_to_f64(query.load.service_time_of(&query.pending.work)) * pace;
+    let stay = millis_to_f64(query.load.service_time_of(&query.pending.tokens)) * pace;
     let margin = if query.can_wait { MARGIN } else { 1.0 };
-    stay * margin > millis_to_f64(query.pending.until.since(query.now))
+    stay * margin > millis_to_f64(query.pending.deadline.since(query.now))
 }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -136,11 +136,11 @@
         }
         let load = self.latency_model(&pending.service);
         let pending = ScheduledRequest {
-            position: wait::queue_position(&pending, load),
+            virtual_arrival: wait::queue_position(&pending, load),
             ..pending
         };
         let demand = self.demands.entry(pending.service.clone()).or_default();
-        demand.record(now, pending.rank, load.service_time_of(&pending.work));
+        demand.record(now, pending.priority, load.service_time_of(&pending.tokens));
         let view = ClusterView {
             now,
             registry,
@@ -152,7 +152,7 @@
         // Another shard may have a place: it is asked before the request is refused.
         if registry.divided() && !self.recently_declined(now, &pending.service) {
             return Ok(self.enqueue(ScheduledRequest {
-                pressed: true,
+                needs_loan: true,
                 ..pending
             }));
         }
@@ -164,7 +164,7 @@
     pub fn requeue(&mut self, pending: ScheduledRequest) -> Ticket {
         self.enqueue(ScheduledRequest {
             late: false,
-            pressed: false,
+            needs_loan: false,
             canary: false,
             ..pending
         })
@@ -202,7 +202,7 @@
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.sent += u32::from(outcome != Outcome::Unreached);
+        pending.attempts += u32::from(outcome != Outcome::Unreached);
         if first_part_at.is_none() {
             self.remove_prefill_tokens(endpoint, &pending);
         }
@@ -223,7 +223,7 @@
             }
             self.record_remaining_parts(endpoint, &pending, took.since(first), parts, pause);
             let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.work, first, took, parts);
+            load.record_completion(&pending.tokens, first, took, parts);
         }
         Some(pending)
     }
@@ -253,7 +253,7 @@
         } = running;
         let usual = self
             .latency_model(&pending.service)
-            .first_part_time(&pending.work.behind(backlog.prefill_tokens))
+            .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
             millis_to_f64(usual) * self.placing.pace(*endpoint),
@@ -323,7 +323,7 @@
             .iter()
             .flat_map(|(service, queue)| {
                 let load = self.latency_model(service);
-                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].work);
+                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].tokens);
                 queue.summary(now, short_hash(service), stay)
             })
             .collect()
@@ -375,5 +375,5 @@
 }
 
 fn queue_key(ticket: Ticket, pending: &ScheduledRequest) -> QueueKey {
-    (pending.order(), pending.position, ticket)
+    (pending.queue_order(), pending.virtual_arrival, ticket)
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -40,7 +40,7 @@
             });
         }
         let waited = view.now.since(pending.arrived);
-        if pending.pressed && self.recently_declined(view.now, &pending.service) {
+        if pending.needs_loan && self.recently_declined(view.now, &pending.service) {
             return self.resolve_declined(view, ticket);
         }
         if !pending.late && waited < wait::queue_timeout(pending, load) {
@@ -69,7 +69,7 @@
     // What becomes of a request for which only another shard might have had a place, and none had.
     fn resolve_declined(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let pending = self.waiting.get_mut(&ticket)?;
-        pending.pressed = false;
+        pending.needs_loan = false;
         let pending = pending.clone();
         if self.expected_on_time(view, &pending) {
             return None;
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -129,13 +129,14 @@
         self.rate_limits.take_token(key);
         let pace = self.placing.pace(key);
         let stay = millis_from_f64(
-            millis_to_f64(load.service_time_of(&guest.work)) * pace * LOAN_DURATION_RATIO,
+            millis_to_f64(load.service_time_of(&guest.tokens)) * pace * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
         let given = LentSlot {
             endpoint: key,
-            prefill_tokens: guest.work.unread(),
+            prefill_tokens: guest.tokens.prompt_tokens(),
             prefill_end: Some(
-                view.now + millis_from_f64(millis_to_f64(load.first_part_time(&guest.work)) * pace),
+                view.now
+                    + millis_from_f64(millis_to_f64(load.first_part_time(&guest.tokens)) * pace),
             ),
             expires_at: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
         };
@@ -231,7 +232,7 @@
         let pending = &self.waiting[&ticket];
         let asked = self.last_queries.get(&ticket);
         let again = asked.is_none_or(|at| now.since(*at) >= BORROW_INTERVAL);
-        again && (pending.pressed || now.since(pending.arrived) >= BORROW_DELAY)
+        again && (pending.needs_loan || now.since(pending.arrived) >= BORROW_DELAY)
     }
 
     // Whether other shards are taken to have no place.
@@ -246,12 +247,12 @@
     SlotRequest {
         service: short_hash(&pending.service),
         stream: pending.route.kind == Kind::Stream,
-        prompt_tokens: pending.work.unread(),
-        output_tokens: pending.work.expected(),
+        prompt_tokens: pending.tokens.prompt_tokens(),
+        output_tokens: pending.tokens.output_tokens(),
         latency_target: small(pending.route.latency_objective),
         gap_target: small(pending.route.max_gap),
         waited: small(now.since(pending.arrived)),
-        remaining_wait: small(pending.until.since(now)),
+        remaining_wait: small(pending.deadline.since(now)),
     }
 }
 
@@ -284,19 +285,19 @@
     ScheduledRequest {
         service: service.clone(),
         route: Arc::new(route),
-        rank: Priority::new(None, 0),
+        priority: Priority::new(None, 0),
         arrived,
-        position: arrived,
-        until,
-        work: TokenCounts {
+        virtual_arrival: arrived,
+        deadline: until,
+        tokens: TokenCounts {
             prompt: f64::from(need.prompt_tokens),
             output: f64::from(need.output_tokens),
         },
         fingerprint: 0,
         tried: Vec::new(),
-        sent: 0,
+        attempts: 0,
         late: false,
-        pressed: false,
+        needs_loan: false,
         canary: false,
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -20,8 +20,8 @@
     ) {
         let load = self.latencies.entry(pending.service.clone()).or_default();
         self.placing
-            .paced(key, first, load.first_part_time(&pending.work));
-        load.record_first_part(&pending.work, first);
+            .paced(key, first, load.first_part_time(&pending.tokens));
+        load.record_first_part(&pending.tokens, first);
     }
 
     pub(super) fn record_remaining_parts(
@@ -45,7 +45,9 @@
     // The prompt of a request at an endpoint is read, or no longer to be read.
     pub(super) fn remove_prefill_tokens(&mut self, key: EndpointKey, pending: &ScheduledRequest) {
         if let Some(busy) = self.in_flight.get_mut(&key) {
-            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(pending.work.unread());
+            busy.prefill_tokens = busy
+                .prefill_tokens
+                .saturating_sub(pending.tokens.prompt_tokens());
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -103,7 +103,7 @@
             let endpoint = candidate.endpoint.clone();
             let ahead = backlog(candidate, load);
             candidate.left -= 1;
-            candidate.unread += pending.work.prompt;
+            candidate.unread += pending.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -212,7 +212,7 @@
         pending.canary = canary;
         let busy = self.usage_mut(key);
         busy.count += 1;
-        busy.prefill_tokens += pending.work.unread();
+        busy.prefill_tokens += pending.tokens.prompt_tokens();
         let running = RunningRequest {
             pending,
             endpoint: key,
--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -28,7 +28,7 @@
     ) -> Millis {
         let window = self
             .overloads
-            .entry((pending.service.clone(), pending.rank));
+            .entry((pending.service.clone(), pending.priority));
         let lasted = window.or_default().record_refusal(now);
         wait::with_jitter(wait.max(lasted).max(MIN_RETRY_AFTER), pending)
     }
@@ -79,12 +79,14 @@
         let load = self.latency_model(&pending.service);
         let own = self.queues.get(&pending.service).into_iter();
         let own = own.flat_map(Queue::iter);
-        let own = own.take_while(|place| (place.0, place.1) <= (pending.order(), pending.position));
+        let own = own.take_while(|place| {
+            (place.0, place.1) <= (pending.queue_order(), pending.virtual_arrival)
+        });
         let own: f64 = own
-            .map(|place| millis_to_f64(load.service_time_of(&self.waiting[&place.2].work)))
+            .map(|place| millis_to_f64(load.service_time_of(&self.waiting[&place.2].tokens)))
             .sum();
         let others = view.peers.waiting(view.now, short_hash(&pending.service));
-        let age = millis_to_f64(view.now.since(pending.position));
+        let age = millis_to_f64(view.now.since(pending.virtual_arrival));
         own + others
             .map(|row| peer_work_ahead(&row, pending, age))
             .sum::<f64>()
@@ -97,7 +99,7 @@
         let capacity = awake.map(|it| self.effective_slots(it, &load));
         let demand = self.demands.get(&pending.service);
         let before = demand.map_or(0.0, |it| {
-            it.slots_before(view.now, pending.rank, pending.late)
+            it.slots_before(view.now, pending.priority, pending.late)
         });
         let instances = u32::try_from(view.peers.instance_count(view.now)).unwrap_or(u32::MAX);
         WaitForecast {
@@ -112,7 +114,7 @@
 fn peer_work_ahead(row: &WaitingRow, pending: &ScheduledRequest, age: f64) -> f64 {
     let work = f64::from(row.service_time);
     let oldest = f64::from(row.oldest_wait);
-    match row.order.cmp(&pending.order()) {
+    match row.order.cmp(&pending.queue_order()) {
         Ordering::Less => work,
         Ordering::Equal if oldest > age => work * (oldest - age) / oldest,
         _ => 0.0,
--- a/crates/siskinyoke-dispatch/src/token_counts.rs
+++ b/crates/siskinyoke-dispatch/src/token_counts.rs
@@ -27,7 +27,7 @@
 
     /// Returns the same work behind prompts that its endpoint has still to read.
     #[must_use]
-    pub fn behind(&self, unread: f64) -> Self {
+    pub fn with_backlog(&self, unread: f64) -> Self {
         Self {
             prompt: self.prompt + unread,
             ..*self
@@ -40,7 +40,7 @@
         clippy::cast_sign_loss,
         reason = "token counts are not negative, and a larger one counts as the largest"
     )]
-    pub fn expected(&self) -> u32 {
+    pub fn output_tokens(&self) -> u32 {
         self.output as u32
     }
 
@@ -50,7 +50,7 @@
         clippy::cast_sign_loss,
         reason = "token counts are not negative, and a larger one counts as the largest"
     )]
-    pub fn unread(&self) -> u32 {
+    pub fn prompt_tokens(&self) -> u32 {
         self.prompt as u32
     }
 }
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -32,7 +32,7 @@
 /// endpoint differ a hundredfold.
 pub(crate) fn queue_position(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
     let max_penalty = millis_to_f64(pending.route.latency_objective) * MAX_PENALTY_RATIO;
-    let penalty = (millis_to_f64(load.service_time_of(&pending.work)) * LENGTH_PENALTY_RATIO)
+    let penalty = (millis_to_f64(load.service_time_of(&pending.tokens)) * LENGTH_PENALTY_RATIO)
         .min(max_penalty);
     pending
         .arrived
@@ -50,7 +50,7 @@
         return whole;
     }
     let response_time = if pending.route.kind == Kind::Stream {
-        load.first_part_time(&pending.work)
+        load.first_part_time(&pending.tokens)
     } else {
         load.mean_service_time()
     };
@@ -67,20 +67,20 @@
 /// Returns how long a request may wait whose answer will be late: half of its time, so that its
 /// caller has the other half to come back in.
 pub(crate) fn late_timeout(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
-    Millis(pending.until.since(pending.arrived).0 / 2).min(max_wait(pending, load))
+    Millis(pending.deadline.since(pending.arrived).0 / 2).min(max_wait(pending, load))
 }
 
 // The longest wait after which the caller is still there for the answer.
 pub(crate) fn max_wait(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
     let whole = pending
-        .until
+        .deadline
         .since(pending.arrived)
         .since(load.mean_service_time());
     whole.min(
         pending
             .route
             .first_byte_timeout()
-            .since(load.first_part_time(&pending.work)),
+            .since(load.first_part_time(&pending.tokens)),
     )
 }
 
--- a/crates/siskinyoke-dispatch/src/watch.rs
+++ b/crates/siskinyoke-dispatch/src/watch.rs
@@ -24,7 +24,7 @@
 ///
 /// `settle` is the time from the end of a disturbance until changes must be in force as usual, `reaches` whether the
 /// last call of the store succeeded.
-pub fn hold(settle: Millis, reaches: bool, shards: usize) -> Millis {
+pub fn watch_timeout(settle: Millis, reaches: bool, shards: usize) -> Millis {
     if !reaches {
         return MAX_WATCH_AFTER_FAILURE;
     }
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -55,17 +55,17 @@
     let route = route(kind, priority);
     ScheduledRequest {
         service: "lm".into(),
-        rank: Priority::new(None, priority),
+        priority: Priority::new(None, priority),
         arrived: Millis(arrived),
-        position: Millis(arrived),
-        until: Millis(arrived) + route.timeout,
+        virtual_arrival: Millis(arrived),
+        deadline: Millis(arrived) + route.timeout,
         route: Arc::new(route),
-        work: TokenCounts::default(),
+        tokens: TokenCounts::default(),
         fingerprint: arrived,
         tried: Vec::new(),
-        sent: 0,
+        attempts: 0,
         late: false,
-        pressed: false,
+        needs_loan: false,
         canary: false,
     }
 }
@@ -148,11 +148,11 @@
     IncomingRequest {
         host: "host",
         path,
-        held: Millis::ZERO,
+        hold_time: Millis::ZERO,
         key: Some("k"),
         deadline: Some(Millis(5_000)),
         tokens: Some((900, 100)),
-        estimate: None,
+        output_estimate: None,
         draw: 0,
     }
 }
--- a/crates/siskinyoke-dispatch/tests/configuration.rs
+++ b/crates/siskinyoke-dispatch/tests/configuration.rs
@@ -59,13 +59,13 @@
     let mut core = core("i", 1);
     assert!(core.configure(Millis(1), configuration(7, organisation(0.0, 0.0))));
     assert!(!core.configure(Millis(2), configuration(6, organisation(0.0, 0.0))));
-    assert_eq!(core.version(), 7);
+    assert_eq!(core.configuration_version(), 7);
 }
 
 #[test]
 fn nothing_is_denied_before_a_configuration_is_known() {
     let mut core = Core::new(identity("i", 1));
-    let refusal = core.pass(Millis(0), request("/nowhere/")).unwrap_err();
+    let refusal = core.route(Millis(0), request("/nowhere/")).unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::NotReady);
 }
 
@@ -74,7 +74,7 @@
     let mut core = core("i", 1);
     let reason = |it: Result<_, siskinyoke_dispatch::Refusal>| it.map(drop).unwrap_err().reason;
     assert_eq!(
-        reason(core.pass(Millis(0), request("/nowhere/"))),
+        reason(core.route(Millis(0), request("/nowhere/"))),
         RefusalReason::NoRoute
     );
     let stranger = IncomingRequest {
@@ -82,7 +82,7 @@
         ..request("/safe/x")
     };
     assert_eq!(
-        reason(core.pass(Millis(0), stranger)),
+        reason(core.route(Millis(0), stranger)),
         RefusalReason::UnknownKey
     );
     let nobody = IncomingRequest {
@@ -90,7 +90,7 @@
         ..request("/safe/x")
     };
     assert_eq!(
-        reason(core.pass(Millis(0), nobody)),
+        reason(core.route(Millis(0), nobody)),
         RefusalReason::UnknownKey
     );
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -328,7 +328,7 @@
         };
         let core = &mut self.cores[instance];
         let pass = core
-            .pass(now, wanted)
+            .route(now, wanted)
             .expect("the key and the route are known");
         let admitted = core.admit(now, &pass, print);
         self.requests.push(SimulatedRequest {
@@ -444,7 +444,7 @@
         let instance = job.instance;
         self.tickets.remove(&(instance, ticket));
         let done = matches!(outcome, Outcome::Done { .. });
-        let again = self.cores[instance].ended(Millis(self.now), ticket, outcome, !done);
+        let again = self.cores[instance].record_outcome(Millis(self.now), ticket, outcome, !done);
         let job = &mut self.requests[number];
         job.ticket = again;
         match again {
@@ -551,7 +551,7 @@
     // What holds at every moment.
     fn check_invariants(&mut self) {
         for (at, core) in self.cores.iter().enumerate() {
-            let version = core.version();
+            let version = core.configuration_version();
             if version < self.seen_versions[at] {
                 let text = format!("i{at} went from {} to {version}", self.seen_versions[at]);
                 self.violations.push(text);
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -157,7 +157,7 @@
             draw: self.rng.random(),
             ..request("/stream/x")
         };
-        let mut passed = self.cores[at].pass(now, wanted);
+        let mut passed = self.cores[at].route(now, wanted);
         if self.lending
             && passed.is_err()
             && let Some(need) = self.cores[at].lacks(now, wanted)
@@ -174,7 +174,7 @@
                 }
             }
             if sum > 0 {
-                passed = self.cores[at].pass_again(now, wanted, sum);
+                passed = self.cores[at].route_with_borrowed_quota(now, wanted, sum);
             }
         }
         match passed {
@@ -260,7 +260,7 @@
             tokens: Some((1, 1)),
             ..request("/safe/x")
         };
-        let pass = self.cores[at].pass(now, wanted).expect("it may");
+        let pass = self.cores[at].route(now, wanted).expect("it may");
         let print = self.rng.random();
         let job = SimulatedRequest {
             arrived_ms: self.now,
@@ -355,7 +355,7 @@
                 lender,
                 ..
             } = run;
-            self.cores[instance].ended(Millis(now), ticket, done(), false);
+            self.cores[instance].record_outcome(Millis(now), ticket, done(), false);
             if let Some((lender, id)) = lender {
                 self.cores[lender].returned(id);
             }
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -170,16 +170,16 @@
         let wanted = IncomingRequest {
             host: "host",
             path: &path,
-            held: Millis::ZERO,
+            hold_time: Millis::ZERO,
             key: None,
             deadline: Some(Millis(NEED)),
             tokens: Some((prompt as u64, 3_800)),
-            estimate: Some(guess),
+            output_estimate: Some(guess),
             draw: 0,
         };
         let now = Millis(self.now);
         let core = &mut self.cores[instance];
-        let pass = core.pass(now, wanted).expect("a route");
+        let pass = core.route(now, wanted).expect("a route");
         let ticket = core.admit(now, &pass, number as u64).ok();
         if let Some(ticket) = ticket {
             self.tickets.insert((instance, ticket), number);
@@ -223,7 +223,7 @@
         let job = &mut self.jobs[number];
         if let (false, Some(ticket)) = (job.begun, job.ticket) {
             job.begun = true;
-            self.cores[job.instance].began(Millis(self.now), ticket);
+            self.cores[job.instance].record_response_start(Millis(self.now), ticket);
         }
     }
 
@@ -249,7 +249,7 @@
             pause: Millis(run.pause as u64),
         };
         self.tickets.remove(&(job.instance, ticket));
-        self.cores[job.instance].ended(Millis(self.now), ticket, outcome, false);
+        self.cores[job.instance].record_outcome(Millis(self.now), ticket, outcome, false);
     }
 
     fn tell(&mut self) {
@@ -306,7 +306,7 @@
                 job.given_up += 1;
                 self.longest = self.longest.max(silence);
                 self.engines[at].runs.retain(|run| run.number != number);
-                let next = core.ended(Millis(self.now), ticket, Outcome::Silent, true);
+                let next = core.record_outcome(Millis(self.now), ticket, Outcome::Silent, true);
                 self.tickets.remove(&(job.instance, ticket));
                 job.ticket = next;
                 match next {
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -79,7 +79,7 @@
 
 fn stream(at: u64, prompt: f64, output: f64) -> ScheduledRequest {
     ScheduledRequest {
-        work: TokenCounts { prompt, output },
+        tokens: TokenCounts { prompt, output },
         ..pending(Kind::Stream, 0, at)
     }
 }
@@ -283,10 +283,10 @@
 fn a_long_answer_waits_for_an_endpoint_that_is_fast_enough() {
     let load = LatencyModel::default();
     let pending = stream(0, 100.0, 1_500.0);
-    let whole = load.service_time_of(&pending.work);
+    let whole = load.service_time_of(&pending.tokens);
     let left = Millis(whole.0 * 3 / 2);
     let pending = ScheduledRequest {
-        until: left,
+        deadline: left,
         ..pending
     };
     let query = Query {
@@ -313,7 +313,7 @@
         "enough time"
     );
     let short = ScheduledRequest {
-        until: Millis(left.0 - 100),
+        deadline: Millis(left.0 - 100),
         ..pending.clone()
     };
     let query = Query {
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -72,7 +72,7 @@
             for (at, core) in self.cores.iter_mut().enumerate() {
                 let draw = stable_hash(&(at, now));
                 if core
-                    .pass(
+                    .route(
                         Millis(now),
                         IncomingRequest {
                             draw,
@@ -185,13 +185,13 @@
     core.configure(Millis(0), configuration(1, organisation(1_000.0, 1_000.0)));
     let mut now = Millis(1_000);
     let refusal = loop {
-        if let Err(refusal) = core.pass(now, request("/safe/x")) {
+        if let Err(refusal) = core.route(now, request("/safe/x")) {
             break refusal;
         }
     };
     assert_eq!(refusal.reason, RefusalReason::QuotaExceeded);
     now += refusal.retry_after;
-    assert!(core.pass(now, request("/safe/x")).is_ok());
+    assert!(core.route(now, request("/safe/x")).is_ok());
 }
 
 // A lower limit is put in force while the organisation sends far more than it.
@@ -204,7 +204,7 @@
     );
     core.configure(Millis(10_000), configuration(2, organisation(0.0001, 10.0)));
     let passed = (0..100)
-        .filter(|at| core.pass(Millis(10_000 + at), request("/safe/x")).is_ok())
+        .filter(|at| core.route(Millis(10_000 + at), request("/safe/x")).is_ok())
         .count();
     assert!(passed <= 15, "{passed}");
 }
@@ -214,10 +214,10 @@
     let mut core = Core::new(identity("i", 1));
     core.configure(Millis(0), configuration(1, organisation(1_000.0, 1_000.0)));
     for _ in 0..1_000 {
-        let Ok(pass) = core.pass(Millis(500), request("/safe/x")) else {
+        let Ok(pass) = core.route(Millis(500), request("/safe/x")) else {
             panic!("refused although all was given back");
         };
-        core.give_back(&pass);
+        core.refund(&pass);
     }
 }
 
@@ -235,7 +235,7 @@
         }
         for (at, core) in fleet.cores.iter_mut().enumerate() {
             wanted.draw = stable_hash(&(at, now));
-            if core.pass(Millis(now), wanted).is_ok() {
+            if core.route(Millis(now), wanted).is_ok() {
                 fleet.grants.push((now, 37_000.0));
             }
         }
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -247,7 +247,7 @@
                 ..request("/safe/")
             };
             let core = &mut self.cores[at];
-            let pass = core.pass(now, wanted).expect("the route is known");
+            let pass = core.route(now, wanted).expect("the route is known");
             let admitted = core.admit(now, &pass, self.now);
             self.rejected += u64::from(admitted.is_err());
         }
@@ -283,7 +283,7 @@
                 done()
             };
             let more = outcome == Outcome::Failed;
-            core.ended(Millis(now), run.ticket, outcome, more);
+            core.record_outcome(Millis(now), run.ticket, outcome, more);
         }
     }
 
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -137,7 +137,7 @@
         };
         assert_eq!(fit.len(), 1);
         assert_eq!(&*fit[0].version, version);
-        assert!(core.due_states(SPAN).is_empty());
+        assert!(core.status_writes(SPAN).is_empty());
     }
 }
 
@@ -151,14 +151,14 @@
     ];
     core.learn_news(Millis(0), 6, news);
     core.advance_rollouts(Millis(1));
-    let due = core.due_states(SPAN).remove(0);
+    let due = core.status_writes(SPAN).remove(0);
     assert_eq!(due.state, State::RolledBack);
-    assert_eq!((due.standing, due.expected), (5, 0));
+    assert_eq!((due.order_revision, due.expected), (5, 0));
     core.learn_news(
         Millis(1),
         7,
         vec![StoreUpdate::RolloutOrderRemoved("lm".into())],
     );
-    let due = core.due_states(SPAN).remove(0);
-    assert_eq!((due.standing, due.expected), (0, 0));
+    let due = core.status_writes(SPAN).remove(0);
+    assert_eq!((due.order_revision, due.expected), (0, 0));
 }
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -294,7 +294,7 @@
         };
         let print = self.rng.random();
         let core = &mut self.nodes[at].core;
-        if let Ok(pass) = core.pass(now, request(path)) {
+        if let Ok(pass) = core.route(now, request(path)) {
             self.seen.rejected += usize::from(core.admit(now, &pass, print).is_err());
         }
     }
@@ -345,7 +345,7 @@
             let outcome = run.outcome;
             self.nodes[at]
                 .core
-                .ended(Millis(self.now), run.ticket, outcome, false);
+                .record_outcome(Millis(self.now), run.ticket, outcome, false);
         }
     }
 
@@ -442,7 +442,7 @@
         if node.away > self.now {
             return;
         }
-        for due in node.core.due_states(Millis(self.now)) {
+        for due in node.core.status_writes(Millis(self.now)) {
             // Nobody waits for the answer here, as if each were lost.
             if due.expected != self.status {
                 continue;
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -164,7 +164,7 @@
 #[test]
 fn a_caller_that_leaves_frees_its_place() {
     let mut core = core("i", 1);
-    let pass = core.pass(Millis(0), request("/safe/x")).unwrap();
+    let pass = core.route(Millis(0), request("/safe/x")).unwrap();
     let first = core.admit(Millis(0), &pass, 1).unwrap();
     let second = core.admit(Millis(0), &pass, 2).unwrap();
     assert_eq!(started(&core.decide(Millis(0))), [first]);
@@ -179,10 +179,10 @@
     for (path, again) in [("/unsafe/x", false), ("/safe/x", true), ("/stream/x", true)] {
         let mut core = core("i", 1);
         core.registry().put(Millis(0), endpoint("e2", 1));
-        let pass = core.pass(Millis(0), request(path)).unwrap();
+        let pass = core.route(Millis(0), request(path)).unwrap();
         let ticket = core.admit(Millis(0), &pass, 1).unwrap();
         core.decide(Millis(0));
-        let next = core.ended(Millis(5), ticket, Outcome::Broken, true);
+        let next = core.record_outcome(Millis(5), ticket, Outcome::Broken, true);
         assert_eq!(next.is_some(), again, "{path}");
     }
 }
@@ -192,10 +192,10 @@
 #[test]
 fn a_request_that_no_endpoint_can_serve_any_more_is_answered_at_once() {
     let mut core = core("i", 1);
-    let pass = core.pass(Millis(0), request("/safe/x")).unwrap();
+    let pass = core.route(Millis(0), request("/safe/x")).unwrap();
     let ticket = core.admit(Millis(0), &pass, 1).unwrap();
     core.decide(Millis(0));
-    core.ended(Millis(5), ticket, Outcome::Broken, true)
+    core.record_outcome(Millis(5), ticket, Outcome::Broken, true)
         .unwrap();
     let decisions = core.decide(Millis(5));
     let refused = |it: &Decision| matches!(it, Decision::Refuse(_, refusal) if refusal.reason == RefusalReason::NoEndpoint);
@@ -207,12 +207,12 @@
     for outcome in [Outcome::Unreached, Outcome::Full, Outcome::Moved] {
         let mut core = core("i", 1);
         core.registry().put(Millis(0), endpoint("e2", 1));
-        let pass = core.pass(Millis(0), request("/unsafe/x")).unwrap();
+        let pass = core.route(Millis(0), request("/unsafe/x")).unwrap();
         let ticket = core.admit(Millis(0), &pass, 1).unwrap();
         let Some(Decision::Start(_, first)) = core.decide(Millis(0)).pop() else {
             panic!("nothing started");
         };
-        let next = core.ended(Millis(5), ticket, outcome, true);
+        let next = core.record_outcome(Millis(5), ticket, outcome, true);
         assert!(next.is_some(), "{outcome:?}");
         let Some(Decision::Start(_, second)) = core.decide(Millis(5)).pop() else {
             panic!("nothing started after {outcome:?}");
@@ -227,12 +227,12 @@
     for id in ["e2", "e3", "e4"] {
         core.registry().put(Millis(0), endpoint(id, 1));
     }
-    let pass = core.pass(Millis(0), request("/safe/x")).unwrap();
+    let pass = core.route(Millis(0), request("/safe/x")).unwrap();
     let mut ticket = core.admit(Millis(0), &pass, 1).unwrap();
     let mut sent = 0;
     loop {
         sent += starts(&core.decide(Millis(sent as u64)));
-        match core.ended(Millis(sent as u64), ticket, Outcome::Failed, true) {
+        match core.record_outcome(Millis(sent as u64), ticket, Outcome::Failed, true) {
             Some(next) => ticket = next,
             None => break,
         }
@@ -249,10 +249,10 @@
     let mut again = 0;
     for at in 0..400_u64 {
         let now = Millis(at * 10);
-        let pass = core.pass(now, request("/safe/x")).unwrap();
+        let pass = core.route(now, request("/safe/x")).unwrap();
         let ticket = core.admit(now, &pass, at).unwrap();
         core.decide(now);
-        if let Some(next) = core.ended(now, ticket, Outcome::Failed, true) {
+        if let Some(next) = core.record_outcome(now, ticket, Outcome::Failed, true) {
             again += 1;
             core.cancel(now, next);
         }
@@ -269,12 +269,17 @@
     for id in ["e2", "e3"] {
         one.registry().put(Millis(0), endpoint(id, 10));
     }
-    let pass = one.pass(Millis(0), request("/safe/x")).unwrap();
+    let pass = one.route(Millis(0), request("/safe/x")).unwrap();
     let ticket = one.admit(Millis(0), &pass, 77).unwrap();
     one.decide(Millis(0));
-    let next = one.ended(Millis(1), ticket, Outcome::Broken, true).unwrap();
+    let next = one
+        .record_outcome(Millis(1), ticket, Outcome::Broken, true)
+        .unwrap();
     one.decide(Millis(1));
-    assert!(one.ended(Millis(2), next, Outcome::Broken, true).is_none());
+    assert!(
+        one.record_outcome(Millis(2), next, Outcome::Broken, true)
+            .is_none()
+    );
     assert_eq!(
         one.admit(Millis(3), &pass, 77).unwrap_err().reason,
         RefusalReason::Quarantined
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -148,7 +148,7 @@
         core.heard(Millis(0), told);
     }
     assert_eq!(core.peers().instance_count(Millis(0)), shard.len() + 1);
-    let pass = core.pass(Millis(0), common::request("/safe/x")).unwrap();
+    let pass = core.route(Millis(0), common::request("/safe/x")).unwrap();
     assert!(core.admit(Millis(0), &pass, 55).is_err());
 }
 
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -64,7 +64,9 @@
     let age = shell.now().since(shell.heard.get());
     shell.metrics.state("store_age_seconds", age.as_secs());
     #[expect(clippy::cast_precision_loss, reason = "versions permit far below 2^52")]
-    shell.metrics.state("configuration", core.version() as f64);
+    shell
+        .metrics
+        .state("configuration", core.configuration_version() as f64);
     match shell.metrics.page() {
         Ok(page) => {
             let mut response = Response::new(AnswerBody::Whole(Some(page.into())));
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -194,7 +194,7 @@
         .take(LOGGED)
         .map(|it| json!([&*it.name, it.priority, it.rate, it.burst]))
         .collect();
-    let before = shell.core.borrow().version();
+    let before = shell.core.borrow().configuration_version();
     if !shell
         .core
         .borrow_mut()
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -155,7 +155,7 @@
             admit(shell, id, pass, parcel, arrival).await
         }
         Err(fault) => {
-            shell.core.borrow_mut().give_back(&pass);
+            shell.core.borrow_mut().refund(&pass);
             refuse_body(shell, id.as_deref(), &fault)
         }
     }
@@ -220,11 +220,11 @@
     let wanted = Wanted {
         host: head.host,
         path: &head.path,
-        held: shell.now().since(arrival.at),
+        hold_time: shell.now().since(arrival.at),
         key: head.key.as_deref(),
         deadline: head.deadline,
         tokens: head.tokens,
-        estimate: head.estimate,
+        output_estimate: head.estimate,
         draw: stable_hash(&head.id),
     };
     let refusal = match pass(shell, wanted).await {
@@ -242,7 +242,7 @@
 
 // Where the own shard's part of a quota is used up, others are asked before the request is refused.
 async fn pass(shell: &Shell, wanted: Wanted<'_>) -> Result<RoutedRequest, Refusal> {
-    let passed = shell.core.borrow_mut().pass(shell.now(), wanted);
+    let passed = shell.core.borrow_mut().route(shell.now(), wanted);
     let refusal = match passed {
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
@@ -255,7 +255,10 @@
         0 => Err(refusal),
         given => {
             let now = shell.now();
-            shell.core.borrow_mut().pass_again(now, wanted, given)
+            shell
+                .core
+                .borrow_mut()
+                .route_with_borrowed_quota(now, wanted, given)
         }
     }
 }
--- a/crates/siskinyoke-gateway/src/callers/early.rs
+++ b/crates/siskinyoke-gateway/src/callers/early.rs
@@ -58,7 +58,7 @@
     let fields = json!({
         "id": shell.interface.exchange.id(parts),
         "held_ms": shell.now().since(arrived).0,
-        "configuration": shell.core.borrow().version(),
+        "configuration": shell.core.borrow().configuration_version(),
     });
     shell.log("request_held", fields);
     Ok((limits, body, held))
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -171,7 +171,7 @@
     // Answers an instance that knows no configuration yet, so that it can take ours. It may have
     // started while the store is away, and belong to another shard, whose instances it cannot find.
     fn introduce(shell: &Shell, to: SocketAddr) {
-        if shell.core.borrow().version() > 0 {
+        if shell.core.borrow().configuration_version() > 0 {
             Self::tell_all(shell, &BTreeSet::from([to]), true);
         }
     }
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -178,7 +178,7 @@
                 let full = verdict == Verdict::Full;
                 Step::Again(if full { Outcome::Full } else { Outcome::Moved })
             }
-            Verdict::Answer if self.pass.streams() && response.status().is_success() => {
+            Verdict::Answer if self.pass.is_stream() && response.status().is_success() => {
                 self.stream(endpoint, permit, start, response, connection)
                     .await
             }
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -33,7 +33,7 @@
         if self.ran {
             return self.failed(Outcome::Left);
         }
-        self.shell.core.borrow_mut().give_back(&self.pass);
+        self.shell.core.borrow_mut().refund(&self.pass);
         let request = Known {
             admitted: true,
             ..Known::passed(self.id.as_deref(), &self.pass)
@@ -115,7 +115,7 @@
             "route": &*self.pass.route.name,
             "rank": self.pass.rank.0,
             "organisation": self.pass.organisation.as_ref().map(|it| &*it.name),
-            "units": self.pass.units,
+            "units": self.pass.quota_cost,
             "outcome": outcome,
             "endpoint": self.endpoint.as_ref().map(|it| it.id.to_string()),
             "prompt": self.pass.work.prompt,
@@ -128,7 +128,7 @@
             "aim_ms": self.pass.route.latency_objective.0,
             "gap_ms": self.pass.route.max_gap.0,
             "left_ms": self.pass.until.since(self.shell.now()).0,
-            "configuration": self.shell.core.borrow().version(),
+            "configuration": self.shell.core.borrow().configuration_version(),
         });
         self.shell.log("answer", fields);
     }
--- a/crates/siskinyoke-gateway/src/permit.rs
+++ b/crates/siskinyoke-gateway/src/permit.rs
@@ -41,14 +41,17 @@
         self.shell
             .core
             .borrow_mut()
-            .ended(self.shell.now(), ticket, outcome, more)
+            .record_outcome(self.shell.now(), ticket, outcome, more)
     }
 
     /// Takes note that the first part of the answer came.
     pub fn began(&self) {
         if let Some(ticket) = self.ticket {
             let now = self.shell.now();
-            self.shell.core.borrow_mut().began(now, ticket);
+            self.shell
+                .core
+                .borrow_mut()
+                .record_response_start(now, ticket);
         }
     }
 
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -36,7 +36,7 @@
 
 /// Writes the states that this instance is to write, unless it is at it already.
 pub fn write_due(shell: &Rc<Shell>) {
-    let due = shell.core.borrow().due_states(shell.now());
+    let due = shell.core.borrow().status_writes(shell.now());
     if due.is_empty() || shell.writing.replace(true) {
         return;
     }
@@ -56,7 +56,7 @@
     let key = documents.state_key(&due.order.service);
     let value = documents.encode_state(due.state, &due.order.version);
     let order = documents.order_key(&due.order.service);
-    let expected = [(&*order, due.standing), (&*key, due.expected)];
+    let expected = [(&*order, due.order_revision), (&*key, due.expected)];
     let call = store.put_if(&key, &value, &expected);
     let result = client.call(shell.settings().store, &call, LIMIT).await;
     shell.metrics.called("rollout", result.is_ok());
@@ -75,7 +75,7 @@
         "order": due.order.revision,
         "state": due.state.as_str(),
         "expected": due.expected,
-        "standing": due.standing,
+        "standing": due.order_revision,
         "outcome": outcome,
     });
     shell.log("rollout_state", fields);
