--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -251,14 +251,14 @@
                 ..Cost::default()
             };
         }
-        let unread = pending.work.behind(candidate.unread);
+        let unread = pending.tokens.with_backlog(candidate.unread);
         let first = load.first_part_time(&unread);
-        let delay = first.since(load.first_part_time(&pending.work));
+        let delay = first.since(load.first_part_time(&pending.tokens));
         let time =
             time + pace * millis_to_f64(delay) / millis_to_f64(load.mean_service_time()).max(1.0);
         let begins = millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * pace;
         let stall_ratio = health.map_or(0.0, Health::stall_ratio);
-        let pauses = load.expected_parts(&pending.work) > SHORT_ANSWER_PARTS
+        let pauses = load.expected_parts(&pending.tokens) > SHORT_ANSWER_PARTS
             && stall_ratio > STALL_THRESHOLD_RATIO;
         let stalls =
             load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.max_gap);
@@ -273,11 +273,11 @@
 
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
 fn times_out(query: &Query<'_>, pace: f64) -> bool {
-    let stay = millis_to_f64(query.load.service_time_of(&query.pending.work)) * pace;
+    let stay = millis_to_f64(query.load.service_time_of(&query.pending.tokens)) * pace;
     let margin = if query.can_wait {
         TIMEOUT_MARGIN_RATIO
     } else {
         1.0
     };
-    stay * margin > millis_to_f64(query.pending.until.since(query.now))
+    stay * margin > millis_to_f64(query.pending.deadline.since(query.now))
 }
