--- a/crates/siskinyoke-dispatch/src/quota.rs
+++ b/crates/siskinyoke-dispatch/src/quota.rs
@@ -1,4 +1,4 @@
-//! What each organisation may use, over all instances together.
+//! Organisation quotas, enforced across all instances with token buckets.
 
 use std::sync::Arc;
 
@@ -7,111 +7,119 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// The part of the operators' tolerance that is used.
+/// Share of the operators' tolerance that is granted.
 ///
-/// The rest covers what peers grant between two of their reports, and what a request takes beyond
-/// what the bucket held.
+/// The rest covers what peers grant between two reports, and requests that cost more than the
+/// bucket held when they were granted.
 const TOLERANCE_USED_RATIO: f64 = 0.75;
 
-/// The part of a burst that a process finds in the bucket when it starts.
+/// Fill ratio of a bucket when the process starts.
 ///
-/// Nothing at all refuses the first requests after a restart of all instances, though nobody sends
-/// beyond its quota. More would be granted twice if somebody does.
+/// An empty bucket would reject the first requests after a restart of all instances even from
+/// organisations within their quota. A fuller one would let an organisation above its quota use
+/// the burst twice.
 const INITIAL_FILL_RATIO: f64 = 0.15;
 
-/// The part of a full bucket below which nothing is given to other shards.
+/// Fill ratio below which a bucket lends nothing to other shards.
 ///
-/// Its own requests find something too, and what several peers give at the same moment, before they hear of
-/// each other, is there.
+/// The reserve serves this shard's own requests, and covers units that several peers lend at once
+/// before they receive each other's reports.
 const LENDING_RESERVE_RATIO: f64 = 0.25;
 
-/// The longest burst that a bucket holds, as a span of the organisation's rate.
+/// Maximum capacity of a bucket, as a time span at the organisation's rate.
 ///
-/// A burst and the filling of one window make the operators' limit, so what a bucket does not hold fills it
-/// faster. Where an operator lowers a rate and leaves its burst, most of the limit would lie in a burst that comes
-/// once, and steady use within the limit would be rejected.
+/// Capacity and the refill of one window add up to the operators' limit, so a smaller capacity
+/// means a faster refill. If an operator lowers a rate but keeps a large burst, most of the limit
+/// would otherwise be available only once, and steady use within the limit would be rejected.
 const MAX_BURST_SPAN: Millis = Millis(1_000);
 
-/// How the operators measure quotas.
+/// How compliance with quotas is measured.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaPolicy {
-    /// The length of the sliding window.
+    /// Length of the sliding window.
     pub window: Millis,
-    /// The part by which a limit may be exceeded.
+    /// Ratio by which a limit may be exceeded.
     pub overage: f64,
-    /// Units by which it may be exceeded besides.
+    /// Units by which a limit may be exceeded in addition.
     pub slack: f64,
 }
 
-/// How long an instance does not see what another took: a report's spacing and its way.
+/// Delay until an instance sees a peer's usage: report interval plus transit.
 const PEER_USAGE_DELAY: Millis = Millis(60);
 
-/// What a request wants of its organisation's quota.
+/// A request's claim on its organisation's quota.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaRequest {
-    /// The units it takes.
+    /// Cost of the request in quota units.
     pub units: f64,
-    /// The number of instances that take from the same bucket.
+    /// Number of instances that take from the same bucket.
     pub instances: f64,
-    /// A number of its own, evenly spread from 0 to 1.
+    /// Uniform random number from 0 to 1, drawn for this request.
     pub sample: f64,
-    /// Units that other shards gave for it.
+    /// Units lent by other shards for this request.
     pub borrowed: f64,
 }
 
-/// One organisation's token bucket, less what every instance that is heard reports as used.
+/// One organisation's token bucket, reduced by local usage and by the usage peers report.
 ///
-/// It fills so fast that a full burst and the filling of one window make just the operators'
-/// limit. It is all but empty when a process starts: were all instances killed at once, what they granted
-/// before and what they grant after still keeps to one burst and one filling in any window.
+/// Its capacity and the refill of one window add up to the operators' limit. It starts almost
+/// empty, so that the grants before and after a simultaneous kill of all instances still stay
+/// within one capacity and one refill in any window.
 #[derive(Debug)]
 struct Bucket {
     refill_rate: f64,
     capacity: f64,
     level: f64,
     refilled_at: Millis,
-    // Units that were taken here from what the shard shares.
+    // Units taken here from the shard's bucket, less units borrowed from other shards.
     consumed: f64,
     last_used: Millis,
-    // Units that were asked for here, each counted for about a second.
+    // Units requested here, decaying exponentially with a time constant of one second.
     demand: f64,
 }
 
 impl Bucket {
-    // A part of the fleet fills its part of the bucket, as the rest goes on filling the rest.
-    fn refill(&mut self, now: Millis, share: f64) {
-        let span = now.since(self.refilled_at).as_secs();
-        self.level = (self.level + self.refill_rate * share * span).min(self.capacity * share);
-        self.demand *= (-span).exp();
+    // Refills only `fleet_share` of the bucket: instances beyond a partition refill the rest.
+    fn refill(&mut self, now: Millis, fleet_share: f64) {
+        let elapsed = now.since(self.refilled_at).as_secs();
+        self.level = (self.level + self.refill_rate * fleet_share * elapsed)
+            .min(self.capacity * fleet_share);
+        self.demand *= (-elapsed).exp();
         self.refilled_at = now;
     }
 }
 
 /// The quotas of all organisations.
 ///
-/// Every instance counts the use of all: its own at once, that of its peers when their next
-/// report comes, some tens of milliseconds later.
+/// Every instance counts the usage of its whole shard: its own at once, that of its peers with
+/// their next report, some tens of milliseconds later.
 #[derive(Debug)]
 pub struct Quotas {
     policy: QuotaPolicy,
     buckets: Map<u32, Bucket>,
+    // Last reported usage by process id and organisation hash.
     peer_totals: Map<(u64, u32), i64>,
 }
 
 impl Quotas {
-    /// Makes the quotas of an instance that knows no organisation yet.
-    pub fn new(measure: QuotaPolicy) -> Self {
+    /// Creates the quotas of an instance that has no configuration yet.
+    pub fn new(policy: QuotaPolicy) -> Self {
         Self {
-            policy: measure,
+            policy,
             buckets: Map::default(),
             peer_totals: Map::default(),
         }
     }
 
-    /// Takes over the organisations of a configuration; levels of those that stay are kept.
+    /// Applies the organisations of a configuration, keeping the levels of existing buckets.
     ///
-    /// `share` is the part of the fleet that this instance can speak for.
-    pub fn configure(&mut self, now: Millis, organisations: &[Arc<Organisation>], share: f64) {
+    /// `fleet_share` is the share of the fleet that this instance's side of a partition makes up.
+    pub fn configure(
+        &mut self,
+        now: Millis,
+        organisations: &[Arc<Organisation>],
+        fleet_share: f64,
+    ) {
         let mut buckets = Map::default();
         for organisation in organisations {
             let key = short_hash(&organisation.name);
@@ -119,19 +127,19 @@
             if organisation.rate <= 0.0 {
                 continue;
             }
-            let rate = self.refill_rate(organisation);
-            let burst = bucket_capacity(organisation);
+            let refill_rate = self.refill_rate(organisation);
+            let capacity = bucket_capacity(organisation);
             let bucket = match old {
                 Some(bucket) => Bucket {
-                    refill_rate: rate,
-                    capacity: burst,
-                    level: bucket.level.min(burst),
+                    refill_rate,
+                    capacity,
+                    level: bucket.level.min(capacity),
                     ..bucket
                 },
                 None => Bucket {
-                    refill_rate: rate,
-                    capacity: burst,
-                    level: burst * INITIAL_FILL_RATIO * share,
+                    refill_rate,
+                    capacity,
+                    level: capacity * INITIAL_FILL_RATIO * fleet_share,
                     refilled_at: now,
                     consumed: 0.0,
                     last_used: now,
@@ -143,54 +151,54 @@
         self.buckets = buckets;
     }
 
-    /// Takes units for a request, or says when there will be enough.
+    /// Takes the units of a request, or returns how long until enough are available.
     ///
-    /// `share` is the part of the fleet that this instance can speak for: 1 while it hears all
-    /// its peers. `crowd` is the number of instances that take from the same bucket, and `chance` a
-    /// number of the request's own, evenly spread from 0 to 1.
+    /// `fleet_share` is the share of the fleet that this instance's side of a partition makes up: 1
+    /// while reports arrive from all peers. Organisations without a quota are always granted.
     ///
-    /// Each instance sees what another took only with its next report, so what little a bucket
-    /// holds would be taken by all of them at the same moment. Where more is asked for in that
-    /// time than there is, each lets in just so large a part that the sum is what there is.
+    /// An instance sees a peer's usage only with its next report, so all instances could take the
+    /// same remaining units of a low bucket at once. If the demand within that delay exceeds the
+    /// level, each instance admits requests at random, in proportion to the level, so that all
+    /// together take what is available.
     ///
     /// # Errors
     ///
-    /// The time after which there will be enough.
+    /// The time after which enough units are expected.
     pub fn take(
         &mut self,
         now: Millis,
         organisation: &Organisation,
-        wanted: QuotaRequest,
-        share: f64,
+        request: QuotaRequest,
+        fleet_share: f64,
     ) -> Result<(), Millis> {
         let Some(bucket) = self.buckets.get_mut(&short_hash(&organisation.name)) else {
             return Ok(());
         };
-        bucket.refill(now, share);
-        if wanted.borrowed <= 0.0 {
-            // Else it was counted when it was refused.
-            bucket.demand += wanted.units;
+        bucket.refill(now, fleet_share);
+        if request.borrowed <= 0.0 {
+            // A request with borrowed units was already counted when it was first rejected.
+            bucket.demand += request.units;
         }
-        let asked = bucket.demand * wanted.instances * PEER_USAGE_DELAY.as_secs();
-        // What other shards gave goes into the bucket, but this request has the first claim on it.
-        if wanted.borrowed > 0.0 {
-            bucket.level += wanted.borrowed;
-            bucket.consumed -= wanted.borrowed;
+        let fleet_demand = bucket.demand * request.instances * PEER_USAGE_DELAY.as_secs();
+        // Borrowed units go into the bucket, but this request has the first claim on them.
+        if request.borrowed > 0.0 {
+            bucket.level += request.borrowed;
+            bucket.consumed -= request.borrowed;
             bucket.last_used = now;
         }
-        let covered = wanted.borrowed >= wanted.units;
-        if !covered && (bucket.level <= 0.0 || wanted.sample * asked > bucket.level) {
-            let needed = (wanted.units - bucket.level).max(wanted.units * wanted.sample);
-            let wait = needed / (bucket.refill_rate * share).max(1.0);
+        let covered = request.borrowed >= request.units;
+        if !covered && (bucket.level <= 0.0 || request.sample * fleet_demand > bucket.level) {
+            let needed = (request.units - bucket.level).max(request.units * request.sample);
+            let wait = needed / (bucket.refill_rate * fleet_share).max(1.0);
             return Err(Millis(to_u64(wait * 1000.0) + 1));
         }
-        bucket.level -= wanted.units;
-        bucket.consumed += wanted.units;
+        bucket.level -= request.units;
+        bucket.consumed += request.units;
         bucket.last_used = now;
         Ok(())
     }
 
-    /// Gives back units of a request that never ran.
+    /// Returns the units of a request that never ran to the bucket.
     pub fn refund(&mut self, organisation: &Organisation, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&short_hash(&organisation.name)) {
             bucket.level = (bucket.level + units).min(bucket.capacity);
@@ -198,70 +206,76 @@
         }
     }
 
-    /// Takes units off for another shard, and returns how many: those beyond a quarter of what this part of
-    /// the fleet may hold.
+    /// Lends up to `units` to another shard, and returns how many were taken from the bucket.
     ///
-    /// The bucket of a large fleet is cut into one for each shard, none of them larger than a few requests.
-    /// Requests do not arrive evenly, so some would find their shard's bucket empty while the organisation uses
-    /// half of its quota. What is given away here is granted there, and nothing twice.
-    pub fn lend(&mut self, now: Millis, key: u32, units: u64, share: f64) -> u64 {
+    /// A large fleet has one bucket per shard, each worth only a few requests. Requests arrive
+    /// unevenly, so without lending a shard's bucket can be empty while the organisation uses half
+    /// of its quota. Lent units leave this bucket at once, so none are granted twice. A quarter of
+    /// the capacity is never lent.
+    pub fn lend(&mut self, now: Millis, key: u32, units: u64, fleet_share: f64) -> u64 {
         let Some(bucket) = self.buckets.get_mut(&key) else {
             return 0;
         };
-        bucket.refill(now, share);
-        let most = to_u64(bucket.level - bucket.capacity * share * LENDING_RESERVE_RATIO);
-        let given = most.min(units);
-        bucket.level -= u64_to_f64(given);
-        bucket.consumed += u64_to_f64(given);
+        bucket.refill(now, fleet_share);
+        let available =
+            to_u64(bucket.level - bucket.capacity * fleet_share * LENDING_RESERVE_RATIO);
+        let lent = available.min(units);
+        bucket.level -= u64_to_f64(lent);
+        bucket.consumed += u64_to_f64(lent);
         bucket.last_used = now;
-        given
+        lent
     }
 
-    /// Takes off what a peer used since its last report.
+    /// Subtracts what a peer used since its last report.
     ///
-    /// Of the first report all is taken off if the peer is `young`, no older than this instance:
-    /// after a kill of all, instances grant for some time before they hear of each other. What an
-    /// older peer used before is not ours to count, as our buckets began empty.
-    pub fn record_peer_usage(&mut self, peer: u64, young: bool, spent: &[(u32, i64)]) {
-        for (key, total) in spent {
-            let known = self.peer_totals.insert((peer, *key), *total);
-            let known = if young { known.or(Some(0)) } else { known };
-            let Some(known) = known else { continue };
+    /// `young` tells whether the peer's process is no older than this one. If so, the total in its
+    /// first report is subtracted as well: after all instances were killed, they grant requests for
+    /// some time before they receive each other's reports. Usage of older peers before their first
+    /// report is ignored, because the buckets here started almost empty.
+    pub fn record_peer_usage(&mut self, peer: u64, young: bool, totals: &[(u32, i64)]) {
+        for (key, total) in totals {
+            let previous = self.peer_totals.insert((peer, *key), *total);
+            let previous = if young {
+                previous.or(Some(0))
+            } else {
+                previous
+            };
+            let Some(previous) = previous else { continue };
             if let Some(bucket) = self.buckets.get_mut(key) {
-                bucket.level = (bucket.level - i64_to_f64(*total - known)).min(bucket.capacity);
+                bucket.level = (bucket.level - i64_to_f64(*total - previous)).min(bucket.capacity);
             }
         }
     }
 
-    /// Forgets a peer's start that is over.
+    /// Drops the reported usage of a peer's process that has ended.
     pub fn forget_peer(&mut self, peer: u64) {
         self.peer_totals.retain(|key, _| key.0 != peer);
     }
 
-    /// Returns the units this instance has taken by organisation since its start, less those that other
-    /// shards gave: of those of which some were taken since `since`.
+    /// Returns the units taken here since the process started, less those borrowed from other
+    /// shards, for each organisation whose usage changed since `since`.
     pub fn usage(&self, since: Millis) -> Vec<(u32, i64)> {
-        let mut spent: Vec<_> = self
+        let mut usage: Vec<_> = self
             .buckets
             .iter()
             .filter(|(_, bucket)| bucket.last_used >= since)
             .map(|(key, bucket)| (*key, to_i64(bucket.consumed)))
             .collect();
-        spent.sort_unstable();
-        spent
+        usage.sort_unstable();
+        usage
     }
 
-    // The filling that makes, with one burst, the operators' limit for a window.
+    // Returns the rate at which capacity and one window's refill add up to the operators' limit.
     fn refill_rate(&self, organisation: &Organisation) -> f64 {
-        let measure = self.policy;
-        let nominal = organisation.rate * measure.window.as_secs() + organisation.burst;
-        let limit = nominal * (1.0 + measure.overage * TOLERANCE_USED_RATIO)
-            + measure.slack * TOLERANCE_USED_RATIO;
-        (limit - bucket_capacity(organisation)) / measure.window.as_secs()
+        let policy = self.policy;
+        let nominal = organisation.rate * policy.window.as_secs() + organisation.burst;
+        let limit = nominal * (1.0 + policy.overage * TOLERANCE_USED_RATIO)
+            + policy.slack * TOLERANCE_USED_RATIO;
+        (limit - bucket_capacity(organisation)) / policy.window.as_secs()
     }
 }
 
-// The part of an organisation's burst that its bucket holds.
+// Returns the organisation's burst, limited to `MAX_BURST_SPAN` at its rate.
 fn bucket_capacity(organisation: &Organisation) -> f64 {
     organisation
         .burst
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -1,10 +1,12 @@
-//! Rate limits that endpoints name, and this instance's part of each.
+//! Rate limits that endpoints announce, and how instances share them.
 //!
-//! The load: an endpoint in need takes a few requests a second from all instances together. If each kept to
-//! that alone, as many times as much would arrive as there are instances. Even parts for all are less than a request in
-//! some seconds where instances are many, and each has a first one to send. So a limit is shared by no more instances
-//! than it has whole requests a second, by one at least. Which ones follows from a hash of names, so that instances
-//! which hear each other agree without a word. The others ask a holder for a place when a request of theirs has no other.
+//! An overloaded endpoint accepts a few requests a second from all instances together. If each
+//! instance kept to that limit alone, the endpoint would receive the limit once per instance. Equal
+//! shares for all instances do not work either: in a large fleet a share is less than one request
+//! in several seconds, yet every instance sends a first one. A limit is therefore divided among at
+//! most as many holders as it has whole requests a second, and at least one. Holders are selected
+//! by a hash of instance and endpoint, so that instances in contact with each other agree without
+//! coordination. Other instances ask a holder for a slot when a request has no alternative.
 
 mod rate_limit;
 
@@ -21,87 +23,90 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// How long it is told that a limit was lifted: peers that send nothing there do not see it themselves.
-const LIFTED_REPORT_PERIOD: Millis = Millis::from_secs(10);
+/// How long reports mention that a limit was lifted.
+///
+/// Peers that send nothing to the endpoint do not notice it themselves.
+const LIFTED_TTL: Millis = Millis::from_secs(10);
 
-/// By how much later than what is known a peer's word on the same limit must be to count.
+/// How much newer than the known observation a peer's row on the same limit must be.
 ///
-/// What this instance told comes back later by the way there and back, and would seem to be news each time.
+/// A peer's echo of this instance's own report looks newer by the round trip, and would otherwise
+/// count as an update each time.
 const ECHO_TOLERANCE: Millis = Millis(250);
 
-/// The most limits that one report names, so that it stays short.
+/// Maximum number of limits in one report, to bound its size.
 const MAX_REPORTED_LIMITS: usize = 32;
 
-/// A limit that was named, changed or lifted.
+/// A limit that was announced, changed or lifted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitChange {
-    /// The endpoint, by its shortened key.
+    /// Short key of the endpoint.
     pub endpoint: u32,
-    /// Requests a second before; none if there was no limit.
+    /// Previous limit in requests a second, `None` if there was no limit.
     pub before: Option<f64>,
-    /// Requests a second now; none if the limit was lifted.
+    /// New limit in requests a second, `None` if it was lifted.
     pub rate: Option<f64>,
-    /// Whether a peer told it.
+    /// Whether the change was learned from a peer.
     pub from_peer: bool,
 }
 
-/// Rate limits that endpoints name, and this instance's part of each.
+/// Rate limits that endpoints announce, and this instance's share of each.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    // This instance.
+    // Name of this instance.
     instance: Box<str>,
-    // By the endpoints' shortened keys, lifted ones too.
+    // By short endpoint key, including lifted limits.
     limits: Map<u32, RateLimit>,
     changes: Vec<LimitChange>,
 }
 
 impl RateLimits {
-    /// Knows of no limit yet; the instance of this name keeps to them.
-    pub fn new(name: &str) -> Self {
+    /// Creates an empty set of limits for the named instance.
+    pub fn new(instance: &str) -> Self {
         Self {
-            instance: name.into(),
+            instance: instance.into(),
             ..Self::default()
         }
     }
 
-    /// Takes in an answer that names a limit, in requests a second.
+    /// Records a response that announces a limit, in requests a second.
     pub fn observe_limit(&mut self, now: Millis, key: EndpointKey, rate: f64) {
-        // As peers are told it, so that they know the same rate.
+        // Rounded as in reports, so that all instances hold the same rate.
         let rate = from_thousandths(to_thousandths(rate));
         self.record(now, key.short(), now, Some(rate), false);
     }
 
-    /// Takes in an answer that names none, to a request that was sent at `sent`.
-    pub fn observe_no_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis) {
+    /// Records a response without a limit to a request that was sent at `sent_at`.
+    pub fn observe_no_limit(&mut self, now: Millis, key: EndpointKey, sent_at: Millis) {
         let known = self.limits.get(&key.short());
-        if known.is_some_and(|it| it.lifted_by(now, sent)) {
+        if known.is_some_and(|it| it.lifted_by(now, sent_at)) {
             self.record(now, key.short(), now, None, false);
         }
     }
 
-    /// Takes in what a peer knows.
+    /// Merges the limits of a peer's report.
     pub fn merge_peer_limits(&mut self, now: Millis, rows: &[LimitRow]) {
         for row in rows {
-            let at = now.since(Millis(u64::from(row.age)));
+            let observed_at = now.since(Millis(u64::from(row.age)));
             let rate = (row.rate > 0).then(|| from_thousandths(row.rate));
             let known = self.limits.get(&row.endpoint);
-            let same = known.is_some_and(|it| it.rate().is_some() == rate.is_some());
-            if same && known.is_some_and(|it| at <= it.observed_at() + ECHO_TOLERANCE) {
+            let same_state = known.is_some_and(|it| it.rate().is_some() == rate.is_some());
+            if same_state
+                && known.is_some_and(|it| observed_at <= it.observed_at() + ECHO_TOLERANCE)
+            {
                 continue;
             }
-            self.record(now, row.endpoint, at, rate, true);
+            self.record(now, row.endpoint, observed_at, rate, true);
         }
     }
 
-    /// Returns what peers should know of what came to be known since then: limits that are in force or were lifted of
-    /// late, the latest first.
+    /// Returns the rows for a report to peers, newest first: limits changed since `since` that are in
+    /// force or were lifted recently.
     pub fn report_rows(&self, now: Millis, since: Millis) -> Vec<LimitRow> {
-        let known = self.limits.iter();
-        let mut rows: Vec<LimitRow> = known
+        let limits = self.limits.iter();
+        let mut rows: Vec<LimitRow> = limits
             .filter(|row| row.1.changed_at() >= since)
-            .filter(|row| {
-                row.1.rate().is_some() || now.since(row.1.observed_at()) < LIFTED_REPORT_PERIOD
-            })
+            .filter(|row| row.1.rate().is_some() || now.since(row.1.observed_at()) < LIFTED_TTL)
             .map(|(endpoint, limit)| LimitRow {
                 endpoint: *endpoint,
                 rate: limit.rate().map_or(0, to_thousandths),
@@ -113,18 +118,18 @@
         rows
     }
 
-    /// Returns what changed since this was last asked, for the log.
+    /// Returns the changes since the last call, for the log.
     pub fn take_changes(&mut self) -> Vec<LimitChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns how many limits are in force.
+    /// Returns the number of limits in force.
     pub fn active_count(&self) -> usize {
         let limits = self.limits.values();
         limits.filter(|it| it.rate().is_some()).count()
     }
 
-    /// Works out this instance's parts, by who is heard now.
+    /// Updates this instance's share of each limit for the peers currently in contact.
     pub(crate) fn update_rates(&mut self, view: &ClusterView<'_>) {
         if self.limits.is_empty() {
             return;
@@ -135,17 +140,17 @@
         for (endpoint, limit) in &mut self.limits {
             let Some(rate) = limit.rate() else { continue };
             let rate = rate * view.registry.portion(*endpoint, max_holders(rate));
-            // Most limits of a large fleet are other shards'.
-            let part = if rate > 0.0 {
+            // In a large fleet most limits belong to endpoints of other shards.
+            let own_rate = if rate > 0.0 {
                 instance_rate(&self.instance, &names, *endpoint, rate)
             } else {
                 0.0
             };
-            limit.set_rates(view.now, part, rate);
+            limit.set_rates(view.now, own_rate, rate);
         }
     }
 
-    /// Returns the peers that hold a part of the limit of any of these endpoints.
+    /// Returns the peers that hold a share of the limit of any of these endpoints.
     pub(crate) fn holders<'a>(
         &self,
         view: &ClusterView<'a>,
@@ -167,31 +172,39 @@
         holders.map(|it| &it.location).collect()
     }
 
-    /// Returns how many requests may be sent to an endpoint now; none where there is no limit.
+    /// Returns how many requests may be sent to an endpoint now, `None` if it has no limit.
     pub fn tokens(&self, key: EndpointKey) -> Option<u32> {
         self.limits.get(&key.short())?.tokens()
     }
 
-    /// Returns the requests a second that this instance's shard may send to an endpoint; none where there is no limit.
+    /// Returns how many requests a second this shard may send to an endpoint, `None` if it has no
+    /// limit.
     pub fn shard_rate(&self, key: EndpointKey) -> Option<f64> {
         self.limits.get(&key.short())?.shard_rate()
     }
 
-    /// Takes the token of a request that is sent to an endpoint.
+    /// Takes a token for a request that is sent to an endpoint.
     pub fn take_token(&mut self, key: EndpointKey) {
         if let Some(limit) = self.limits.get_mut(&key.short()) {
             limit.take_token();
         }
     }
 
-    /// Forgets endpoints that are not among the known ones.
-    pub fn retain_endpoints(&mut self, known: &[EndpointKey]) {
+    /// Drops the limits of endpoints that are not in `endpoints`.
+    pub fn retain_endpoints(&mut self, endpoints: &[EndpointKey]) {
         self.limits
-            .retain(|short, _| known.iter().any(|key| key.short() == *short));
+            .retain(|short, _| endpoints.iter().any(|key| key.short() == *short));
     }
 
-    // Takes in a word on a limit, unless a later one is known.
-    fn record(&mut self, now: Millis, endpoint: u32, at: Millis, rate: Option<f64>, told: bool) {
+    // Records an observation of a limit made at `at`, unless a newer one is known.
+    fn record(
+        &mut self,
+        now: Millis,
+        endpoint: u32,
+        at: Millis,
+        rate: Option<f64>,
+        from_peer: bool,
+    ) {
         let known = self.limits.get_mut(&endpoint);
         if known.as_ref().is_some_and(|it| it.observed_at() >= at) {
             return;
@@ -210,39 +223,41 @@
                 endpoint,
                 before,
                 rate,
-                from_peer: told,
+                from_peer,
             });
         }
     }
 }
 
-// The most holders of a rate: one for each whole request a second, and one at least.
+// Returns the maximum number of holders of a limit: one per whole request a second, at least one.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "far more than there are instances"
+    reason = "a fleet has far fewer instances"
 )]
-#[expect(clippy::cast_sign_loss, reason = "rates are not below zero")]
+#[expect(clippy::cast_sign_loss, reason = "rates are not negative")]
 fn max_holders(rate: f64) -> usize {
     (rate as usize).max(1)
 }
 
-// An instance's part of a rate, among the instances that are heard.
+// Returns an instance's share of a rate among the named instances, zero if it is no holder.
 fn instance_rate(name: &str, names: &[&str], endpoint: u32, rate: f64) -> f64 {
     let holders = max_holders(rate).min(names.len());
-    let own = holder_hash(name, endpoint);
-    let before = names.iter().filter(|it| holder_hash(it, endpoint) < own);
-    if before.count() >= holders {
+    let own_hash = holder_hash(name, endpoint);
+    let lower = names
+        .iter()
+        .filter(|it| holder_hash(it, endpoint) < own_hash);
+    if lower.count() >= holders {
         return 0.0;
     }
     rate / f64::from(u32::try_from(holders).unwrap_or(u32::MAX))
 }
 
-// A number from 0 to 1 for an instance and an endpoint: instances with the lowest hold the endpoint's limit.
+// Rendezvous hash from 0 to 1: the instances with the lowest hashes hold an endpoint's limit.
 fn holder_hash(name: &str, endpoint: u32) -> f64 {
     hash_to_fraction(stable_hash(&(name, endpoint)))
 }
 
-// Where an instance's bucket begins, so that the holders' first tokens do not come at the same moment.
+// Initial token level from 0 to 1, staggered so that holders do not gain their first token at once.
 fn initial_level(name: &str, endpoint: u32) -> f64 {
     hash_to_fraction(stable_hash(&(endpoint, name)))
 }
@@ -255,8 +270,8 @@
     f64::from(thousandths) / 1_000.0
 }
 
-#[expect(clippy::cast_possible_truncation, reason = "cut to what fits")]
-#[expect(clippy::cast_sign_loss, reason = "rates are not below zero")]
+#[expect(clippy::cast_possible_truncation, reason = "clamped to the range")]
+#[expect(clippy::cast_sign_loss, reason = "rates are not negative")]
 fn to_thousandths(rate: f64) -> u32 {
     (rate * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
@@ -1,103 +1,118 @@
-//! What is known of one endpoint's rate limit, and this instance's token bucket for it.
+//! One endpoint's rate limit, and this instance's token bucket for it.
 
 use siskinyoke_base::Millis;
 
-/// The fewest requests a second that an endpoint is given, so that its answers show when it takes more.
+/// Minimum rate at which an endpoint gets requests, so that responses show when its limit rises.
 const MIN_RATE_PER_SECOND: f64 = 0.25;
 
-/// The time for which tokens are gathered where a second brings many, and the most tokens otherwise.
+/// Capacity of the token bucket, as a time span at its rate.
 const BURST_SECONDS: f64 = 0.1;
+
+/// Minimum capacity of the token bucket, which applies at low rates.
 const MIN_CAPACITY_TOKENS: f64 = 1.5;
 
-/// How long the last naming must be past before an answer without one lifts the limit.
+/// Minimum time since a limit was last announced before a response without one lifts it.
 ///
-/// Not every answer of an endpoint in need may name it, and answers overtake each other.
+/// An overloaded endpoint may not announce its limit in every response, and responses may arrive
+/// out of order.
 const LIFT_DELAY: Millis = Millis(1_000);
 
-/// What is known of one endpoint's rate limit.
+/// One endpoint's rate limit and this instance's token bucket.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RateLimit {
-    // Requests a second over all instances; none once the limit is lifted.
+    // Requests a second over all instances, `None` once the limit is lifted.
     rate: Option<f64>,
-    // When an answer last said so, to this instance or to a peer.
+    // When a response last announced or lifted the limit, here or at a peer.
     observed_at: Millis,
-    // When this instance came to know of the rate.
+    // When this instance learned of the rate.
     changed_at: Millis,
-    // The requests a second that are this instance's, and its shard's; none before that was worked out.
+    // This instance's share in requests a second, `None` until it is first computed.
     instance_rate: Option<f64>,
+    // The shard's share in requests a second.
     shard_rate: f64,
-    // Tokens, and when they were counted.
+    // Tokens available at `refilled_at`.
     level: f64,
     refilled_at: Millis,
 }
 
 impl RateLimit {
-    /// Takes in what an answer said; the bucket begins at `phase`, from 0 to 1.
-    pub(super) fn new(now: Millis, at: Millis, rate: Option<f64>, phase: f64) -> Self {
+    /// Creates a limit from an observation, with `initial_level` tokens from 0 to 1.
+    pub(super) fn new(
+        now: Millis,
+        observed_at: Millis,
+        rate: Option<f64>,
+        initial_level: f64,
+    ) -> Self {
         Self {
             rate: rate.map(|it| it.max(MIN_RATE_PER_SECOND)),
-            observed_at: at,
+            observed_at,
             changed_at: now,
             instance_rate: None,
             shard_rate: 0.0,
-            level: phase,
+            level: initial_level,
             refilled_at: now,
         }
     }
 
-    /// Returns the requests a second over all instances, none once the limit is lifted.
+    /// Returns the limit over all instances in requests a second, `None` once it is lifted.
     pub(super) fn rate(&self) -> Option<f64> {
         self.rate
     }
 
-    /// Returns when an answer last said so.
+    /// Returns when a response last announced or lifted the limit.
     pub(super) fn observed_at(&self) -> Millis {
         self.observed_at
     }
 
-    /// Returns when this instance came to know of the rate.
+    /// Returns when this instance learned of the rate.
     pub(super) fn changed_at(&self) -> Millis {
         self.changed_at
     }
 
-    /// Returns the requests a second that are this instance's shard's, none where there is no limit.
+    /// Returns the shard's share in requests a second, `None` once the limit is lifted.
     pub(super) fn shard_rate(&self) -> Option<f64> {
         self.rate.map(|_| self.shard_rate)
     }
 
-    /// Takes in a later word on a limit that is in force.
-    pub(super) fn update(&mut self, now: Millis, at: Millis, rate: f64) {
+    /// Applies a newer observation to a limit in force.
+    pub(super) fn update(&mut self, now: Millis, observed_at: Millis, rate: f64) {
         let rate = Some(rate.max(MIN_RATE_PER_SECOND));
         if self.rate != rate {
             self.rate = rate;
             self.changed_at = now;
         }
-        self.observed_at = at;
+        self.observed_at = observed_at;
     }
 
-    /// Returns whether an answer without a limit lifts it, by when its request was sent.
-    pub(super) fn lifted_by(&self, now: Millis, sent: Millis) -> bool {
-        self.rate.is_some() && sent > self.observed_at && now.since(self.observed_at) >= LIFT_DELAY
+    /// Returns whether a response without a limit, to a request sent at `sent_at`, lifts the limit.
+    pub(super) fn lifted_by(&self, now: Millis, sent_at: Millis) -> bool {
+        self.rate.is_some()
+            && sent_at > self.observed_at
+            && now.since(self.observed_at) >= LIFT_DELAY
     }
 
-    /// Sets the requests a second that are this instance's of its shard's, and counts the tokens that have come since.
+    /// Sets the shares of this instance and its shard, and refills the bucket at the previous rate.
     ///
-    /// An instance that comes to hold a part begins without tokens: another has just used them.
-    pub(super) fn set_rates(&mut self, now: Millis, part: f64, shard: f64) {
-        self.shard_rate = shard;
-        let before = self.instance_rate.replace(part).unwrap_or(part);
-        let most = (part * BURST_SECONDS).max(MIN_CAPACITY_TOKENS);
-        let gained = before * now.since(self.refilled_at).as_secs();
-        self.level = (self.level + gained).min(most);
-        if before <= 0.0 && part > 0.0 {
+    /// An instance that becomes a holder starts without tokens, because the previous holder may just
+    /// have used them.
+    pub(super) fn set_rates(&mut self, now: Millis, instance_rate: f64, shard_rate: f64) {
+        self.shard_rate = shard_rate;
+        let previous = self
+            .instance_rate
+            .replace(instance_rate)
+            .unwrap_or(instance_rate);
+        let capacity = (instance_rate * BURST_SECONDS).max(MIN_CAPACITY_TOKENS);
+        let gained = previous * now.since(self.refilled_at).as_secs();
+        self.level = (self.level + gained).min(capacity);
+        if previous <= 0.0 && instance_rate > 0.0 {
             self.level = 0.0;
         }
         self.refilled_at = now;
     }
 
-    /// Returns how many requests may be sent now, none where there is no limit.
+    /// Returns how many requests may be sent now, `None` once the limit is lifted.
     #[expect(clippy::cast_possible_truncation, reason = "a bucket holds few tokens")]
-    #[expect(clippy::cast_sign_loss, reason = "the level is never below zero")]
+    #[expect(clippy::cast_sign_loss, reason = "the level is never negative")]
     pub(super) fn tokens(&self) -> Option<u32> {
         self.rate?;
         Some(if self.instance_rate.unwrap_or(0.0) > 0.0 {
@@ -107,7 +122,7 @@
         })
     }
 
-    /// Takes the token of a request that is sent.
+    /// Takes a token for a request that is sent.
     pub(super) fn take_token(&mut self) {
         self.level = (self.level - 1.0).max(0.0);
     }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -54,7 +54,7 @@
 
 /// How a request ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RequestResult {
+enum Ending {
     Completed,
     NotRun(RefusalReason),
     MayHaveRun,
@@ -73,7 +73,7 @@
     // Times it was taken in by an endpoint, and times that one crashed under it.
     run_count: usize,
     crash_count: usize,
-    result: Option<(u64, RequestResult)>,
+    result: Option<(u64, Ending)>,
 }
 
 #[derive(Debug)]
@@ -170,7 +170,7 @@
                     self.violations
                         .push(format!("{number} ended at {at}, too late"));
                 }
-                Some((_, RequestResult::NotRun(reason))) if job.run_count > 0 => {
+                Some((_, Ending::NotRun(reason))) if job.run_count > 0 => {
                     let text = format!("{number} ran {} times, told {reason:?}", job.run_count);
                     self.violations.push(text);
                 }
@@ -205,7 +205,7 @@
         for (number, job) in self.requests.iter().enumerate() {
             let suspect = matches!(
                 job.result,
-                Some((_, RequestResult::NotRun(RefusalReason::Quarantined)))
+                Some((_, Ending::NotRun(RefusalReason::Quarantined)))
             );
             if suspect && crashes(job.fingerprint) < 2 {
                 let text = format!("{number} crashed nothing twice and is held for a suspect");
@@ -275,7 +275,7 @@
     fn restart_instance(&mut self, at: usize) {
         for job in &mut self.requests {
             if job.instance == at && job.result.is_none() {
-                job.result = Some((self.now, RequestResult::ConnectionLost));
+                job.result = Some((self.now, Ending::ConnectionLost));
             }
         }
         self.tickets.retain(|key, _| key.0 != at);
@@ -342,7 +342,7 @@
             crash_count: 0,
             result: admitted
                 .err()
-                .map(|it| (self.now, RequestResult::NotRun(it.reason))),
+                .map(|it| (self.now, Ending::NotRun(it.reason))),
         });
         if let Some(ticket) = self.requests[number].ticket {
             self.tickets.insert((instance, ticket), number);
@@ -451,14 +451,9 @@
             Some(ticket) => {
                 self.tickets.insert((instance, ticket), number);
             }
-            None if done => job.result = Some((self.now, RequestResult::Completed)),
-            None if job.has_run => job.result = Some((self.now, RequestResult::MayHaveRun)),
-            None => {
-                job.result = Some((
-                    self.now,
-                    RequestResult::NotRun(RefusalReason::EndpointRejected),
-                ))
-            }
+            None if done => job.result = Some((self.now, Ending::Completed)),
+            None if job.has_run => job.result = Some((self.now, Ending::MayHaveRun)),
+            None => job.result = Some((self.now, Ending::NotRun(RefusalReason::EndpointRejected))),
         }
     }
 
@@ -469,9 +464,9 @@
         }
         let job = &mut self.requests[number];
         let end = if job.has_run {
-            RequestResult::MayHaveRun
+            Ending::MayHaveRun
         } else {
-            RequestResult::NotRun(reason)
+            Ending::NotRun(reason)
         };
         job.result = Some((self.now, end));
         self.tickets
@@ -533,9 +528,9 @@
             }
             let (instance, ticket) = (job.instance, job.ticket);
             let end = if job.has_run {
-                RequestResult::MayHaveRun
+                Ending::MayHaveRun
             } else {
-                RequestResult::NotRun(RefusalReason::QueueTimeout)
+                Ending::NotRun(RefusalReason::QueueTimeout)
             };
             job.result = Some((self.now, end));
             if let Some(ticket) = ticket {
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -60,7 +60,7 @@
     queued_ms: u64,
 }
 
-struct RunningRequest {
+struct Attempt {
     instance: usize,
     ticket: Ticket,
     endpoint: Endpoint,
@@ -81,7 +81,7 @@
     granted_units: Vec<(u64, f64)>,
     rejected_units: f64,
     unfinished: BTreeMap<(usize, Ticket), SimulatedRequest>,
-    running: Vec<RunningRequest>,
+    running: Vec<Attempt>,
     /// The most that one endpoint ran at once.
     peak_running: usize,
     finished: Vec<SimulatedRequest>,
@@ -328,7 +328,7 @@
         let job = self.unfinished.get_mut(&(at, ticket)).expect("it waited");
         job.started_ms = Some(self.now);
         let until = self.now + SERVICE_TIME_MS;
-        self.running.push(RunningRequest {
+        self.running.push(Attempt {
             instance: at,
             ticket,
             endpoint: endpoint.clone(),
@@ -349,7 +349,7 @@
             .partition(|it| it.ends_ms <= now);
         self.running = running;
         for run in over {
-            let RunningRequest {
+            let Attempt {
                 instance,
                 ticket,
                 lender,
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -78,7 +78,7 @@
 }
 
 // A request at an endpoint.
-struct RunningRequest {
+struct Attempt {
     instance: usize,
     ticket: Ticket,
     endpoint: String,
@@ -101,7 +101,7 @@
     now: u64,
     cores: Vec<Core>,
     frozen_until: Vec<u64>,
-    running: Vec<RunningRequest>,
+    running: Vec<Attempt>,
     in_flight: Vec<InFlightReport>,
     partitions: BTreeMap<(usize, usize), u64>,
     // When each instance, in its present start, passed on an answer that named the limit.
@@ -256,12 +256,9 @@
     // Runs end; an answer of the limited endpoint names its limit.
     fn finish_requests(&mut self) {
         let now = self.now;
-        let (over, left) =
-            std::mem::take(&mut self.running)
-                .into_iter()
-                .partition(|it: &RunningRequest| {
-                    it.ends_ms <= now && self.frozen_until[it.instance] <= now
-                });
+        let (over, left) = std::mem::take(&mut self.running)
+            .into_iter()
+            .partition(|it: &Attempt| it.ends_ms <= now && self.frozen_until[it.instance] <= now);
         self.running = left;
         for run in over {
             let named = self.is_limited(&run.endpoint) && LIMIT_NAMED_MS.contains(&run.ends_ms);
@@ -313,7 +310,7 @@
         endpoint: &Endpoint,
         lender: Option<(usize, u64)>,
     ) {
-        self.running.push(RunningRequest {
+        self.running.push(Attempt {
             instance: at,
             ticket,
             endpoint: endpoint.id.to_string(),
