--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -3,12 +3,12 @@
 mod fleet;
 mod identity;
 mod lending;
-mod pass;
 mod rate_limits;
+mod reporting;
 mod retry;
 mod rollouts;
+mod routing;
 mod store;
-mod talk;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,18 +34,18 @@
 use siskinyoke_base::Millis;
 
 pub use self::identity::Identity;
-pub use self::pass::Pass;
-pub use self::pass::Request;
-pub use self::rollouts::Due;
-pub use self::rollouts::Shift;
+pub use self::rollouts::StatusWrite;
+pub use self::rollouts::TrafficShift;
+pub use self::routing::IncomingRequest;
+pub use self::routing::RoutedRequest;
 
 /// When a caller should come back whose work crashed endpoints: not soon.
-const SUSPECT: Millis = Millis::from_secs(30);
+const QUARANTINE_RETRY_AFTER: Millis = Millis::from_secs(30);
 
 /// One instance's state.
 #[derive(Debug)]
 pub struct Core {
-    me: Identity,
+    identity: Identity,
     configuration: Option<Arc<Configuration>>,
     registry: Registry,
     scheduler: Scheduler,
@@ -54,14 +54,14 @@
     // Instances that went, with when: most of them are back in a moment.
     departed: BTreeMap<String, Millis>,
     shard: usize,
-    shards: usize,
+    shard_count: usize,
     quotas: Quotas,
     budgets: Map<Arc<str>, RetryBudget>,
     quarantine: Quarantine,
-    view: store::StoreView,
+    store_view: store::StoreView,
     leaving: bool,
-    number: u64,
-    started: Option<Millis>,
+    report_number: u64,
+    configured_at: Option<Millis>,
 }
 
 impl Core {
@@ -76,15 +76,15 @@
             instances: Listing::default(),
             departed: BTreeMap::new(),
             shard: 0,
-            shards: 1,
+            shard_count: 1,
             quotas: Quotas::new(me.measure),
             budgets: Map::default(),
             quarantine: Quarantine::default(),
-            view: store::StoreView::default(),
+            store_view: store::StoreView::default(),
             leaving: false,
-            number: 0,
-            started: None,
-            me,
+            report_number: 0,
+            configured_at: None,
+            identity: me,
         }
     }
 
@@ -92,10 +92,10 @@
     ///
     /// Returns whether it is in force now and was not before.
     pub fn configure(&mut self, now: Millis, configuration: Configuration) -> bool {
-        if self.version() >= configuration.version {
+        if self.configuration_version() >= configuration.version {
             return false;
         }
-        self.started.get_or_insert(now);
+        self.configured_at.get_or_insert(now);
         let share = self.peers.fleet_share(now);
         self.quotas
             .configure(now, configuration.organisations(), share);
@@ -104,7 +104,7 @@
     }
 
     /// Returns the version in force, 0 for none.
-    pub fn version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |known| known.version)
     }
 
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// The refusal; the request has not run and never will.
-    pub fn in_force(&self) -> Result<&Arc<Configuration>, Refusal> {
+    pub fn require_configuration(&self) -> Result<&Arc<Configuration>, Refusal> {
         self.configuration.as_ref().ok_or(Refusal {
             reason: RefusalReason::NotReady,
             retry_after: cold_start::MIN_RETRY_AFTER,
@@ -160,10 +160,14 @@
     /// # Errors
     ///
     /// The refusal; the request has not run and never will.
-    pub fn pass(&mut self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
-        let pass = self.examine(now, request)?;
+    pub fn route(
+        &mut self,
+        now: Millis,
+        request: IncomingRequest<'_>,
+    ) -> Result<RoutedRequest, Refusal> {
+        let pass = self.resolve(now, request)?;
         self.budget(&pass.service).record_request(now);
-        self.take_quota(now, &pass, pass::chance(request.draw), 0)?;
+        self.charge_quota(now, &pass, routing::unit_fraction(request.draw), 0)?;
         Ok(pass)
     }
 
@@ -174,22 +178,22 @@
     /// # Errors
     ///
     /// As [`Self::pass`].
-    pub fn pass_again(
+    pub fn route_with_borrowed_quota(
         &mut self,
         now: Millis,
-        request: Request<'_>,
+        request: IncomingRequest<'_>,
         given: u64,
-    ) -> Result<Pass, Refusal> {
-        let pass = self.examine(now, request)?;
-        self.take_quota(now, &pass, pass::chance(request.draw), given)?;
+    ) -> Result<RoutedRequest, Refusal> {
+        let pass = self.resolve(now, request)?;
+        self.charge_quota(now, &pass, routing::unit_fraction(request.draw), given)?;
         Ok(pass)
     }
 
-    fn examine(&self, now: Millis, request: Request<'_>) -> Result<Pass, Refusal> {
-        let configuration = self.in_force()?.clone();
-        let route = pass::find_route(&configuration, request)?;
-        let organisation = pass::authenticate(&configuration, &route, request)?;
-        pass::measure(now, route, organisation, request)
+    fn resolve(&self, now: Millis, request: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
+        let configuration = self.require_configuration()?.clone();
+        let route = routing::find_route(&configuration, request)?;
+        let organisation = routing::authenticate(&configuration, &route, request)?;
+        routing::route_request(now, route, organisation, request)
     }
 
     /// Lets a whole request wait for an endpoint.
@@ -197,30 +201,35 @@
     /// # Errors
     ///
     /// The refusal; the request has not run, and its quota is given back.
-    pub fn admit(&mut self, now: Millis, pass: &Pass, print: u64) -> Result<Ticket, Refusal> {
+    pub fn admit(
+        &mut self,
+        now: Millis,
+        pass: &RoutedRequest,
+        print: u64,
+    ) -> Result<Ticket, Refusal> {
         let result = if self.quarantine.refuses(now, print) {
             Err(Refusal {
                 reason: RefusalReason::Quarantined,
-                retry_after: SUSPECT,
+                retry_after: QUARANTINE_RETRY_AFTER,
             })
         } else {
-            let mut pending = pass::pending(pass, print);
-            let exposure = self.me.exposure;
+            let mut pending = routing::pending(pass, print);
+            let exposure = self.identity.exposure;
             let rollout = self.registry.rollout(&pending.service);
             pending.canary = rollout.is_some_and(|it| it.draw(now, exposure));
             self.scheduler
                 .admit(now, pending, &self.registry, &self.peers)
         };
         if result.is_err() {
-            self.give_back(pass);
+            self.refund(pass);
         }
         result
     }
 
     /// Gives back the quota of a request that did not run.
-    pub fn give_back(&mut self, pass: &Pass) {
+    pub fn refund(&mut self, pass: &RoutedRequest) {
         if let Some(organisation) = &pass.organisation {
-            self.quotas.refund(organisation, pass.units);
+            self.quotas.refund(organisation, pass.quota_cost);
         }
     }
 
@@ -234,7 +243,7 @@
                 .cancel_matching(|pending| quarantine.refuses(now, pending.fingerprint));
             let refusal = Refusal {
                 reason: RefusalReason::Quarantined,
-                retry_after: SUSPECT,
+                retry_after: QUARANTINE_RETRY_AFTER,
             };
             decisions.extend(refused.into_iter().map(|it| Decision::Refuse(it, refusal)));
         }
@@ -244,7 +253,7 @@
 
     /// Takes note of how a stay ended, and lets the request wait for another endpoint if
     /// `more` is set and both its route and the retry budget allow one.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -252,7 +261,7 @@
         more: bool,
     ) -> Option<Ticket> {
         let pending = self.scheduler.attempt_ended(now, ticket, outcome)?;
-        self.sample(now, &pending, outcome);
+        self.record_sample(now, &pending, outcome);
         match outcome {
             Outcome::Broken => {
                 if let Some(key) = pending.tried.last() {
@@ -270,8 +279,8 @@
     }
 
     /// Takes note that the first part of a running request's answer came.
-    pub fn began(&mut self, now: Millis, ticket: Ticket) {
-        self.scheduler.first_part_at(now, ticket);
+    pub fn record_response_start(&mut self, now: Millis, ticket: Ticket) {
+        self.scheduler.first_part_received(now, ticket);
     }
 
     /// Takes out a request, waiting or running, whose caller left.
@@ -291,10 +300,10 @@
         self.scheduler.sweep_lent_slots(now);
     }
 
-    fn take_quota(
+    fn charge_quota(
         &mut self,
         now: Millis,
-        pass: &Pass,
+        pass: &RoutedRequest,
         chance: f64,
         given: u64,
     ) -> Result<(), Refusal> {
@@ -304,7 +313,7 @@
         let share = self.peers.fleet_share(now);
         let crowd = f64::from(u32::try_from(self.peers.instance_count(now)).unwrap_or(u32::MAX));
         let wanted = QuotaRequest {
-            units: pass.units,
+            units: pass.quota_cost,
             instances: crowd,
             sample: chance,
             borrowed: quota::u64_to_f64(given),
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::Outcome;
-use crate::Pending;
+use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::budget::RetryBudget;
 use crate::core::Core;
@@ -26,25 +26,31 @@
         let Some(pending) = self.scheduler.running(ticket).cloned() else {
             return false;
         };
-        let allowed = pending.route.idempotent() && pending.sent + 1 < pending.route.max_attempts;
+        let allowed =
+            pending.route.idempotent() && pending.attempts + 1 < pending.route.max_attempts;
         let elsewhere = self
             .scheduler
             .has_alternative(now, &pending, &self.registry, &self.peers);
         let floor = self.floor();
         allowed
             && elsewhere
-            && now < pending.until
+            && now < pending.deadline
             && self.budget(&pending.service).try_take(now, floor)
     }
 
     pub(super) fn budget(&mut self, service: &Arc<str>) -> &mut RetryBudget {
-        let ratio = self.me.retries * RETRIES;
+        let ratio = self.identity.retries * RETRIES;
         self.budgets
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(ratio))
     }
 
-    pub(super) fn may_retry(&mut self, now: Millis, pending: &Pending, outcome: Outcome) -> bool {
+    pub(super) fn may_retry(
+        &mut self,
+        now: Millis,
+        pending: &ScheduledRequest,
+        outcome: Outcome,
+    ) -> bool {
         let unsent = outcome == Outcome::Unreached;
         let unrun = unsent || matches!(outcome, Outcome::Full | Outcome::Moved);
         if !unrun && !pending.route.idempotent() {
@@ -53,7 +59,7 @@
         if !unrun && self.quarantine.refuses(now, pending.fingerprint) {
             return false;
         }
-        if now >= pending.until {
+        if now >= pending.deadline {
             return false;
         }
         if unsent {
@@ -63,7 +69,7 @@
             return true;
         }
         let floor = self.floor();
-        pending.sent < pending.route.max_attempts
+        pending.attempts < pending.route.max_attempts
             && self.budget(&pending.service).try_take(now, floor)
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/pass.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -5,24 +5,24 @@
 use crate::Configuration;
 use crate::Kind;
 use crate::Organisation;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Refusal;
 use crate::RefusalReason;
 use crate::Route;
-use crate::Work;
+use crate::ScheduledRequest;
+use crate::TokenCounts;
 use crate::quota;
 use siskinyoke_base::Millis;
 
 /// What a caller asks for, before anything is decided.
 #[derive(Debug, Clone, Copy)]
-pub struct Request<'a> {
+pub struct IncomingRequest<'a> {
     /// The host it names.
     pub host: &'a str,
     /// Its path.
     pub path: &'a str,
     /// How long it was held before it came to the filters.
-    pub held: Millis,
+    pub hold_time: Millis,
     /// Its key, if it has one.
     pub key: Option<&'a str>,
     /// How long its caller waits, if it says so.
@@ -30,14 +30,14 @@
     /// Prompt tokens and the most output tokens, if it names them.
     pub tokens: Option<(u64, u64)>,
     /// Output tokens that its caller expects, if it says so.
-    pub estimate: Option<u64>,
+    pub output_estimate: Option<u64>,
     /// An evenly spread number of its own, to split traffic by.
     pub draw: u64,
 }
 
 /// A request that may go on: who sent it and how it is to be served.
 #[derive(Debug, Clone)]
-pub struct Pass {
+pub struct RoutedRequest {
     /// Its route.
     pub route: Arc<Route>,
     /// The service that has to run it.
@@ -45,38 +45,38 @@
     /// Its organisation, where one is needed.
     pub organisation: Option<Arc<Organisation>>,
     /// How urgent it is.
-    pub rank: Rank,
+    pub rank: Priority,
     /// When it arrived.
     pub arrived: Millis,
     /// When nobody waits for it any more.
     pub until: Millis,
     /// What it asks of an endpoint.
-    pub work: Work,
+    pub work: TokenCounts,
     /// What it takes of its organisation's quota.
-    pub units: f64,
+    pub quota_cost: f64,
 }
 
-impl Pass {
+impl RoutedRequest {
     /// Returns the units it takes, as they stand in messages.
-    pub fn whole_units(&self) -> u64 {
-        quota::to_u64(self.units)
+    pub fn quota_units(&self) -> u64 {
+        quota::to_u64(self.quota_cost)
     }
 
     /// Returns whether the answer comes as events.
-    pub fn streams(&self) -> bool {
+    pub fn is_stream(&self) -> bool {
         self.route.kind == Kind::Stream
     }
 }
 
 // Turns an evenly spread number into one from 0 to 1, by its upper half.
-pub(super) fn chance(draw: u64) -> f64 {
+pub(super) fn unit_fraction(draw: u64) -> f64 {
     let upper = u32::try_from(draw >> 32).unwrap_or(u32::MAX);
     f64::from(upper) / f64::from(u32::MAX)
 }
 
 pub(super) fn find_route(
     configuration: &Configuration,
-    request: Request<'_>,
+    request: IncomingRequest<'_>,
 ) -> Result<Arc<Route>, Refusal> {
     let route = configuration.route(request.host, request.path);
     route.cloned().ok_or(Refusal {
@@ -88,7 +88,7 @@
 pub(super) fn authenticate(
     configuration: &Configuration,
     route: &Route,
-    request: Request<'_>,
+    request: IncomingRequest<'_>,
 ) -> Result<Option<Arc<Organisation>>, Refusal> {
     if !configuration.requires_key() {
         return Ok(None);
@@ -105,12 +105,12 @@
     Ok(holder.cloned())
 }
 
-pub(super) fn measure(
+pub(super) fn route_request(
     now: Millis,
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
-    request: Request<'_>,
-) -> Result<Pass, Refusal> {
+    request: IncomingRequest<'_>,
+) -> Result<RoutedRequest, Refusal> {
     let Some(service) = route.pick_service(request.draw).cloned() else {
         return Err(Refusal {
             reason: RefusalReason::NoEndpoint,
@@ -118,18 +118,18 @@
         });
     };
     let span = request.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let arrived = now.since(request.held);
-    let rank = Rank::new(
+    let arrived = now.since(request.hold_time);
+    let rank = Priority::new(
         organisation.as_ref().and_then(|it| it.priority),
         route.priority,
     );
-    Ok(Pass {
+    Ok(RoutedRequest {
         service,
         rank,
         arrived,
         until: arrived + span,
-        work: Work::new(request.tokens, request.estimate),
-        units: units(organisation.as_deref(), request.tokens),
+        work: TokenCounts::new(request.tokens, request.output_estimate),
+        quota_cost: units(organisation.as_deref(), request.tokens),
         organisation,
         route,
     })
@@ -149,20 +149,20 @@
     }
 }
 
-pub(super) fn pending(pass: &Pass, fingerprint: u64) -> Pending {
-    Pending {
+pub(super) fn pending(pass: &RoutedRequest, fingerprint: u64) -> ScheduledRequest {
+    ScheduledRequest {
         service: pass.service.clone(),
         route: pass.route.clone(),
-        rank: pass.rank,
+        priority: pass.rank,
         arrived: pass.arrived,
-        position: pass.arrived,
-        until: pass.until,
-        work: pass.work,
+        virtual_arrival: pass.arrived,
+        deadline: pass.until,
+        tokens: pass.work,
         fingerprint,
         tried: Vec::new(),
-        sent: 0,
+        attempts: 0,
         late: false,
-        pressed: false,
+        needs_loan: false,
         canary: false,
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -18,10 +18,10 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Outcome;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Refusal;
 use crate::RefusalReason;
+use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::demand::Demand;
 use crate::latency_model::LatencyModel;
@@ -56,9 +56,9 @@
 
 // A request at an endpoint.
 #[derive(Debug)]
-struct Running {
-    pending: Pending,
-    key: EndpointKey,
+struct RunningRequest {
+    pending: ScheduledRequest,
+    endpoint: EndpointKey,
     sent_at: Millis,
     // What went before it at its endpoint when it was sent.
     backlog: Backlog,
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Backlog {
     // Prompt tokens of others that are still to be read.
-    prompt_tokens: f64,
+    prefill_tokens: f64,
     // How long it is expected to wait there for a slot.
     slot_wait: Millis,
 }
@@ -88,12 +88,12 @@
 pub struct Scheduler {
     placing: Placing,
     queues: BTreeMap<Arc<str>, Queue>,
-    waiting: Map<Ticket, Pending>,
-    running: Map<Ticket, Running>,
+    waiting: Map<Ticket, ScheduledRequest>,
+    running: Map<Ticket, RunningRequest>,
     in_flight: BTreeMap<EndpointKey, RunningRow>,
     latencies: Map<Arc<str>, LatencyModel>,
     demands: Map<Arc<str>, Demand>,
-    overloads: Map<(Arc<str>, Rank), OverloadWindow>,
+    overloads: Map<(Arc<str>, Priority), OverloadWindow>,
     rate_limits: RateLimits,
     // Places given to other shards, by the question that asked for each.
     lent_slots: Map<u64, lending::LentSlot>,
@@ -123,7 +123,7 @@
     pub fn admit(
         &mut self,
         now: Millis,
-        pending: Pending,
+        pending: ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> Result<Ticket, Refusal> {
@@ -135,12 +135,12 @@
             });
         }
         let load = self.latency_model(&pending.service);
-        let pending = Pending {
-            position: wait::queue_position(&pending, load),
+        let pending = ScheduledRequest {
+            virtual_arrival: wait::queue_position(&pending, load),
             ..pending
         };
         let demand = self.demands.entry(pending.service.clone()).or_default();
-        demand.record(now, pending.rank, load.service_time_of(&pending.work));
+        demand.record(now, pending.priority, load.service_time_of(&pending.tokens));
         let view = ClusterView {
             now,
             registry,
@@ -151,8 +151,8 @@
         }
         // Another shard may have a place: it is asked before the request is refused.
         if registry.divided() && !self.recently_declined(now, &pending.service) {
-            return Ok(self.enqueue(Pending {
-                pressed: true,
+            return Ok(self.enqueue(ScheduledRequest {
+                needs_loan: true,
                 ..pending
             }));
         }
@@ -161,10 +161,10 @@
     }
 
     /// Lets a request wait for another endpoint after one did not serve it.
-    pub fn requeue(&mut self, pending: Pending) -> Ticket {
-        self.enqueue(Pending {
+    pub fn requeue(&mut self, pending: ScheduledRequest) -> Ticket {
+        self.enqueue(ScheduledRequest {
             late: false,
-            pressed: false,
+            needs_loan: false,
             canary: false,
             ..pending
         })
@@ -194,23 +194,23 @@
         now: Millis,
         ticket: Ticket,
         outcome: Outcome,
-    ) -> Option<Pending> {
-        let Running {
+    ) -> Option<ScheduledRequest> {
+        let RunningRequest {
             mut pending,
-            key,
+            endpoint,
             sent_at,
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.sent += u32::from(outcome != Outcome::Unreached);
+        pending.attempts += u32::from(outcome != Outcome::Unreached);
         if first_part_at.is_none() {
-            self.drop_unread(key, &pending);
+            self.remove_prefill_tokens(endpoint, &pending);
         }
-        if let Some(busy) = self.in_flight.get_mut(&key) {
+        if let Some(busy) = self.in_flight.get_mut(&endpoint) {
             busy.count = busy.count.saturating_sub(1);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
-        self.placing.ended(now, key, outcome);
+        self.placing.ended(now, endpoint, outcome);
         if let Outcome::Done {
             first,
             took,
@@ -219,24 +219,24 @@
         } = outcome
         {
             if first_part_at.is_none() {
-                self.record_first_part(key, &pending, now.since(sent_at));
+                self.record_first_part(endpoint, &pending, now.since(sent_at));
             }
-            self.record_remaining_parts(key, &pending, took.since(first), parts, pause);
+            self.record_remaining_parts(endpoint, &pending, took.since(first), parts, pause);
             let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.work, first, took, parts);
+            load.record_completion(&pending.tokens, first, took, parts);
         }
         Some(pending)
     }
 
     /// Takes note that the first part of a request's answer came.
-    pub fn first_part_at(&mut self, now: Millis, ticket: Ticket) {
+    pub fn first_part_received(&mut self, now: Millis, ticket: Ticket) {
         let Some(running) = self.running.get_mut(&ticket) else {
             return;
         };
         running.first_part_at = Some(now);
-        let (key, first) = (running.key, now.since(running.sent_at));
+        let (key, first) = (running.endpoint, now.since(running.sent_at));
         let pending = running.pending.clone();
-        self.drop_unread(key, &pending);
+        self.remove_prefill_tokens(key, &pending);
         self.record_first_part(key, &pending, first);
     }
 
@@ -245,18 +245,18 @@
         let Some(running) = self.running.get(&ticket) else {
             return stall_timeout::STREAM_STALL_TIMEOUT;
         };
-        let Running {
+        let RunningRequest {
             pending,
-            key,
+            endpoint,
             backlog,
             ..
         } = running;
         let usual = self
             .latency_model(&pending.service)
-            .first_part_time(&pending.work.behind(backlog.prompt_tokens))
+            .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
-            millis_to_f64(usual) * self.placing.pace(*key),
+            millis_to_f64(usual) * self.placing.pace(*endpoint),
         ))
     }
 
@@ -271,7 +271,7 @@
     }
 
     /// Takes out waiting requests that must not run any more.
-    pub fn cancel_matching(&mut self, matches: impl Fn(&Pending) -> bool) -> Vec<Ticket> {
+    pub fn cancel_matching(&mut self, matches: impl Fn(&ScheduledRequest) -> bool) -> Vec<Ticket> {
         let found = self.waiting.iter().filter(|row| matches(row.1));
         let tickets: Vec<Ticket> = found.map(|row| *row.0).collect();
         for ticket in &tickets {
@@ -281,7 +281,7 @@
     }
 
     /// Returns the request that runs under a ticket.
-    pub fn running(&self, ticket: Ticket) -> Option<&Pending> {
+    pub fn running(&self, ticket: Ticket) -> Option<&ScheduledRequest> {
         self.running.get(&ticket).map(|running| &running.pending)
     }
 
@@ -289,7 +289,7 @@
     pub fn has_alternative(
         &self,
         now: Millis,
-        pending: &Pending,
+        pending: &ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> bool {
@@ -323,7 +323,7 @@
             .iter()
             .flat_map(|(service, queue)| {
                 let load = self.latency_model(service);
-                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].work);
+                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].tokens);
                 queue.summary(now, short_hash(service), stay)
             })
             .collect()
@@ -356,7 +356,7 @@
         })
     }
 
-    fn enqueue(&mut self, pending: Pending) -> Ticket {
+    fn enqueue(&mut self, pending: ScheduledRequest) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         let queue = self.queues.entry(pending.service.clone()).or_default();
@@ -374,6 +374,6 @@
         .sum()
 }
 
-fn queue_key(ticket: Ticket, pending: &Pending) -> QueueKey {
-    (pending.order(), pending.position, ticket)
+fn queue_key(ticket: Ticket, pending: &ScheduledRequest) -> QueueKey {
+    (pending.queue_order(), pending.virtual_arrival, ticket)
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -15,11 +15,11 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Kind;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Route;
+use crate::ScheduledRequest;
 use crate::Ticket;
-use crate::Work;
+use crate::TokenCounts;
 use crate::latency_model::millis_from_f64;
 use crate::latency_model::millis_to_f64;
 use crate::message::SlotRequest;
@@ -58,10 +58,10 @@
 /// A place that was given to another shard.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LentSlot {
-    key: EndpointKey,
-    prompt_tokens: u32,
+    endpoint: EndpointKey,
+    prefill_tokens: u32,
     // When its prompt is expected to be read, and when it is taken back unasked.
-    prompt_end: Option<Millis>,
+    prefill_end: Option<Millis>,
     expires_at: Millis,
 }
 
@@ -74,7 +74,10 @@
 
 impl Scheduler {
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
-    pub(crate) fn borrow_needs(&mut self, view: &ClusterView<'_>) -> Vec<(Ticket, BorrowRequest)> {
+    pub(crate) fn borrow_requests(
+        &mut self,
+        view: &ClusterView<'_>,
+    ) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let askable = self.queues.iter().flat_map(|(service, queue)| {
             let place = view.registry.divided() && !self.recently_declined(now, service);
@@ -87,7 +90,7 @@
             .take(MAX_BORROW_QUERIES);
         let mut needs = Vec::new();
         for (ticket, place, reserved) in due {
-            let need = place_need(now, &self.waiting[&ticket]);
+            let need = slot_request(now, &self.waiting[&ticket]);
             needs.extend(place.then_some((ticket, BorrowRequest::Slot(need))));
             needs.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(need))));
         }
@@ -126,19 +129,20 @@
         self.rate_limits.take_token(key);
         let pace = self.placing.pace(key);
         let stay = millis_from_f64(
-            millis_to_f64(load.service_time_of(&guest.work)) * pace * LOAN_DURATION_RATIO,
+            millis_to_f64(load.service_time_of(&guest.tokens)) * pace * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
         let given = LentSlot {
-            key,
-            prompt_tokens: guest.work.unread(),
-            prompt_end: Some(
-                view.now + millis_from_f64(millis_to_f64(load.first_part_time(&guest.work)) * pace),
+            endpoint: key,
+            prefill_tokens: guest.tokens.prompt_tokens(),
+            prefill_end: Some(
+                view.now
+                    + millis_from_f64(millis_to_f64(load.first_part_time(&guest.tokens)) * pace),
             ),
             expires_at: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
         };
         let busy = self.usage_mut(key);
         busy.count += 1;
-        busy.prefill_tokens += given.prompt_tokens;
+        busy.prefill_tokens += given.prefill_tokens;
         self.lent_slots.insert(id, given);
         Some(key)
     }
@@ -148,10 +152,10 @@
         let Some(loan) = self.lent_slots.remove(&id) else {
             return;
         };
-        let busy = self.usage_mut(loan.key);
+        let busy = self.usage_mut(loan.endpoint);
         busy.count = busy.count.saturating_sub(1);
-        if loan.prompt_end.is_some() {
-            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
+        if loan.prefill_end.is_some() {
+            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
     }
@@ -164,10 +168,10 @@
             self.reclaim_slot(id);
         }
         for loan in self.lent_slots.values_mut() {
-            if loan.prompt_end.take_if(|at| *at <= now).is_some()
-                && let Some(busy) = self.in_flight.get_mut(&loan.key)
+            if loan.prefill_end.take_if(|at| *at <= now).is_some()
+                && let Some(busy) = self.in_flight.get_mut(&loan.endpoint)
             {
-                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prompt_tokens);
+                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
             }
         }
     }
@@ -209,7 +213,7 @@
     pub(super) fn best_endpoint(
         &self,
         now: Millis,
-        guest: &Pending,
+        guest: &ScheduledRequest,
         candidates: &[Candidate],
     ) -> Option<EndpointKey> {
         let load = self.latency_model(&guest.service);
@@ -228,7 +232,7 @@
         let pending = &self.waiting[&ticket];
         let asked = self.last_queries.get(&ticket);
         let again = asked.is_none_or(|at| now.since(*at) >= BORROW_INTERVAL);
-        again && (pending.pressed || now.since(pending.arrived) >= BORROW_DELAY)
+        again && (pending.needs_loan || now.since(pending.arrived) >= BORROW_DELAY)
     }
 
     // Whether other shards are taken to have no place.
@@ -238,22 +242,26 @@
     }
 }
 
-fn place_need(now: Millis, pending: &Pending) -> SlotRequest {
+fn slot_request(now: Millis, pending: &ScheduledRequest) -> SlotRequest {
     let small = |span: Millis| u32::try_from(span.0).unwrap_or(u32::MAX);
     SlotRequest {
         service: short_hash(&pending.service),
         stream: pending.route.kind == Kind::Stream,
-        prompt_tokens: pending.work.unread(),
-        output_tokens: pending.work.expected(),
+        prompt_tokens: pending.tokens.prompt_tokens(),
+        output_tokens: pending.tokens.output_tokens(),
         latency_target: small(pending.route.latency_objective),
         gap_target: small(pending.route.max_gap),
         waited: small(now.since(pending.arrived)),
-        remaining_wait: small(pending.until.since(now)),
+        remaining_wait: small(pending.deadline.since(now)),
     }
 }
 
 // Another shard's request, as far as the choice of an endpoint needs it.
-pub(super) fn borrower_request(now: Millis, service: &Arc<str>, need: &SlotRequest) -> Pending {
+pub(super) fn borrower_request(
+    now: Millis,
+    service: &Arc<str>,
+    need: &SlotRequest,
+) -> ScheduledRequest {
     let span = |ms: u32| Millis(u64::from(ms));
     let arrived = now.since(span(need.waited));
     let until = now + span(need.remaining_wait);
@@ -274,22 +282,22 @@
         auth_exempt: true,
         resumable: false,
     };
-    Pending {
+    ScheduledRequest {
         service: service.clone(),
         route: Arc::new(route),
-        rank: Rank::new(None, 0),
+        priority: Priority::new(None, 0),
         arrived,
-        position: arrived,
-        until,
-        work: Work {
+        virtual_arrival: arrived,
+        deadline: until,
+        tokens: TokenCounts {
             prompt: f64::from(need.prompt_tokens),
             output: f64::from(need.output_tokens),
         },
         fingerprint: 0,
         tried: Vec::new(),
-        sent: 0,
+        attempts: 0,
         late: false,
-        pressed: false,
+        needs_loan: false,
         canary: false,
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -5,13 +5,13 @@
 use super::Backlog;
 use super::ClusterView;
 use super::Decision;
-use super::Running;
+use super::RunningRequest;
 use super::Scheduler;
 use super::queue_key;
 use crate::Endpoint;
 use crate::Ticket;
 use crate::latency_model::LatencyModel;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::placing::Candidate;
 use crate::placing::Placing;
 use crate::placing::Query;
@@ -84,7 +84,8 @@
         for (order, position, ticket) in waiting {
             // Peers' more urgent requests wait for endpoints of a usual pace, so slow ones are not left to
             // them.
-            let usual = shared_slots(&open.free) > before(&rows, order, now.since(position));
+            let usual =
+                shared_slots(&open.free) > claimed_by_peers(&rows, order, now.since(position));
             if !usual && !open.has_private_slots() {
                 break;
             }
@@ -100,9 +101,9 @@
                 continue;
             };
             let endpoint = candidate.endpoint.clone();
-            let ahead = ahead(candidate, load);
+            let ahead = backlog(candidate, load);
             candidate.left -= 1;
-            candidate.unread += pending.work.prompt;
+            candidate.unread += pending.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -151,7 +152,7 @@
                     .in_flight
                     .get(&key)
                     .map_or((0, 0), |busy| (u32::from(busy.count), busy.prefill_tokens));
-                let (places, extra) = self.places(endpoint);
+                let (places, extra) = self.slot_limits(endpoint);
                 let left = (places + extra).saturating_sub(count + others);
                 let tokens = self.rate_limits.tokens(key);
                 let left = tokens.map_or(left, |tokens| left.min(tokens));
@@ -169,7 +170,7 @@
     }
 
     // How many requests an endpoint is given at once, and how many more its queue may take.
-    fn places(&self, endpoint: &Endpoint) -> (u32, u32) {
+    fn slot_limits(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
         if self.placing.unknown(key) {
             let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
@@ -211,10 +212,10 @@
         pending.canary = canary;
         let busy = self.usage_mut(key);
         busy.count += 1;
-        busy.prefill_tokens += pending.work.unread();
-        let running = Running {
+        busy.prefill_tokens += pending.tokens.prompt_tokens();
+        let running = RunningRequest {
             pending,
-            key,
+            endpoint: key,
             sent_at: now,
             backlog: ahead,
             first_part_at: None,
@@ -233,11 +234,11 @@
 }
 
 // What goes before a request that is sent to a candidate now.
-fn ahead(candidate: &Candidate, load: LatencyModel) -> Backlog {
+fn backlog(candidate: &Candidate, load: LatencyModel) -> Backlog {
     let queued = candidate.left <= candidate.extra;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
-        prompt_tokens: candidate.unread,
+        prefill_tokens: candidate.unread,
         slot_wait: Millis(if queued {
             load.mean_service_time().0 / slots
         } else {
@@ -253,7 +254,7 @@
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
-fn before(rows: &[WaitingRow], order: Order, waited: Millis) -> u32 {
+fn claimed_by_peers(rows: &[WaitingRow], order: QueueOrder, waited: Millis) -> u32 {
     rows.iter()
         .map(|row| {
             if row.order < order {
--- a/crates/siskinyoke-dispatch/src/work.rs
+++ b/crates/siskinyoke-dispatch/src/token_counts.rs
@@ -2,14 +2,14 @@
 
 /// What a request asks of an endpoint, in tokens; nothing for plain services.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Work {
+pub struct TokenCounts {
     /// Tokens of prompt to be read before the first part of the answer.
     pub prompt: f64,
     /// Tokens of output that are expected: its caller's estimate, or else the most that it allows.
     pub output: f64,
 }
 
-impl Work {
+impl TokenCounts {
     /// Makes it from prompt tokens and the most output tokens, and the caller's estimate of output.
     #[expect(
         clippy::cast_precision_loss,
@@ -27,7 +27,7 @@
 
     /// Returns the same work behind prompts that its endpoint has still to read.
     #[must_use]
-    pub fn behind(&self, unread: f64) -> Self {
+    pub fn with_backlog(&self, unread: f64) -> Self {
         Self {
             prompt: self.prompt + unread,
             ..*self
@@ -40,7 +40,7 @@
         clippy::cast_sign_loss,
         reason = "token counts are not negative, and a larger one counts as the largest"
     )]
-    pub fn expected(&self) -> u32 {
+    pub fn output_tokens(&self) -> u32 {
         self.output as u32
     }
 
@@ -50,7 +50,7 @@
         clippy::cast_sign_loss,
         reason = "token counts are not negative, and a larger one counts as the largest"
     )]
-    pub fn unread(&self) -> u32 {
+    pub fn prompt_tokens(&self) -> u32 {
         self.prompt as u32
     }
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -20,7 +20,7 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 
 const INSTANCE_COUNT: usize = 3;
 const ENDPOINT_COUNT: usize = 4;
@@ -322,13 +322,13 @@
         let instance = self.random_index(INSTANCE_COUNT);
         let now = Millis(self.now);
         let number = self.requests.len();
-        let wanted = Request {
+        let wanted = IncomingRequest {
             deadline: Some(Millis(self.rng.random_range(500..=MAX_DEADLINE_MS))),
             ..request(path)
         };
         let core = &mut self.cores[instance];
         let pass = core
-            .pass(now, wanted)
+            .route(now, wanted)
             .expect("the key and the route are known");
         let admitted = core.admit(now, &pass, print);
         self.requests.push(SimulatedRequest {
@@ -375,7 +375,7 @@
                 let outcome = if good {
                     Outcome::Done {
                         first: took,
-                        took,
+                        took: took,
                         parts: 0,
                         pause: Millis::ZERO,
                     }
@@ -444,7 +444,7 @@
         let instance = job.instance;
         self.tickets.remove(&(instance, ticket));
         let done = matches!(outcome, Outcome::Done { .. });
-        let again = self.cores[instance].ended(Millis(self.now), ticket, outcome, !done);
+        let again = self.cores[instance].record_outcome(Millis(self.now), ticket, outcome, !done);
         let job = &mut self.requests[number];
         job.ticket = again;
         match again {
@@ -546,7 +546,7 @@
     // What holds at every moment.
     fn check_invariants(&mut self) {
         for (at, core) in self.cores.iter().enumerate() {
-            let version = core.version();
+            let version = core.configuration_version();
             if version < self.seen_versions[at] {
                 let text = format!("i{at} went from {} to {version}", self.seen_versions[at]);
                 self.violations.push(text);
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -24,7 +24,7 @@
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::message::SlotRequest;
 
 const STEP_MS: u64 = 10;
@@ -242,12 +242,12 @@
                 continue;
             }
             let now = Millis(self.now);
-            let wanted = Request {
+            let wanted = IncomingRequest {
                 deadline: Some(Millis(3_000)),
                 ..request("/safe/")
             };
             let core = &mut self.cores[at];
-            let pass = core.pass(now, wanted).expect("the route is known");
+            let pass = core.route(now, wanted).expect("the route is known");
             let admitted = core.admit(now, &pass, self.now);
             self.rejected += u64::from(admitted.is_err());
         }
@@ -280,7 +280,7 @@
                 done()
             };
             let more = outcome == Outcome::Failed;
-            core.ended(Millis(now), run.ticket, outcome, more);
+            core.record_outcome(Millis(now), run.ticket, outcome, more);
         }
     }
 
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -39,8 +39,8 @@
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::RefusalReason;
-use siskinyoke_dispatch::core::Pass;
-use siskinyoke_dispatch::core::Request as Wanted;
+use siskinyoke_dispatch::core::IncomingRequest as Wanted;
+use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_dispatch::stable_hash;
 use siskinyoke_interface::FormatError;
 
@@ -155,7 +155,7 @@
             admit(shell, id, pass, parcel, arrival).await
         }
         Err(fault) => {
-            shell.core.borrow_mut().give_back(&pass);
+            shell.core.borrow_mut().refund(&pass);
             refuse_body(shell, id.as_deref(), &fault)
         }
     }
@@ -212,7 +212,7 @@
     parts: &Parts,
     body: &[u8],
     arrival: Arrival,
-) -> Result<(Option<String>, Pass), Box<Response<AnswerBody>>> {
+) -> Result<(Option<String>, RoutedRequest), Box<Response<AnswerBody>>> {
     let head = match shell.interface.exchange.decode(parts, body) {
         Ok(head) => head,
         Err(err) => return Err(Box::new(unreadable(shell, &err))),
@@ -220,11 +220,11 @@
     let wanted = Wanted {
         host: head.host,
         path: &head.path,
-        held: shell.now().since(arrival.at),
+        hold_time: shell.now().since(arrival.at),
         key: head.key.as_deref(),
         deadline: head.deadline,
         tokens: head.tokens,
-        estimate: head.estimate,
+        output_estimate: head.estimate,
         draw: stable_hash(&head.id),
     };
     let refusal = match pass(shell, wanted).await {
@@ -241,8 +241,8 @@
 }
 
 // Where the own shard's part of a quota is used up, others are asked before the request is refused.
-async fn pass(shell: &Shell, wanted: Wanted<'_>) -> Result<Pass, Refusal> {
-    let passed = shell.core.borrow_mut().pass(shell.now(), wanted);
+async fn pass(shell: &Shell, wanted: Wanted<'_>) -> Result<RoutedRequest, Refusal> {
+    let passed = shell.core.borrow_mut().route(shell.now(), wanted);
     let refusal = match passed {
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
@@ -255,7 +255,10 @@
         0 => Err(refusal),
         given => {
             let now = shell.now();
-            shell.core.borrow_mut().pass_again(now, wanted, given)
+            shell
+                .core
+                .borrow_mut()
+                .route_with_borrowed_quota(now, wanted, given)
         }
     }
 }
@@ -265,7 +268,7 @@
     core.configuration()?.organisation_by_key(key).cloned()
 }
 
-fn parcel(shell: &Shell, parts: Parts, pass: &Pass, body: Bytes, held: Held) -> Parcel {
+fn parcel(shell: &Shell, parts: Parts, pass: &RoutedRequest, body: Bytes, held: Held) -> Parcel {
     let exchange = &shell.interface.exchange;
     let organisation = pass.organisation.as_ref().map(|it| &*it.name);
     Parcel {
@@ -281,7 +284,7 @@
 async fn admit(
     shell: &Rc<Shell>,
     id: Option<String>,
-    pass: Pass,
+    pass: RoutedRequest,
     parcel: Parcel,
     arrival: Arrival,
 ) -> Response<AnswerBody> {
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -31,7 +31,7 @@
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::Identity;
-use siskinyoke_dispatch::core::Pass;
+use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_interface::Interface;
 
 /// What a waiting request is told.
@@ -45,7 +45,7 @@
     /// Its organisation.
     pub organisation: Option<&'a str>,
     /// What the filters found, if it passed them.
-    pub pass: Option<&'a Pass>,
+    pub pass: Option<&'a RoutedRequest>,
     /// Whether it was let in, so that it has an answer's line besides.
     pub admitted: bool,
 }
@@ -60,7 +60,7 @@
     }
 
     /// What is known of a request that passed the filters.
-    pub fn passed(id: Option<&'a str>, pass: &'a Pass) -> Self {
+    pub fn passed(id: Option<&'a str>, pass: &'a RoutedRequest) -> Self {
         Self {
             id,
             organisation: pass.organisation.as_ref().map(|it| &*it.name),
@@ -205,14 +205,14 @@
             "organisation": request.organisation,
             "prompt": request.pass.map(|it| it.work.prompt),
             "output": request.pass.map(|it| it.work.output),
-            "units": request.pass.map(|it| it.units),
+            "units": request.pass.map(|it| it.quota_cost),
             "reason": refusal.reason.as_str(),
             "after_ms": refusal.retry_after.0,
             "waiting": waiting,
             "running": running,
             "peers": core.peers().instance_count(now) - 1,
             "quota_share": core.peers().fleet_share(now),
-            "configuration": core.version(),
+            "configuration": core.configuration_version(),
             "store": core.stored(),
             "revision": core.revision(),
             "store_age_ms": now.since(self.heard.get()).0,
