--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -21,7 +21,7 @@
 use crate::Ticket;
 use crate::budget::RetryBudget;
 use crate::cold_start;
-use crate::leased_entries::Listing;
+use crate::leased_entries::LeasedEntries;
 use crate::peers::Peers;
 use crate::quarantine::Quarantine;
 use crate::quota;
@@ -50,7 +50,7 @@
     registry: Registry,
     scheduler: Scheduler,
     peers: Peers,
-    instances: Listing<InstanceLocation>,
+    instances: LeasedEntries<InstanceLocation>,
     // Instances that went, with when: most of them are back in a moment.
     departed: BTreeMap<String, Millis>,
     shard: usize,
@@ -73,7 +73,7 @@
             registry: Registry::default(),
             scheduler,
             peers: Peers::default(),
-            instances: Listing::default(),
+            instances: LeasedEntries::default(),
             departed: BTreeMap::new(),
             shard: 0,
             shard_count: 1,
@@ -207,7 +207,7 @@
         pass: &RoutedRequest,
         print: u64,
     ) -> Result<Ticket, Refusal> {
-        let result = if self.quarantine.refuses(now, print) {
+        let result = if self.quarantine.is_quarantined(now, print) {
             Err(Refusal {
                 reason: RefusalReason::Quarantined,
                 retry_after: QUARANTINE_RETRY_AFTER,
@@ -216,7 +216,7 @@
             let mut pending = routing::pending(pass, print);
             let exposure = self.identity.exposure;
             let rollout = self.registry.rollout(&pending.service);
-            pending.canary = rollout.is_some_and(|it| it.draw(now, exposure));
+            pending.canary = rollout.is_some_and(|it| it.select_canary(now, exposure));
             self.scheduler
                 .admit(now, pending, &self.registry, &self.peers)
         };
@@ -240,7 +240,7 @@
             let quarantine = &self.quarantine;
             let refused = self
                 .scheduler
-                .cancel_matching(|pending| quarantine.refuses(now, pending.fingerprint));
+                .cancel_matching(|pending| quarantine.is_quarantined(now, pending.fingerprint));
             let refusal = Refusal {
                 reason: RefusalReason::Quarantined,
                 retry_after: QUARANTINE_RETRY_AFTER,
@@ -266,10 +266,10 @@
             Outcome::Broken => {
                 if let Some(key) = pending.tried.last() {
                     self.quarantine
-                        .crashed(now, pending.fingerprint, key.short());
+                        .record_crash(now, pending.fingerprint, key.short());
                 }
             }
-            Outcome::Done { .. } => self.quarantine.cleared(pending.fingerprint),
+            Outcome::Done { .. } => self.quarantine.clear(pending.fingerprint),
             _ => {}
         }
         if !more || !self.may_retry(now, &pending, outcome) {
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -82,7 +82,7 @@
         let ready = members
             .chain(self.ready().then_some(&own.location))
             .chain(others);
-        directory::choose(centre, ready)
+        directory::select_instances(centre, ready)
     }
 
     /// Returns how long the store may hold a watch.
@@ -143,7 +143,7 @@
         }
         self.shard = shards::shard_of(&self.identity.name, shards);
         self.shard_count = shards;
-        self.registry.settle(self.shard, sizes);
+        self.registry.set_shards(self.shard, sizes);
         if shards > 1 {
             let own = self.shard;
             self.peers
@@ -165,7 +165,7 @@
     pub(super) fn sweep_fleet(&mut self, now: Millis) {
         let before = self.departed.len();
         self.departed.retain(|_, since| now.since(*since) < RESTART);
-        if self.instances.sweep(now) || self.departed.len() < before {
+        if self.instances.remove_expired(now) || self.departed.len() < before {
             self.settle();
         }
     }
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -17,7 +17,7 @@
 impl Core {
     /// Returns what other shards may be asked for, so that a request finds its quota.
     pub fn lacks(&self, now: Millis, request: IncomingRequest<'_>) -> Option<UnitsRequest> {
-        if !self.registry.divided() {
+        if !self.registry.is_sharded() {
             return None;
         }
         let pass = self.resolve(now, request).ok()?;
@@ -61,7 +61,7 @@
 
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
     pub fn needs(&mut self, now: Millis) -> Vec<(Ticket, BorrowRequest)> {
-        if !self.registry.divided() && self.scheduler.rate_limits().active_count() == 0 {
+        if !self.registry.is_sharded() && self.scheduler.rate_limits().active_count() == 0 {
             return Vec::new();
         }
         let view = ClusterView {
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -59,7 +59,7 @@
         }
         for (print, endpoints) in &about.quarantine {
             for endpoint in endpoints {
-                self.quarantine.crashed(now, *print, *endpoint);
+                self.quarantine.record_crash(now, *print, *endpoint);
             }
         }
     }
@@ -91,7 +91,7 @@
     }
 
     fn canaries(&self, now: Millis) -> Vec<CanaryReport> {
-        let rollouts = self.registry.rollouts().filter(|it| it.tells());
+        let rollouts = self.registry.rollouts().filter(|it| it.has_report());
         rollouts.map(|it| it.tell(now)).collect()
     }
 
@@ -100,7 +100,7 @@
             name: self.identity.name.clone(),
             location: self.identity.place.clone(),
             leaving_endpoints: self.registry.news(),
-            quarantine: self.quarantine.news(TOLD),
+            quarantine: self.quarantine.recent_crashes(TOLD),
             peers: self.inner_addresses(now),
         }
     }
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -56,7 +56,7 @@
         if !unrun && !pending.route.idempotent() {
             return false;
         }
-        if !unrun && self.quarantine.refuses(now, pending.fingerprint) {
+        if !unrun && self.quarantine.is_quarantined(now, pending.fingerprint) {
             return false;
         }
         if now >= pending.deadline {
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -74,9 +74,9 @@
         let due = rollouts.filter_map(|it| {
             Some(StatusWrite {
                 order: it.order().clone(),
-                state: it.due(now, self.shard)?,
+                state: it.due_state(now, self.shard)?,
                 expected: it.status_revision(),
-                order_revision: it.standing_revision(),
+                order_revision: it.order_revision(),
             })
         });
         let due: Vec<_> = due.collect();
@@ -95,7 +95,7 @@
             let mut rollouts = self.registry.rollouts_mut();
             let rollout = rollouts.find(|it| short_hash(&it.order().service) == canary.service);
             if let Some(rollout) = rollout {
-                rollout.heard(now, report.source, canary, shard);
+                rollout.record_peer(now, report.source, canary, shard);
             }
         }
     }
@@ -124,7 +124,7 @@
             endpoint: key.short(),
         };
         if let Some(rollout) = self.registry.rollout(&pending.service) {
-            rollout.answered(now, sample);
+            rollout.record_answer(now, sample);
         }
     }
 
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -186,10 +186,10 @@
         self.store_view.away = away;
         if away {
             self.registry.store_lost();
-            self.instances.store_lost();
+            self.instances.store_unreachable();
         } else {
             self.registry.store_back(now);
-            self.instances.store_back(now);
+            self.instances.store_reachable(now);
         }
         Some(away)
     }
--- a/crates/siskinyoke-dispatch/src/directory.rs
+++ b/crates/siskinyoke-dispatch/src/directory.rs
@@ -14,7 +14,10 @@
 ///
 /// Instances of the caller's own data centre come alone where there are two or more, as bytes
 /// between data centres cost most.
-pub fn choose<'a>(centre: &str, ready: impl Iterator<Item = &'a InstanceLocation>) -> Vec<String> {
+pub fn select_instances<'a>(
+    centre: &str,
+    ready: impl Iterator<Item = &'a InstanceLocation>,
+) -> Vec<String> {
     let ready: Vec<&InstanceLocation> = ready.collect();
     let local: Vec<&&InstanceLocation> = ready.iter().filter(|it| it.centre == centre).collect();
     let mut addresses: Vec<String> = if local.len() >= MIN_INSTANCES {
--- a/crates/siskinyoke-dispatch/src/endpoint.rs
+++ b/crates/siskinyoke-dispatch/src/endpoint.rs
@@ -32,7 +32,7 @@
     /// Its identity, which a request names so that nobody else at its address runs it.
     pub id: Arc<str>,
     /// When it started, in milliseconds of Unix time; 0 where it does not say.
-    pub born: u64,
+    pub started_ms: u64,
     /// The service it belongs to.
     pub service: Arc<str>,
     /// The version of its software; empty where it does not say.
@@ -50,6 +50,6 @@
 impl Endpoint {
     /// Returns the key of this start.
     pub fn key(&self) -> EndpointKey {
-        EndpointKey(stable_hash(&(&*self.id, self.born)))
+        EndpointKey(stable_hash(&(&*self.id, self.started_ms)))
     }
 }
--- a/crates/siskinyoke-dispatch/src/health.rs
+++ b/crates/siskinyoke-dispatch/src/health.rs
@@ -48,7 +48,7 @@
 
 impl Health {
     /// Takes note of how a stay ended.
-    pub fn ended(&mut self, now: Millis, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
             Outcome::Done { .. } => self.record_success(),
             Outcome::Failed => self.failure_ratio += (1.0 - self.failure_ratio) * SMOOTHING_RATIO,
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether the endpoint rests.
-    pub fn resting(&self, now: Millis) -> bool {
+    pub fn in_backoff(&self, now: Millis) -> bool {
         now < self.backoff_until
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Takes note whether a stream paused for too long.
-    pub fn paused(&mut self, long: bool) {
+    pub fn record_stall(&mut self, long: bool) {
         self.stall_ratio += (f64::from(u8::from(long)) - self.stall_ratio) * SMOOTHING_RATIO;
     }
 
@@ -93,7 +93,7 @@
     /// Takes note that something took a multiple of what is usual in its service.
     ///
     /// The first observations count more, so that a slow endpoint shows with its first answers.
-    pub fn paced(&mut self, pace: f64) {
+    pub fn record_speed(&mut self, pace: f64) {
         self.observations += 1.0;
         let weight = (1.0 / (self.observations + 1.0)).max(SMOOTHING_RATIO);
         self.speed_factor += (pace - self.speed_factor) * weight;
--- a/crates/siskinyoke-dispatch/src/leased_entries.rs
+++ b/crates/siskinyoke-dispatch/src/leased_entries.rs
@@ -20,13 +20,13 @@
 
 /// Entries of the store that live as long as their writer renews them.
 #[derive(Debug)]
-pub struct Listing<T> {
+pub struct LeasedEntries<T> {
     entries: BTreeMap<Arc<str>, Entry<T>>,
     unreachable: bool,
     regained: Option<Millis>,
 }
 
-impl<T> Default for Listing<T> {
+impl<T> Default for LeasedEntries<T> {
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -36,15 +36,15 @@
     }
 }
 
-impl<T> Listing<T> {
+impl<T> LeasedEntries<T> {
     /// Takes note that the store could not be reached.
-    pub fn store_lost(&mut self) {
+    pub fn store_unreachable(&mut self) {
         self.unreachable = true;
         self.regained = None;
     }
 
     /// Takes note that the store answers again.
-    pub fn store_back(&mut self, now: Millis) {
+    pub fn store_reachable(&mut self, now: Millis) {
         if self.unreachable {
             self.unreachable = false;
             self.regained = Some(now);
@@ -69,11 +69,11 @@
             return;
         };
         entry.expires.get_or_insert(now + grace);
-        self.sweep(now);
+        self.remove_expired(now);
     }
 
     /// Drops entries whose time is over, and returns whether there were any.
-    pub fn sweep(&mut self, now: Millis) -> bool {
+    pub fn remove_expired(&mut self, now: Millis) -> bool {
         let before = self.entries.len();
         self.entries
             .retain(|_, entry| entry.expires.is_none_or(|until| now < until));
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -64,7 +64,7 @@
 
 /// A request that is to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Query<'a> {
+pub struct PlacementQuery<'a> {
     /// The present time.
     pub now: Millis,
     /// The request.
@@ -83,7 +83,7 @@
     /// Its free places, as far as all instances' reports tell.
     pub left: u32,
     /// How many of these are not slots, but places in its queue.
-    pub extra: u32,
+    pub queue_slots: u32,
     /// Prompt tokens that it has still to read.
     pub unread: f64,
     /// Whether it takes much longer than the others.
@@ -91,14 +91,14 @@
     /// Whether the free places are this instance's alone, by its part of a rate limit.
     pub reserved: bool,
     /// The pace of the fastest endpoint of its service, with free places or without.
-    pub fastest: f64,
+    pub fastest_factor: f64,
 }
 
 /// What this instance has seen of the endpoints.
 ///
 /// Paces are told to peers: each instance would have to find the slow endpoints out by requests of its own.
 #[derive(Debug, Default)]
-pub struct Placing {
+pub struct EndpointSelector {
     centre: Arc<str>,
     // Of this instance; its preferences follow from it.
     name: Box<str>,
@@ -107,7 +107,7 @@
     peer_speeds: Map<u32, f64>,
 }
 
-impl Placing {
+impl EndpointSelector {
     /// Knows nothing yet of the endpoints; the instance of this name lies in a data centre.
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
@@ -120,20 +120,23 @@
 
     /// Takes note of how a stay ended.
     pub fn ended(&mut self, now: Millis, key: EndpointKey, outcome: Outcome) {
-        self.health.entry(key).or_default().ended(now, outcome);
+        self.health
+            .entry(key)
+            .or_default()
+            .record_outcome(now, outcome);
     }
 
     /// Takes note that something took `time` on an endpoint that usually takes `usual`.
     pub fn paced(&mut self, key: EndpointKey, time: Millis, usual: Millis) {
         if usual > Millis::ZERO {
             let pace = millis_to_f64(time) / millis_to_f64(usual);
-            self.health.entry(key).or_default().paced(pace);
+            self.health.entry(key).or_default().record_speed(pace);
         }
     }
 
     /// Takes note whether a stream paused for too long.
     pub fn paused(&mut self, key: EndpointKey, long: bool) {
-        self.health.entry(key).or_default().paused(long);
+        self.health.entry(key).or_default().record_stall(long);
     }
 
     /// Returns how long an endpoint takes for the same work, as a multiple of what is usual.
@@ -150,7 +153,7 @@
     }
 
     /// Returns whether nobody has seen yet how fast an endpoint is.
-    pub fn unknown(&self, key: EndpointKey) -> bool {
+    pub fn is_unobserved(&self, key: EndpointKey) -> bool {
         let seen = self.health.get(&key).map_or(0.0, Health::observations);
         seen == 0.0 && !self.peer_speeds.contains_key(&key.short())
     }
@@ -161,7 +164,7 @@
         clippy::cast_sign_loss,
         reason = "clamped to the range of a byte"
     )]
-    pub fn tell(&self, key: EndpointKey) -> u8 {
+    pub fn reported_speed(&self, key: EndpointKey) -> u8 {
         let seen = self.health.get(&key).filter(|it| it.observations() > 0.0);
         seen.map_or(0, |it| {
             (it.speed_factor() * SPEED_STEPS_PER_UNIT).clamp(1.0, 255.0) as u8
@@ -181,7 +184,7 @@
     /// Returns whether an endpoint rests after failures.
     pub fn resting(&self, now: Millis, key: EndpointKey) -> bool {
         let health = self.health.get(&key);
-        health.is_some_and(|health| health.resting(now))
+        health.is_some_and(|health| health.in_backoff(now))
     }
 
     /// Finds the best endpoint for a request among those with free places that it was not given to
@@ -189,7 +192,12 @@
     ///
     /// `usual` says whether the endpoints of a usual pace may be used; slow and reserved ones always may. A request with
     /// time to wait is given to no slow endpoint that would spoil it or the work there.
-    pub fn best(&self, query: &Query<'_>, candidates: &[Candidate], usual: bool) -> Option<usize> {
+    pub fn select(
+        &self,
+        query: &PlacementQuery<'_>,
+        candidates: &[Candidate],
+        usual: bool,
+    ) -> Option<usize> {
         let eligible = candidates.iter().enumerate().filter(|(_, candidate)| {
             candidate.left > 0
                 && (usual || candidate.slow || candidate.reserved)
@@ -199,7 +207,7 @@
         let (at, cost) = costs.min_by(|one, other| one.1.total().total_cmp(&other.1.total()))?;
         let unacceptable = candidates[at].slow && cost.is_unacceptable(query.can_wait);
         let should_wait =
-            query.can_wait && cost.times_out && !times_out(query, candidates[at].fastest);
+            query.can_wait && cost.times_out && !times_out(query, candidates[at].fastest_factor);
         (!unacceptable && !should_wait).then_some(at)
     }
 
@@ -211,7 +219,7 @@
     }
 
     /// Forgets endpoints that are not among the known ones.
-    pub fn forget(&mut self, known: &[EndpointKey]) {
+    pub fn retain_known(&mut self, known: &[EndpointKey]) {
         self.health.retain(|key, _| known.contains(key));
         self.peer_speeds
             .retain(|short, _| known.iter().any(|key| key.short() == *short));
@@ -223,8 +231,8 @@
         f64::from(u32::try_from(hash).unwrap_or(u32::MAX)) / f64::from(u32::MAX)
     }
 
-    fn cost(&self, query: &Query<'_>, candidate: &Candidate) -> Cost {
-        let Query {
+    fn cost(&self, query: &PlacementQuery<'_>, candidate: &Candidate) -> Cost {
+        let PlacementQuery {
             now, pending, load, ..
         } = query;
         let endpoint = &candidate.endpoint;
@@ -272,7 +280,7 @@
 }
 
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
-fn times_out(query: &Query<'_>, pace: f64) -> bool {
+fn times_out(query: &PlacementQuery<'_>, pace: f64) -> bool {
     let stay = millis_to_f64(query.load.service_time_of(&query.pending.tokens)) * pace;
     let margin = if query.can_wait {
         TIMEOUT_MARGIN_RATIO
--- a/crates/siskinyoke-dispatch/src/quarantine.rs
+++ b/crates/siskinyoke-dispatch/src/quarantine.rs
@@ -32,7 +32,7 @@
 
 impl Quarantine {
     /// Takes note that an endpoint died while it ran this work, as seen here or told by a peer.
-    pub fn crashed(&mut self, now: Millis, fingerprint: u64, endpoint: u32) {
+    pub fn record_crash(&mut self, now: Millis, fingerprint: u64, endpoint: u32) {
         let record = self.records.entry(fingerprint).or_default();
         if record.endpoints.len() >= MAX_CRASHES || record.endpoints.contains(&endpoint) {
             return;
@@ -43,12 +43,12 @@
     }
 
     /// Forgets work that ran to its end.
-    pub fn cleared(&mut self, fingerprint: u64) {
+    pub fn clear(&mut self, fingerprint: u64) {
         self.records.remove(&fingerprint);
     }
 
     /// Returns whether this work must not run any more.
-    pub fn refuses(&self, now: Millis, fingerprint: u64) -> bool {
+    pub fn is_quarantined(&self, now: Millis, fingerprint: u64) -> bool {
         self.records.get(&fingerprint).is_some_and(|record| {
             record.endpoints.len() >= MAX_CRASHES && now.since(record.last_crash) < QUARANTINE_TIME
         })
@@ -60,7 +60,7 @@
     }
 
     /// Returns what peers should know, latest first.
-    pub fn news(&self, most: usize) -> Vec<(u64, Vec<u32>)> {
+    pub fn recent_crashes(&self, most: usize) -> Vec<(u64, Vec<u32>)> {
         let mut all: Vec<_> = self.records.iter().collect();
         all.sort_by_key(|(fingerprint, record)| {
             (std::cmp::Reverse(record.last_crash), **fingerprint)
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -139,7 +139,7 @@
         names.push(&self.instance);
         for (endpoint, limit) in &mut self.limits {
             let Some(rate) = limit.rate() else { continue };
-            let rate = rate * view.registry.portion(*endpoint, max_holders(rate));
+            let rate = rate * view.registry.limit_share(*endpoint, max_holders(rate));
             // In a large fleet most limits belong to endpoints of other shards.
             let own_rate = if rate > 0.0 {
                 instance_rate(&self.instance, &names, *endpoint, rate)
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -6,12 +6,12 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::StoreUpdate;
-use crate::leased_entries::Listing;
+use crate::leased_entries::LeasedEntries;
 use crate::report::short_hash;
+use crate::rollout::EndpointRole;
 use crate::rollout::Order;
 use crate::rollout::Rollout;
 use crate::rollout::Status;
-use crate::rollout::Use;
 use crate::shards;
 use crate::stable_hash;
 use siskinyoke_base::Map;
@@ -30,7 +30,7 @@
 /// The endpoints that are known, by the key they have in the store.
 #[derive(Debug, Default)]
 pub struct Registry {
-    entries: Listing<Arc<Endpoint>>,
+    entries: LeasedEntries<Arc<Endpoint>>,
     departures: Map<EndpointKey, Millis>,
     shard: usize,
     // The number of instances in each shard.
@@ -47,16 +47,16 @@
 impl Registry {
     /// Takes note that the store could not be reached.
     pub fn store_lost(&mut self) {
-        self.entries.store_lost();
+        self.entries.store_unreachable();
     }
 
     /// Takes note that the store answers again.
     pub fn store_back(&mut self, now: Millis) {
-        self.entries.store_back(now);
+        self.entries.store_reachable(now);
     }
 
     /// Takes note of this instance's shard, and of the number of instances in each.
-    pub fn settle(&mut self, shard: usize, sizes: Vec<usize>) {
+    pub fn set_shards(&mut self, shard: usize, sizes: Vec<usize>) {
         if self.shard != shard || self.shard_sizes != sizes {
             self.shard = shard;
             self.shard_sizes = sizes;
@@ -103,7 +103,7 @@
     pub fn sweep(&mut self, now: Millis) {
         self.departures
             .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
-        if self.entries.sweep(now) {
+        if self.entries.remove_expired(now) {
             self.update_eligible();
         }
     }
@@ -134,7 +134,7 @@
     /// Takes in how far the order for a service has come.
     pub fn status(&mut self, service: &str, status: Status) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
-            rollout.take_status(status);
+            rollout.set_status(status);
         }
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Returns whether the fleet is divided into shards with endpoints of their own.
-    pub fn divided(&self) -> bool {
+    pub fn is_sharded(&self) -> bool {
         self.shard_sizes.len() > 1
     }
 
@@ -185,7 +185,7 @@
     ///
     /// An endpoint that several shards share has no more of them hold its limit than there are holders. Nothing of
     /// it is this shard's where the endpoint is another's.
-    pub(crate) fn portion(&self, endpoint: u32, holders: usize) -> f64 {
+    pub(crate) fn limit_share(&self, endpoint: u32, holders: usize) -> f64 {
         let Some(shards) = self.sharing_shards.get(&endpoint) else {
             return 0.0;
         };
@@ -239,15 +239,15 @@
         let mut sharing_shards = Map::default();
         for (service, rollout) in &mut self.rollouts {
             let endpoints = services.get(service).into_iter().flatten();
-            rollout.take_endpoints(endpoints.map(|it| &**it));
+            rollout.update_slots(endpoints.map(|it| &**it));
         }
         for (service, endpoints) in &mut services {
             if let Some(rollout) = self.rollouts.get(service) {
                 let mut new = endpoints.clone();
-                new.retain(|it| rollout.usage(it) == Use::Canary);
+                new.retain(|it| rollout.role(it) == EndpointRole::Canary);
                 let mut new = self.own_endpoints(&new, &mut sharing_shards);
                 new.truncate(rollout.canaries());
-                endpoints.retain(|it| rollout.usage(it) == Use::Full);
+                endpoints.retain(|it| rollout.role(it) == EndpointRole::Serving);
                 self.canaries.insert(service.clone(), new);
             }
             *endpoints = self.own_endpoints(endpoints, &mut sharing_shards);
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -101,9 +101,9 @@
 
 /// What an endpoint may get of its service's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum EndpointRole {
     /// All that comes.
-    Full,
+    Serving,
     /// What is drawn for the new version.
     Canary,
     /// Nothing.
@@ -184,7 +184,7 @@
     }
 
     /// Returns the revision that the order has in the store, 0 once it was withdrawn.
-    pub fn standing_revision(&self) -> u64 {
+    pub fn order_revision(&self) -> u64 {
         if self.withdrawn {
             0
         } else {
@@ -193,12 +193,12 @@
     }
 
     /// Takes in the status that the store holds; one of an earlier order says nothing of this one.
-    pub fn take_status(&mut self, status: Status) {
+    pub fn set_status(&mut self, status: Status) {
         self.status = Some(status);
     }
 
     /// Takes note of the service's endpoints.
-    pub fn take_endpoints<'a>(&mut self, endpoints: impl Iterator<Item = &'a Endpoint>) {
+    pub fn update_slots<'a>(&mut self, endpoints: impl Iterator<Item = &'a Endpoint>) {
         self.slots = [0, 0];
         for endpoint in endpoints {
             let new = endpoint.version == self.order.version;
@@ -217,7 +217,7 @@
     }
 
     /// Takes in what a peer says of its own answers; those of another `shard` are not counted here.
-    pub fn heard(&mut self, now: Millis, source: u64, canary: &CanaryReport, shard: bool) {
+    pub fn record_peer(&mut self, now: Millis, source: u64, canary: &CanaryReport, shard: bool) {
         if canary.order != self.order.revision {
             return;
         }
@@ -242,13 +242,13 @@
     }
 
     /// Returns whether peers have something to hear.
-    pub fn tells(&self) -> bool {
+    pub fn has_report(&self) -> bool {
         self.is_comparing() || (self.failed && !self.is_decided())
     }
 
     /// Counts a request, and returns whether it is for the new version; `bound` is the largest part of
     /// requests that one on trial may get.
-    pub fn draw(&mut self, now: Millis, bound: f64) -> bool {
+    pub fn select_canary(&mut self, now: Millis, bound: f64) -> bool {
         if !matches!(self.phase, Phase::Trial | Phase::Ramp) || self.slots[0] == 0 {
             return false;
         }
@@ -267,7 +267,7 @@
     }
 
     /// Takes note of an answer, good or bad, of a route.
-    pub fn answered(&mut self, now: Millis, sample: Sample) {
+    pub fn record_answer(&mut self, now: Millis, sample: Sample) {
         if self.is_comparing() {
             self.tally.add(now, sample);
             self.evaluate(now);
@@ -275,17 +275,17 @@
     }
 
     /// Returns what an endpoint may get.
-    pub fn usage(&self, endpoint: &Endpoint) -> Use {
+    pub fn role(&self, endpoint: &Endpoint) -> EndpointRole {
         let new = endpoint.version == self.order.version;
         if !new && self.excluded_versions.contains(&endpoint.version) {
-            return Use::None;
+            return EndpointRole::None;
         }
         match (self.phase, new) {
-            (Phase::Trial | Phase::Ramp, true) => Use::Canary,
-            (Phase::Moved | Phase::Completed, false) => Use::None,
+            (Phase::Trial | Phase::Ramp, true) => EndpointRole::Canary,
+            (Phase::Moved | Phase::Completed, false) => EndpointRole::None,
             // Where no other version may be used, the ordered one was standing before.
-            (Phase::RolledBack, true) if self.stable_seen => Use::None,
-            _ => Use::Full,
+            (Phase::RolledBack, true) if self.stable_seen => EndpointRole::None,
+            _ => EndpointRole::Serving,
         }
     }
 
@@ -310,7 +310,7 @@
     }
 
     /// Returns the state that is to be written, by an instance of this position in turn.
-    pub fn due(&self, now: Millis, position: usize) -> Option<State> {
+    pub fn due_state(&self, now: Millis, position: usize) -> Option<State> {
         if self.is_decided() {
             return None;
         }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -29,7 +29,7 @@
 use crate::latency_model::millis_to_f64;
 use crate::overload_window::OverloadWindow;
 use crate::peers::Peers;
-use crate::placement::Placing;
+use crate::placement::EndpointSelector;
 use crate::queue::Queue;
 use crate::queue::QueueKey;
 use crate::rate_limits::RateLimits;
@@ -86,7 +86,7 @@
 /// The queues before the endpoints.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    placing: Placing,
+    placing: EndpointSelector,
     queues: BTreeMap<Arc<str>, Queue>,
     waiting: Map<Ticket, ScheduledRequest>,
     running: Map<Ticket, RunningRequest>,
@@ -109,7 +109,7 @@
     /// Makes empty queues for an instance of this name in a data centre.
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
-            placing: Placing::new(name, centre),
+            placing: EndpointSelector::new(name, centre),
             rate_limits: RateLimits::new(name),
             ..Self::default()
         }
@@ -150,7 +150,7 @@
             return Ok(self.enqueue(pending));
         }
         // Another shard may have a place: it is asked before the request is refused.
-        if registry.divided() && !self.recently_declined(now, &pending.service) {
+        if registry.is_sharded() && !self.recently_declined(now, &pending.service) {
             return Ok(self.enqueue(ScheduledRequest {
                 needs_loan: true,
                 ..pending
@@ -311,7 +311,7 @@
     /// Returns this instance's requests at each endpoint.
     pub fn endpoint_usage(&self) -> Vec<RunningRow> {
         let counts = self.in_flight.iter().map(|(key, busy)| RunningRow {
-            speed_factor: self.placing.tell(*key),
+            speed_factor: self.placing.reported_speed(*key),
             ..*busy
         });
         counts.collect()
@@ -342,7 +342,7 @@
     /// Forgets endpoints that are gone.
     pub fn prune_endpoints(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
-        self.placing.forget(&known);
+        self.placing.retain_known(&known);
         self.rate_limits.retain_endpoints(&known);
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -24,7 +24,7 @@
 use crate::latency_model::millis_to_f64;
 use crate::message::SlotRequest;
 use crate::placement::Candidate;
-use crate::placement::Query;
+use crate::placement::PlacementQuery;
 use crate::report::short_hash;
 use siskinyoke_base::Millis;
 
@@ -80,7 +80,7 @@
     ) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let askable = self.queues.iter().flat_map(|(service, queue)| {
-            let place = view.registry.divided() && !self.recently_declined(now, service);
+            let place = view.registry.is_sharded() && !self.recently_declined(now, service);
             let reserved = self.should_ask_holders(view, service);
             let tickets = queue.iter().filter(move |_| place || reserved);
             tickets.map(move |it| (it.2, place, reserved))
@@ -217,13 +217,13 @@
         candidates: &[Candidate],
     ) -> Option<EndpointKey> {
         let load = self.latency_model(&guest.service);
-        let query = Query {
+        let query = PlacementQuery {
             now,
             pending: guest,
             load: &load,
             can_wait: true,
         };
-        let at = self.placing.best(&query, candidates, true)?;
+        let at = self.placing.select(&query, candidates, true)?;
         Some(candidates[at].endpoint.key())
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -13,8 +13,8 @@
 use crate::latency_model::LatencyModel;
 use crate::pending::QueueOrder;
 use crate::placement::Candidate;
-use crate::placement::Placing;
-use crate::placement::Query;
+use crate::placement::EndpointSelector;
+use crate::placement::PlacementQuery;
 use crate::queue::QueueKey;
 use crate::report::WaitingRow;
 use crate::report::short_hash;
@@ -47,16 +47,16 @@
     // Where that version has no slot, the standing one serves what was drawn for it.
     fn pick(
         &mut self,
-        placing: &Placing,
-        query: &Query<'_>,
+        placing: &EndpointSelector,
+        query: &PlacementQuery<'_>,
         usual: bool,
     ) -> Option<(&mut Candidate, bool)> {
         let canary = query.pending.canary;
-        let canary = canary.then(|| placing.best(query, &self.canaries, true));
+        let canary = canary.then(|| placing.select(query, &self.canaries, true));
         if let Some(at) = canary.flatten() {
             return Some((&mut self.canaries[at], true));
         }
-        let at = placing.best(query, &self.free, usual)?;
+        let at = placing.select(query, &self.free, usual)?;
         Some((&mut self.free[at], false))
     }
 
@@ -91,7 +91,7 @@
             }
             let pending = &self.waiting[&ticket];
             let timeout = pending.arrived + wait::queue_timeout(pending, load);
-            let query = Query {
+            let query = PlacementQuery {
                 now,
                 pending,
                 load: &load,
@@ -117,7 +117,10 @@
         waiting: usize,
     ) -> OpenEndpoints {
         let mut free = self.candidates(view, view.registry.fit(service));
-        let slots: u32 = free.iter().map(|it| it.left.saturating_sub(it.extra)).sum();
+        let slots: u32 = free
+            .iter()
+            .map(|it| it.left.saturating_sub(it.queue_slots))
+            .sum();
         // As more requests wait than there are free slots, fast endpoints' queues take some of them.
         if waiting <= slots as usize {
             drop_queue_slots(&mut free);
@@ -159,11 +162,11 @@
                 (left > 0).then(|| Candidate {
                     endpoint: endpoint.clone(),
                     left,
-                    extra,
+                    queue_slots: extra,
                     unread: f64::from(ours) + f64::from(theirs),
                     slow: self.placing.slow(key, fastest),
                     reserved: tokens.is_some(),
-                    fastest,
+                    fastest_factor: fastest,
                 })
             })
             .collect()
@@ -172,7 +175,7 @@
     // How many requests an endpoint is given at once, and how many more its queue may take.
     fn slot_limits(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
-        if self.placing.unknown(key) {
+        if self.placing.is_unobserved(key) {
             let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
             return (few.min(endpoint.slots), 0);
         }
@@ -227,15 +230,15 @@
 // Leaves only slots.
 fn drop_queue_slots(candidates: &mut Vec<Candidate>) {
     for candidate in candidates.iter_mut() {
-        candidate.left = candidate.left.saturating_sub(candidate.extra);
-        candidate.extra = 0;
+        candidate.left = candidate.left.saturating_sub(candidate.queue_slots);
+        candidate.queue_slots = 0;
     }
     candidates.retain(|it| it.left > 0);
 }
 
 // What goes before a request that is sent to a candidate now.
 fn backlog(candidate: &Candidate, load: LatencyModel) -> Backlog {
-    let queued = candidate.left <= candidate.extra;
+    let queued = candidate.left <= candidate.queue_slots;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
         prefill_tokens: candidate.unread,
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -73,7 +73,7 @@
 pub fn endpoint(id: &str, slots: u32) -> Endpoint {
     Endpoint {
         id: id.into(),
-        born: 1,
+        started_ms: 1,
         service: "lm".into(),
         version: "".into(),
         address: "10.0.0.1:80".into(),
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -355,7 +355,7 @@
             let machine = &mut self.endpoints[at];
             if machine.down_until.is_some_and(|back| back <= self.now) {
                 machine.down_until = None;
-                machine.endpoint.born += 1;
+                machine.endpoint.started_ms += 1;
                 for core in &mut self.cores {
                     core.registry()
                         .put(Millis(self.now), machine.endpoint.clone());
@@ -420,7 +420,7 @@
         if machine.down_until.is_some() {
             return self.finish_attempt(number, Outcome::Unreached);
         }
-        if machine.endpoint.born != endpoint.born {
+        if machine.endpoint.started_ms != endpoint.started_ms {
             return self.finish_attempt(number, Outcome::Moved);
         }
         if machine.running.len() >= SLOTS_PER_ENDPOINT as usize {
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -7,7 +7,7 @@
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Report;
-use siskinyoke_dispatch::directory::choose;
+use siskinyoke_dispatch::directory::select_instances;
 use siskinyoke_dispatch::peers::Peers;
 use siskinyoke_dispatch::peers::Received;
 
@@ -71,7 +71,7 @@
 #[test]
 fn callers_are_sent_to_instances_of_their_own_data_centre() {
     let ready = [place("n1", "a"), place("n2", "a"), place("far", "b")];
-    assert_eq!(choose("a", ready.iter()), ["n1:1", "n2:1"]);
+    assert_eq!(select_instances("a", ready.iter()), ["n1:1", "n2:1"]);
 }
 
 // A data centre has one instance left. Callers that know only that one have nowhere to go when
@@ -79,7 +79,7 @@
 #[test]
 fn one_near_instance_is_not_named_alone() {
     let ready = [place("n1", "a"), place("far", "b")];
-    assert_eq!(choose("a", ready.iter()), ["far:1", "n1:1"]);
+    assert_eq!(select_instances("a", ready.iter()), ["far:1", "n1:1"]);
 }
 
 #[test]
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -20,8 +20,8 @@
 use siskinyoke_dispatch::latency_model::LatencyModel;
 use siskinyoke_dispatch::peers::Peers;
 use siskinyoke_dispatch::placement::Candidate;
-use siskinyoke_dispatch::placement::Placing;
-use siskinyoke_dispatch::placement::Query;
+use siskinyoke_dispatch::placement::EndpointSelector;
+use siskinyoke_dispatch::placement::PlacementQuery;
 use siskinyoke_dispatch::registry::Registry;
 use siskinyoke_dispatch::report::RunningRow;
 
@@ -205,7 +205,7 @@
 fn a_stream_passes_by_an_endpoint_whose_streams_paused_lately() {
     let load = LatencyModel::default();
     let pending = stream(0, 100.0, 60.0);
-    let query = Query {
+    let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
         load: &load,
@@ -215,23 +215,23 @@
     let candidates = [Candidate {
         endpoint: slow.clone(),
         left: 12,
-        extra: 0,
+        queue_slots: 0,
         unread: 0.0,
         slow: true,
         reserved: false,
-        fastest: 1.0,
+        fastest_factor: 1.0,
     }];
-    let mut placing = Placing::new("me", "a");
-    assert_eq!(placing.best(&query, &candidates, true), Some(0));
+    let mut placing = EndpointSelector::new("me", "a");
+    assert_eq!(placing.select(&query, &candidates, true), Some(0));
     for _ in 0..10 {
         placing.paused(slow.key(), true);
     }
-    assert_eq!(placing.best(&query, &candidates, true), None);
-    let late = Query {
+    assert_eq!(placing.select(&query, &candidates, true), None);
+    let late = PlacementQuery {
         can_wait: false,
         ..query
     };
-    assert_eq!(placing.best(&late, &candidates, true), Some(0));
+    assert_eq!(placing.select(&late, &candidates, true), Some(0));
 }
 
 // A prompt of 6,000 tokens at a slow endpoint holds up all who are served there; an empty one holds up nobody.
@@ -250,13 +250,13 @@
     assert!(load.expected_pause(1_000.0) < load.expected_pause(5_000.0));
     assert!(load.expected_pause(50_000.0) <= 110.0);
     let pending = stream(0, 8_000.0, 20.0);
-    let query = Query {
+    let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
         load: &load,
         can_wait: false,
     };
-    let mut placing = Placing::new("me", "a");
+    let mut placing = EndpointSelector::new("me", "a");
     let slow = Arc::new(endpoint("slow", 12));
     placing.heard(&[RunningRow {
         speed_factor: SLOW,
@@ -266,15 +266,15 @@
         [Candidate {
             endpoint: slow.clone(),
             left,
-            extra: 0,
+            queue_slots: 0,
             unread: 0.0,
             slow: true,
             reserved: false,
-            fastest: 1.0,
+            fastest_factor: 1.0,
         }]
     };
-    assert_eq!(placing.best(&query, &candidate(4), true), None);
-    assert_eq!(placing.best(&query, &candidate(12), true), Some(0));
+    assert_eq!(placing.select(&query, &candidate(4), true), None);
+    assert_eq!(placing.select(&query, &candidate(12), true), Some(0));
 }
 
 // A long answer goes to an endpoint that is a little slower than usual, and its caller leaves before it is whole. At a
@@ -289,26 +289,26 @@
         deadline: left,
         ..pending
     };
-    let query = Query {
+    let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
         load: &load,
         can_wait: true,
     };
-    let placing = Placing::new("me", "a");
+    let placing = EndpointSelector::new("me", "a");
     let candidates = |fastest| {
         [Candidate {
             endpoint: Arc::new(endpoint("usual", 6)),
             left: 6,
-            extra: 0,
+            queue_slots: 0,
             unread: 0.0,
             slow: false,
             reserved: false,
-            fastest,
+            fastest_factor: fastest,
         }]
     };
     assert_eq!(
-        placing.best(&query, &candidates(1.0), true),
+        placing.select(&query, &candidates(1.0), true),
         Some(0),
         "enough time"
     );
@@ -316,22 +316,22 @@
         deadline: Millis(left.0 - 100),
         ..pending.clone()
     };
-    let query = Query {
+    let query = PlacementQuery {
         pending: &short,
         ..query
     };
-    assert_eq!(placing.best(&query, &candidates(0.5), true), None);
+    assert_eq!(placing.select(&query, &candidates(0.5), true), None);
     assert_eq!(
-        placing.best(&query, &candidates(1.0), true),
+        placing.select(&query, &candidates(1.0), true),
         Some(0),
         "none is faster"
     );
-    let late = Query {
+    let late = PlacementQuery {
         can_wait: false,
         ..query
     };
     assert_eq!(
-        placing.best(&late, &candidates(0.5), true),
+        placing.select(&late, &candidates(0.5), true),
         Some(0),
         "it cannot wait"
     );
--- a/crates/siskinyoke-dispatch/tests/registry.rs
+++ b/crates/siskinyoke-dispatch/tests/registry.rs
@@ -43,7 +43,7 @@
     registry.put(
         Millis(9),
         Endpoint {
-            born: 2,
+            started_ms: 2,
             ..endpoint("e", 1)
         },
     );
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -8,12 +8,12 @@
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::StoreUpdate;
+use siskinyoke_dispatch::rollout::EndpointRole;
 use siskinyoke_dispatch::rollout::Order;
 use siskinyoke_dispatch::rollout::Phase;
 use siskinyoke_dispatch::rollout::Rollout;
 use siskinyoke_dispatch::rollout::State;
 use siskinyoke_dispatch::rollout::Status;
-use siskinyoke_dispatch::rollout::Use;
 
 const SPAN: Millis = Millis(10_000);
 
@@ -37,32 +37,32 @@
 fn begun(version: &str, versions: &[&str]) -> Rollout {
     let mut rollout = Rollout::begin(Millis(0), order(version, 5), None, 0.5);
     let endpoints: Vec<_> = versions.iter().map(|it| of(it)).collect();
-    rollout.take_endpoints(endpoints.iter());
+    rollout.update_slots(endpoints.iter());
     rollout.advance(Millis(1));
     rollout
 }
 
 fn ends(rollout: &mut Rollout) -> Option<State> {
     rollout.advance(SPAN);
-    rollout.due(SPAN, 0)
+    rollout.due_state(SPAN, 0)
 }
 
 // Traffic was taken from the only version there is, as it was on trial.
 #[test]
 fn an_order_for_the_version_in_force_takes_no_traffic_away() {
     let mut rollout = begun("v1", &["v1"]);
-    assert_eq!(rollout.usage(&of("v1")), Use::Full);
+    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
     assert_eq!(ends(&mut rollout), Some(State::Completed));
-    assert_eq!(rollout.usage(&of("v1")), Use::Full);
+    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
 }
 
 // Completed without its endpoints, the old ones would stop and nobody would be served.
 #[test]
 fn an_order_whose_endpoints_never_come_is_rolled_back() {
     let mut rollout = begun("v2", &["v1"]);
-    assert!(!rollout.draw(Millis(1), 1.0));
+    assert!(!rollout.select_canary(Millis(1), 1.0));
     assert_eq!(ends(&mut rollout), Some(State::RolledBack));
-    assert_eq!(rollout.usage(&of("v1")), Use::Full);
+    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
 }
 
 // One endpoint of the new version would get the traffic of ten.
@@ -77,12 +77,12 @@
     let mut rollout = begun("v2", &["v1", "v2"]);
     rollout.advance(Millis(9_000));
     assert_eq!(rollout.phase(), Phase::Moved);
-    assert_eq!(rollout.usage(&of("v1")), Use::None);
+    assert_eq!(rollout.role(&of("v1")), EndpointRole::None);
     rollout.withdraw();
     rollout.advance(Millis(9_001));
-    assert_eq!(rollout.usage(&of("v1")), Use::Full);
-    assert_eq!(rollout.usage(&of("v2")), Use::None);
-    assert_eq!(rollout.due(Millis(9_001), 0), Some(State::RolledBack));
+    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
+    assert_eq!(rollout.role(&of("v2")), EndpointRole::None);
+    assert_eq!(rollout.due_state(Millis(9_001), 0), Some(State::RolledBack));
 }
 
 // A second order comes before the first has an outcome. The version that was on trial is not taken for the standing one.
@@ -91,10 +91,17 @@
     let before = begun("v2", &["v1", "v2"]);
     let mut rollout = Rollout::begin(Millis(10), order("v3", 9), Some(before), 0.5);
     let endpoints = [of("v1"), of("v2"), of("v3")];
-    rollout.take_endpoints(endpoints.iter());
+    rollout.update_slots(endpoints.iter());
     rollout.advance(Millis(11));
-    let uses = endpoints.each_ref().map(|it| rollout.usage(it));
-    assert_eq!(uses, [Use::Full, Use::None, Use::Canary]);
+    let uses = endpoints.each_ref().map(|it| rollout.role(it));
+    assert_eq!(
+        uses,
+        [
+            EndpointRole::Serving,
+            EndpointRole::None,
+            EndpointRole::Canary
+        ]
+    );
 }
 
 // Guards against a service without any endpoint: the way back was ordered and then withdrawn.
@@ -103,12 +110,12 @@
     let before = begun("v2", &["v1", "v2"]);
     let mut rollout = Rollout::begin(Millis(10), order("v1", 9), Some(before), 0.5);
     let endpoints = [of("v1"), of("v2")];
-    rollout.take_endpoints(endpoints.iter());
+    rollout.update_slots(endpoints.iter());
     rollout.advance(Millis(11));
     rollout.withdraw();
     rollout.advance(Millis(12));
-    let uses = endpoints.each_ref().map(|it| rollout.usage(it));
-    assert_eq!(uses, [Use::Full, Use::None]);
+    let uses = endpoints.each_ref().map(|it| rollout.role(it));
+    assert_eq!(uses, [EndpointRole::Serving, EndpointRole::None]);
 }
 
 // A process starts after the outcome. In the store's order of keys a state may come before its order.
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -116,7 +116,7 @@
                     },
                 );
             }
-            registry.settle(shard, vec![9; 8]);
+            registry.set_shards(shard, vec![9; 8]);
             assert!(!registry.fit("lm").is_empty());
             seen.extend(registry.fit("lm").iter().map(|it| it.id.to_string()));
             given += registry.fit("lm").iter().map(|it| it.slots).sum::<u32>();
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -162,7 +162,7 @@
         StoreUpdate::Endpoint(endpoint) => {
             let fields = json!({
                 "endpoint": &*endpoint.id,
-                "born": endpoint.born,
+                "born": endpoint.started_ms,
                 "service": &*endpoint.service,
                 "draining": endpoint.draining,
             });
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -96,7 +96,7 @@
         let fields = json!({
             "id": self.id,
             "endpoint": &*endpoint.id,
-            "born": endpoint.born,
+            "born": endpoint.started_ms,
             "version": &*endpoint.version,
             "outcome": name(outcome),
             "since_arrival_ms": self.shell.now().since(self.pass.arrived).0,
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -66,7 +66,7 @@
         }
         Ok(Endpoint {
             id: id.into(),
-            born: entry.born,
+            started_ms: entry.born,
             service: entry.service,
             version: entry.version,
             address: entry.address,
--- a/crates/siskinyoke-native/tests/exchange.rs
+++ b/crates/siskinyoke-native/tests/exchange.rs
@@ -29,7 +29,7 @@
 fn endpoint() -> Endpoint {
     Endpoint {
         id: "fast-1".into(),
-        born: 0,
+        started_ms: 0,
         service: "qalam".into(),
         version: "".into(),
         address: "10.0.0.1:8000".into(),
