--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -24,13 +24,13 @@
         let source = report.source;
         let mut in_shard = true;
         if let Some(about) = &report.info {
-            if about.name == self.me.name {
+            if about.name == self.identity.name {
                 return false;
             }
             self.learn(now, about);
             in_shard = self.in_shard(&about.name);
         }
-        self.hear_canaries(now, &report, in_shard);
+        self.receive_canaries(now, &report, in_shard);
         self.hear_limits(now, &report.limits);
         if !in_shard {
             self.peers.remove(source);
@@ -59,28 +59,28 @@
         }
         for (print, endpoints) in &about.quarantine {
             for endpoint in endpoints {
-                self.quarantine.crashed(now, *print, *endpoint);
+                self.quarantine.record_crash(now, *print, *endpoint);
             }
         }
     }
 
     /// Makes the next report to peers, with what seldom changes if `whole` is set.
     pub fn report(&mut self, now: Millis, whole: bool) -> Report {
-        self.number += 1;
+        self.report_number += 1;
         let since = if whole {
             Millis::ZERO
         } else {
             Millis(now.0.saturating_sub(RECENT.0))
         };
         Report {
-            source: self.me.source,
+            source: self.identity.source,
             age: self.age(now).0,
-            number: self.number,
+            number: self.report_number,
             ready: self.ready(),
             leaving: self.leaving,
-            configuration: self.version(),
-            revision: self.view.revision,
-            store_reachable: self.view.reaches,
+            configuration: self.configuration_version(),
+            revision: self.store_view.revision,
+            store_reachable: self.store_view.reaches,
             running: self.scheduler.endpoint_usage(),
             waiting: self.scheduler.queue_summary(now),
             quota_used: self.quotas.usage(since),
@@ -91,22 +91,22 @@
     }
 
     fn canaries(&self, now: Millis) -> Vec<CanaryReport> {
-        let rollouts = self.registry.rollouts().filter(|it| it.tells());
+        let rollouts = self.registry.rollouts().filter(|it| it.has_report());
         rollouts.map(|it| it.tell(now)).collect()
     }
 
     pub(super) fn about(&self, now: Millis) -> InstanceInfo {
         InstanceInfo {
-            name: self.me.name.clone(),
-            location: self.me.place.clone(),
+            name: self.identity.name.clone(),
+            location: self.identity.place.clone(),
             leaving_endpoints: self.registry.news(),
-            quarantine: self.quarantine.news(TOLD),
+            quarantine: self.quarantine.recent_crashes(TOLD),
             peers: self.inner_addresses(now),
         }
     }
 
     pub(super) fn age(&self, now: Millis) -> Millis {
-        self.started
+        self.configured_at
             .map_or(Millis::ZERO, |started| now.since(started))
     }
 }
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -6,12 +6,12 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::StoreUpdate;
-use crate::listing::Listing;
+use crate::leased_entries::LeasedEntries;
 use crate::report::short_hash;
+use crate::rollout::EndpointRole;
 use crate::rollout::Order;
 use crate::rollout::Rollout;
 use crate::rollout::Status;
-use crate::rollout::Use;
 use crate::shards;
 use crate::stable_hash;
 use siskinyoke_base::Map;
@@ -19,55 +19,55 @@
 
 /// How many endpoints known to have left are told to peers; the latest are enough, as the store
 /// tells the same within seconds.
-const TOLD: usize = 16;
+const MAX_REPORTED_DEPARTURES: usize = 16;
 
 /// How long a start that left is remembered: no entry of it comes that late.
-const REMEMBERED: Millis = Millis::from_secs(600);
+const DEPARTURE_RETENTION: Millis = Millis::from_secs(600);
 
 /// The endpoints that each shard needs of a service, so that a failed request has another to go to.
-const FEWEST: usize = 2;
+const MIN_SHARD_ENDPOINTS: usize = 2;
 
 /// The endpoints that are known, by the key they have in the store.
 #[derive(Debug, Default)]
 pub struct Registry {
-    listing: Listing<Arc<Endpoint>>,
-    leavers: Map<EndpointKey, Millis>,
+    entries: LeasedEntries<Arc<Endpoint>>,
+    departures: Map<EndpointKey, Millis>,
     shard: usize,
     // The number of instances in each shard.
-    shards: Vec<usize>,
+    shard_sizes: Vec<usize>,
     // The endpoints that may get new work from here, by service.
-    fit: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
+    eligible: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
     // Those that get what is drawn for the version on trial.
     canaries: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
     rollouts: BTreeMap<Arc<str>, Rollout>,
     // The shards that use an endpoint of this one's, by its shortened key: several where they share it.
-    sharers: Map<u32, Vec<usize>>,
+    sharing_shards: Map<u32, Vec<usize>>,
 }
 
 impl Registry {
     /// Takes note that the store could not be reached.
     pub fn store_lost(&mut self) {
-        self.listing.store_lost();
+        self.entries.store_unreachable();
     }
 
     /// Takes note that the store answers again.
     pub fn store_back(&mut self, now: Millis) {
-        self.listing.store_back(now);
+        self.entries.store_reachable(now);
     }
 
     /// Takes note of this instance's shard, and of the number of instances in each.
-    pub fn settle(&mut self, shard: usize, shards: Vec<usize>) {
-        if self.shard != shard || self.shards != shards {
+    pub fn set_shards(&mut self, shard: usize, sizes: Vec<usize>) {
+        if self.shard != shard || self.shard_sizes != sizes {
             self.shard = shard;
-            self.shards = shards;
-            self.choose();
+            self.shard_sizes = sizes;
+            self.update_eligible();
         }
     }
 
     /// Adds an endpoint or replaces what it said of itself.
     pub fn put(&mut self, now: Millis, endpoint: Endpoint) {
         self.add(now, endpoint);
-        self.choose();
+        self.update_eligible();
     }
 
     /// Takes in changes of endpoints' entries, all at once.
@@ -75,7 +75,7 @@
         for item in news {
             match item {
                 StoreUpdate::Endpoint(endpoint) => self.add(now, endpoint),
-                StoreUpdate::EndpointRemoved(id) => self.listing.remove(now, &id),
+                StoreUpdate::EndpointRemoved(id) => self.entries.remove(now, &id),
                 StoreUpdate::Instance(..)
                 | StoreUpdate::InstanceRemoved(_)
                 | StoreUpdate::RolloutOrder(_)
@@ -83,33 +83,34 @@
                 | StoreUpdate::RolloutStatus(..) => {}
             }
         }
-        self.choose();
+        self.update_eligible();
     }
 
     /// Takes note that an endpoint's entry is gone.
     pub fn remove(&mut self, now: Millis, id: &str) {
-        self.listing.remove(now, id);
-        self.choose();
+        self.entries.remove(now, id);
+        self.update_eligible();
     }
 
     /// Takes over from a peer that an endpoint is leaving or gone.
     pub fn left(&mut self, now: Millis, key: EndpointKey) {
-        if self.leavers.insert(key, now).is_none() {
-            self.choose();
+        if self.departures.insert(key, now).is_none() {
+            self.update_eligible();
         }
     }
 
     /// Drops entries whose time is over.
     pub fn sweep(&mut self, now: Millis) {
-        self.leavers.retain(|_, at| now.since(*at) < REMEMBERED);
-        if self.listing.sweep(now) {
-            self.choose();
+        self.departures
+            .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
+        if self.entries.remove_expired(now) {
+            self.update_eligible();
         }
     }
 
     /// Returns the endpoints of a service that may get new work from here, in a fixed order.
     pub fn fit(&self, service: &str) -> &[Arc<Endpoint>] {
-        self.fit.get(service).map_or(&[], Vec::as_slice)
+        self.eligible.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the endpoints that get what is drawn for the version on trial.
@@ -127,13 +128,13 @@
         let before = self.rollouts.remove(&service);
         let rollout = Rollout::begin(now, order, before, draw);
         self.rollouts.insert(service, rollout);
-        self.choose();
+        self.update_eligible();
     }
 
     /// Takes in how far the order for a service has come.
     pub fn status(&mut self, service: &str, status: Status) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
-            rollout.take_status(status);
+            rollout.set_status(status);
         }
     }
 
@@ -158,34 +159,34 @@
         let changed = rollouts.filter_map(|row| row.1.advance(now).then(|| row.0.clone()));
         let changed: Vec<_> = changed.collect();
         if !changed.is_empty() {
-            self.choose();
+            self.update_eligible();
         }
         changed
     }
 
     /// Returns whether the fleet is divided into shards with endpoints of their own.
-    pub fn divided(&self) -> bool {
-        self.shards.len() > 1
+    pub fn is_sharded(&self) -> bool {
+        self.shard_sizes.len() > 1
     }
 
     /// Returns the service of a hashed name that has endpoints here.
     pub fn service(&self, name: u32) -> Option<Arc<str>> {
-        let known = self.fit.keys().find(|it| short_hash(it) == name);
+        let known = self.eligible.keys().find(|it| short_hash(it) == name);
         known.cloned()
     }
 
     /// Returns an endpoint of any shard that may get new work.
     pub fn find(&self, key: EndpointKey) -> Option<&Arc<Endpoint>> {
         let found = self.all().find(|it| it.key() == key);
-        found.filter(|it| !self.leaving(it))
+        found.filter(|it| !self.is_leaving(it))
     }
 
     /// Returns the part of a limit that is this instance's shard's, of a limit that has so many holders.
     ///
     /// An endpoint that several shards share has no more of them hold its limit than there are holders. Nothing of
     /// it is this shard's where the endpoint is another's.
-    pub(crate) fn portion(&self, endpoint: u32, holders: usize) -> f64 {
-        let Some(shards) = self.sharers.get(&endpoint) else {
+    pub(crate) fn limit_share(&self, endpoint: u32, holders: usize) -> f64 {
+        let Some(shards) = self.sharing_shards.get(&endpoint) else {
             return 0.0;
         };
         let rank = |shard: &usize| stable_hash(&(endpoint, shard));
@@ -199,28 +200,35 @@
 
     /// Returns all endpoints that are known.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
-        self.listing.iter().map(|row| row.1)
+        self.entries.iter().map(|row| row.1)
     }
 
     /// Returns the endpoints known to be leaving or gone that peers should hear of.
     pub fn news(&self) -> Vec<EndpointKey> {
-        let mut all: Vec<_> = self.leavers.iter().map(|(key, at)| (*at, *key)).collect();
+        let mut all: Vec<_> = self
+            .departures
+            .iter()
+            .map(|(key, at)| (*at, *key))
+            .collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
-        all.into_iter().take(TOLD).map(|(_, key)| key).collect()
+        all.into_iter()
+            .take(MAX_REPORTED_DEPARTURES)
+            .map(|(_, key)| key)
+            .collect()
     }
 
     fn add(&mut self, now: Millis, endpoint: Endpoint) {
         if endpoint.draining {
-            self.leavers.insert(endpoint.key(), now);
+            self.departures.insert(endpoint.key(), now);
         }
         let id = endpoint.id.clone();
-        self.listing.put(&id, Arc::new(endpoint));
+        self.entries.put(&id, Arc::new(endpoint));
     }
 
-    fn choose(&mut self) {
+    fn update_eligible(&mut self) {
         let mut services: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>> = BTreeMap::new();
-        for endpoint in self.listing.iter().map(|row| row.1) {
-            if !self.leaving(endpoint) {
+        for endpoint in self.entries.iter().map(|row| row.1) {
+            if !self.is_leaving(endpoint) {
                 services
                     .entry(endpoint.service.clone())
                     .or_default()
@@ -228,66 +236,72 @@
             }
         }
         self.canaries.clear();
-        let mut sharers = Map::default();
+        let mut sharing_shards = Map::default();
         for (service, rollout) in &mut self.rollouts {
             let endpoints = services.get(service).into_iter().flatten();
-            rollout.take_endpoints(endpoints.map(|it| &**it));
+            rollout.update_slots(endpoints.map(|it| &**it));
         }
         for (service, endpoints) in &mut services {
             if let Some(rollout) = self.rollouts.get(service) {
                 let mut new = endpoints.clone();
-                new.retain(|it| rollout.usage(it) == Use::Canary);
-                let mut new = self.own(&new, &mut sharers);
+                new.retain(|it| rollout.role(it) == EndpointRole::Canary);
+                let mut new = self.own_endpoints(&new, &mut sharing_shards);
                 new.truncate(rollout.canaries());
-                endpoints.retain(|it| rollout.usage(it) == Use::Full);
+                endpoints.retain(|it| rollout.role(it) == EndpointRole::Serving);
                 self.canaries.insert(service.clone(), new);
             }
-            *endpoints = self.own(endpoints, &mut sharers);
+            *endpoints = self.own_endpoints(endpoints, &mut sharing_shards);
         }
-        self.fit = services;
-        let own = self.fit.values().chain(self.canaries.values()).flatten();
+        self.eligible = services;
+        let own = self
+            .eligible
+            .values()
+            .chain(self.canaries.values())
+            .flatten();
         for endpoint in own {
-            let shards = sharers.entry(endpoint.key().short());
+            let shards = sharing_shards.entry(endpoint.key().short());
             shards.or_insert_with(|| vec![self.shard]);
         }
-        self.sharers = sharers;
+        self.sharing_shards = sharing_shards;
     }
 
     // The endpoints of a service that belong to this instance's shard.
-    fn own(
+    fn own_endpoints(
         &self,
         endpoints: &[Arc<Endpoint>],
-        sharers: &mut Map<u32, Vec<usize>>,
+        sharing_shards: &mut Map<u32, Vec<usize>>,
     ) -> Vec<Arc<Endpoint>> {
-        if self.shards.len() <= 1 || endpoints.is_empty() {
+        if self.shard_sizes.len() <= 1 || endpoints.is_empty() {
             return endpoints.to_vec();
         }
-        if endpoints.len() < FEWEST * self.shards.len() {
-            return self.shared(endpoints, sharers);
+        if endpoints.len() < MIN_SHARD_ENDPOINTS * self.shard_sizes.len() {
+            return self.shared_endpoints(endpoints, sharing_shards);
         }
         let rows: Vec<_> = endpoints.iter().map(|it| (&*it.centre, &*it.id)).collect();
-        let assigned = shards::assign(&rows, &self.shards);
+        let assigned = shards::assign(&rows, &self.shard_sizes);
         let mine = |it: &&Arc<Endpoint>| assigned.get(&*it.id) == Some(&self.shard);
         endpoints.iter().filter(mine).cloned().collect()
     }
 
     // Too few endpoints for each shard to have its own: shards share them. Each takes half as much
     // again as its even part, as the shards' overloads seldom meet.
-    fn shared(
+    fn shared_endpoints(
         &self,
         endpoints: &[Arc<Endpoint>],
-        sharers: &mut Map<u32, Vec<usize>>,
+        sharing_shards: &mut Map<u32, Vec<usize>>,
     ) -> Vec<Arc<Endpoint>> {
         let count = endpoints.len();
-        let shards = self.shards.len();
-        let all: Vec<Vec<usize>> = (0..shards).map(|shard| few(shard, shards, count)).collect();
-        few(self.shard, shards, count)
+        let shards = self.shard_sizes.len();
+        let all: Vec<Vec<usize>> = (0..shards)
+            .map(|shard| shared_indices(shard, shards, count))
+            .collect();
+        shared_indices(self.shard, shards, count)
             .into_iter()
             .map(|at| {
                 let endpoint = &endpoints[at];
                 let users: Vec<usize> = (0..shards).filter(|it| all[*it].contains(&at)).collect();
                 let count = u32::try_from(users.len()).unwrap_or(u32::MAX);
-                sharers.insert(endpoint.key().short(), users);
+                sharing_shards.insert(endpoint.key().short(), users);
                 let part = (endpoint.slots * 3).div_ceil(count * 2).max(2);
                 Arc::new(Endpoint {
                     slots: part.min(endpoint.slots),
@@ -298,20 +312,20 @@
     }
 
     // A start that once said it was leaving stays leaving, whatever an older entry says later.
-    fn leaving(&self, endpoint: &Endpoint) -> bool {
-        endpoint.draining || self.leavers.contains_key(&endpoint.key())
+    fn is_leaving(&self, endpoint: &Endpoint) -> bool {
+        endpoint.draining || self.departures.contains_key(&endpoint.key())
     }
 }
 
 // The places of a shard's endpoints among a few: each one in some shard, and for each shard two.
-fn few(shard: usize, shards: usize, count: usize) -> Vec<usize> {
-    let mut few: Vec<usize> = (shard..count).step_by(shards).collect();
-    let first = few.first().copied().unwrap_or(shard % count);
-    let more = (0..count).map(|step| (first + step) % count);
-    for at in more.take(FEWEST) {
-        if few.len() < FEWEST && !few.contains(&at) {
-            few.push(at);
+fn shared_indices(shard: usize, shards: usize, count: usize) -> Vec<usize> {
+    let mut indices: Vec<usize> = (shard..count).step_by(shards).collect();
+    let first = indices.first().copied().unwrap_or(shard % count);
+    let candidates = (0..count).map(|step| (first + step) % count);
+    for at in candidates.take(MIN_SHARD_ENDPOINTS) {
+        if indices.len() < MIN_SHARD_ENDPOINTS && !indices.contains(&at) {
+            indices.push(at);
         }
     }
-    few
+    indices
 }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -29,7 +29,7 @@
 use crate::latency_model::millis_to_f64;
 use crate::overload_window::OverloadWindow;
 use crate::peers::Peers;
-use crate::placing::Placing;
+use crate::placement::EndpointSelector;
 use crate::queue::Queue;
 use crate::queue::QueueKey;
 use crate::rate_limits::RateLimits;
@@ -86,7 +86,7 @@
 /// The queues before the endpoints.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    placing: Placing,
+    placing: EndpointSelector,
     queues: BTreeMap<Arc<str>, Queue>,
     waiting: Map<Ticket, ScheduledRequest>,
     running: Map<Ticket, RunningRequest>,
@@ -109,7 +109,7 @@
     /// Makes empty queues for an instance of this name in a data centre.
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
-            placing: Placing::new(name, centre),
+            placing: EndpointSelector::new(name, centre),
             rate_limits: RateLimits::new(name),
             ..Self::default()
         }
@@ -136,11 +136,11 @@
         }
         let load = self.latency_model(&pending.service);
         let pending = ScheduledRequest {
-            position: wait::queue_position(&pending, load),
+            virtual_arrival: wait::queue_position(&pending, load),
             ..pending
         };
         let demand = self.demands.entry(pending.service.clone()).or_default();
-        demand.record(now, pending.rank, load.service_time_of(&pending.work));
+        demand.record(now, pending.priority, load.service_time_of(&pending.tokens));
         let view = ClusterView {
             now,
             registry,
@@ -150,9 +150,9 @@
             return Ok(self.enqueue(pending));
         }
         // Another shard may have a place: it is asked before the request is refused.
-        if registry.divided() && !self.recently_declined(now, &pending.service) {
+        if registry.is_sharded() && !self.recently_declined(now, &pending.service) {
             return Ok(self.enqueue(ScheduledRequest {
-                pressed: true,
+                needs_loan: true,
                 ..pending
             }));
         }
@@ -164,7 +164,7 @@
     pub fn requeue(&mut self, pending: ScheduledRequest) -> Ticket {
         self.enqueue(ScheduledRequest {
             late: false,
-            pressed: false,
+            needs_loan: false,
             canary: false,
             ..pending
         })
@@ -202,7 +202,7 @@
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.sent += u32::from(outcome != Outcome::Unreached);
+        pending.attempts += u32::from(outcome != Outcome::Unreached);
         if first_part_at.is_none() {
             self.remove_prefill_tokens(endpoint, &pending);
         }
@@ -223,7 +223,7 @@
             }
             self.record_remaining_parts(endpoint, &pending, took.since(first), parts, pause);
             let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.work, first, took, parts);
+            load.record_completion(&pending.tokens, first, took, parts);
         }
         Some(pending)
     }
@@ -253,7 +253,7 @@
         } = running;
         let usual = self
             .latency_model(&pending.service)
-            .first_part_time(&pending.work.behind(backlog.prefill_tokens))
+            .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
             millis_to_f64(usual) * self.placing.pace(*endpoint),
@@ -311,7 +311,7 @@
     /// Returns this instance's requests at each endpoint.
     pub fn endpoint_usage(&self) -> Vec<RunningRow> {
         let counts = self.in_flight.iter().map(|(key, busy)| RunningRow {
-            speed_factor: self.placing.tell(*key),
+            speed_factor: self.placing.reported_speed(*key),
             ..*busy
         });
         counts.collect()
@@ -323,7 +323,7 @@
             .iter()
             .flat_map(|(service, queue)| {
                 let load = self.latency_model(service);
-                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].work);
+                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].tokens);
                 queue.summary(now, short_hash(service), stay)
             })
             .collect()
@@ -342,7 +342,7 @@
     /// Forgets endpoints that are gone.
     pub fn prune_endpoints(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
-        self.placing.forget(&known);
+        self.placing.retain_known(&known);
         self.rate_limits.retain_endpoints(&known);
     }
 
@@ -375,5 +375,5 @@
 }
 
 fn queue_key(ticket: Ticket, pending: &ScheduledRequest) -> QueueKey {
-    (pending.order(), pending.position, ticket)
+    (pending.queue_order(), pending.virtual_arrival, ticket)
 }
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -119,7 +119,7 @@
             Some(Order {
                 service: service.into(),
                 version: text.version.into(),
-                span: text.span,
+                duration: text.span,
                 revision,
             })
         }
@@ -162,7 +162,7 @@
         StoreUpdate::Endpoint(endpoint) => {
             let fields = json!({
                 "endpoint": &*endpoint.id,
-                "born": endpoint.born,
+                "born": endpoint.started_ms,
                 "service": &*endpoint.service,
                 "draining": endpoint.draining,
             });
@@ -194,7 +194,7 @@
         .take(LOGGED)
         .map(|it| json!([&*it.name, it.priority, it.rate, it.burst]))
         .collect();
-    let before = shell.core.borrow().version();
+    let before = shell.core.borrow().configuration_version();
     if !shell
         .core
         .borrow_mut()
