--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What is believed of the other instances, and which of them callers are told to use.
+//! The view of the other instances, and the instances that callers are directed to.
 
 mod common;
 
@@ -23,42 +23,42 @@
 }
 
 #[test]
-fn a_peer_that_has_not_said_who_it_is_is_not_counted() {
+fn a_peer_that_has_not_identified_itself_is_not_counted() {
     let mut peers = Peers::default();
-    let unnamed = Report {
+    let unidentified = Report {
         info: None,
         ..report("p", 1)
     };
-    assert_eq!(peers.receive(Millis(0), unnamed), Received::Ignored);
+    assert_eq!(peers.receive(Millis(0), unidentified), Received::Ignored);
     assert_eq!(peers.instance_count(Millis(0)), 1);
 }
 
-// An instance was killed and started again; a last report of the start before is still on its
-// way. Believed, it would stand for the instance from then on, and nothing else would be heard.
+// Guards against a late report of a killed process replacing its restarted successor, whose own
+// reports would then be ignored.
 #[test]
 fn a_late_report_of_the_start_before_does_not_replace_the_new_start() {
     let mut peers = Peers::default();
-    let before = Report {
+    let previous = Report {
         source: 1,
         age: 9_000,
         ..report("p", 700)
     };
-    let after = Report {
+    let restarted = Report {
         source: 2,
         age: 50,
         ..report("p", 1)
     };
-    peers.receive(Millis(0), before.clone());
+    peers.receive(Millis(0), previous.clone());
     assert_eq!(
-        peers.receive(Millis(100), after),
+        peers.receive(Millis(100), restarted),
         Received::NewProcess(Some(1))
     );
-    assert_eq!(peers.receive(Millis(120), before), Received::Ignored);
+    assert_eq!(peers.receive(Millis(120), previous), Received::Ignored);
     assert_eq!(peers.instance_count(Millis(120)), 2);
 }
 
 #[test]
-fn a_process_that_just_started_is_not_alone_for_hearing_nobody() {
+fn a_process_that_just_started_does_not_claim_the_whole_fleet() {
     let mut peers = Peers::default();
     peers.set_listed_count(4);
     assert!((peers.fleet_share(Millis(0)) - 0.25).abs() < 1e-9);
@@ -74,10 +74,10 @@
     assert_eq!(select_instances("a", ready.iter()), ["n1:1", "n2:1"]);
 }
 
-// A data centre has one instance left. Callers that know only that one have nowhere to go when
-// it dies.
+// Guards against callers of a data centre with a single instance having no alternative when that
+// instance dies.
 #[test]
-fn one_near_instance_is_not_named_alone() {
+fn a_single_local_instance_is_not_the_only_one_named() {
     let ready = [place("n1", "a"), place("far", "b")];
     assert_eq!(select_instances("a", ready.iter()), ["far:1", "n1:1"]);
 }
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -1,4 +1,4 @@
-//! Parts of a large fleet.
+//! Division of a large fleet into shards.
 
 mod common;
 
@@ -17,16 +17,17 @@
 use siskinyoke_dispatch::registry::Registry;
 use siskinyoke_dispatch::shards;
 
-fn members(count: usize) -> Vec<(String, String)> {
+// Returns `count` pairs of data centre and name, over four data centres.
+fn names_by_centre(count: usize) -> Vec<(String, String)> {
     (0..count)
         .map(|at| (format!("dc{}", at % 4), format!("i{at}")))
         .collect()
 }
 
-// Assigns so many endpoints of four data centres to shards of so many instances each.
+// Assigns `count` endpoints in four data centres to shards of the given sizes.
 fn assigned(count: usize, shards: &[usize]) -> BTreeMap<String, usize> {
-    let members = members(count);
-    let rows: Vec<_> = members.iter().map(|it| (&*it.0, &*it.1)).collect();
+    let endpoints = names_by_centre(count);
+    let rows: Vec<_> = endpoints.iter().map(|it| (&*it.0, &*it.1)).collect();
     let assigned = shards::assign(&rows, shards);
     assigned
         .into_iter()
@@ -46,14 +47,17 @@
     let assigned = assigned(89, &shards);
     assert_eq!(assigned.len(), 89);
     for (shard, size) in shards.iter().enumerate() {
-        let got = assigned.values().filter(|it| **it == shard).count();
-        let due = 89 * size / 68;
-        assert!(got <= due + 1 && got >= due, "{got} of {due}");
+        let actual = assigned.values().filter(|it| **it == shard).count();
+        let expected = 89 * size / 68;
+        assert!(
+            actual <= expected + 1 && actual >= expected,
+            "{actual} of {expected}"
+        );
     }
 }
 
-// Instances restart one after the other. If each restart moved endpoints between shards, nobody
-// would know what runs where, and endpoints would be given too much.
+// Guards against restarts that move endpoints between shards: instances would lose track of what runs
+// at an endpoint and overload it.
 #[test]
 fn an_endpoint_that_goes_moves_few_others() {
     let shards = [9; 8];
@@ -69,7 +73,7 @@
 #[test]
 fn a_restart_moves_nothing() {
     let mut core = core("i0", 1);
-    for (centre, name) in members(68) {
+    for (centre, name) in names_by_centre(68) {
         core.list(&name, place(&name, &centre));
     }
     for at in 0..89 {
@@ -83,13 +87,13 @@
     assert_eq!(core.registry().fit("lm"), before);
 }
 
-// The store turns a quarter of a large fleet away, and their entries run out while they serve on.
-// The others took the fleet for smaller and their part of every quota for larger: together
-// they granted a third too much.
+// A quarter of a large fleet is rejected by the store, and their entries expire while they keep
+// serving. Guards against the others counting a smaller fleet and a larger share of each quota for
+// themselves, which granted a third too much in total.
 #[test]
 fn instances_whose_entries_ran_out_still_have_their_part() {
     let mut core = core("i0", 1);
-    for (centre, name) in members(68) {
+    for (centre, name) in names_by_centre(68) {
         core.list(&name, place(&name, &centre));
     }
     let before = core.peers().fleet_share(Millis(0));
@@ -100,10 +104,10 @@
 }
 
 #[test]
-fn every_endpoint_belongs_to_some_shard_and_none_is_given_more_than_it_runs() {
+fn every_endpoint_belongs_to_a_shard_and_overcommitment_is_bounded() {
     for count in [2, 4, 15, 89] {
         let mut seen = BTreeSet::new();
-        let mut given = 0;
+        let mut total_slots = 0;
         for shard in 0..8 {
             let mut registry = Registry::default();
             for at in 0..count {
@@ -119,21 +123,21 @@
             registry.set_shards(shard, vec![9; 8]);
             assert!(!registry.fit("lm").is_empty());
             seen.extend(registry.fit("lm").iter().map(|it| it.id.to_string()));
-            given += registry.fit("lm").iter().map(|it| it.slots).sum::<u32>();
+            total_slots += registry.fit("lm").iter().map(|it| it.slots).sum::<u32>();
         }
         assert_eq!(seen.len(), count);
-        // Where shards share endpoints, each gets half as much again as its even part.
+        // Shards that share an endpoint each get one and a half times their even share of its slots.
         assert!(
-            given <= 6 * u32::try_from(count).unwrap() * 3,
-            "{given} for {count}"
+            total_slots <= 6 * u32::try_from(count).unwrap() * 3,
+            "{total_slots} for {count}"
         );
     }
 }
 
 #[test]
-fn an_instance_hears_its_own_shard_only_but_learns_of_bad_work_from_all() {
+fn an_instance_keeps_peers_of_its_own_shard_but_learns_of_poison_requests_from_all() {
     let mut core = core("i0", 1);
-    for (centre, name) in members(40) {
+    for (centre, name) in names_by_centre(40) {
         core.list(&name, place(&name, &centre));
     }
     let shard: BTreeSet<_> = core
@@ -142,21 +146,21 @@
         .map(|row| row.0.peer_address.clone())
         .collect();
     assert!((4..=16).contains(&shard.len()), "{shard:?}");
-    for (_, name) in members(40) {
-        let mut told = report(&name, 1);
-        told.info.as_mut().unwrap().quarantine = vec![(55, vec![1, 2])];
-        core.heard(Millis(0), told);
+    for (_, name) in names_by_centre(40) {
+        let mut received = report(&name, 1);
+        received.info.as_mut().unwrap().quarantine = vec![(55, vec![1, 2])];
+        core.heard(Millis(0), received);
     }
     assert_eq!(core.peers().instance_count(Millis(0)), shard.len() + 1);
     let pass = core.route(Millis(0), common::request("/safe/x")).unwrap();
     assert!(core.admit(Millis(0), &pass, 55).is_err());
 }
 
-// Seventy instances that look for changes of the store as often as seven make ten times the calls, which
-// the operators pay for one by one. Where shards look one after the other, a change costs one call or two.
+// Seventy instances that poll the store as often as seven make ten times the calls, and operators pay
+// for each call. If shards poll in turn, a change costs one or two calls.
 #[test]
 fn a_large_fleet_calls_the_store_less_often() {
-    let waits = |name: &str, count, settle| {
+    let timings = |name: &str, count, settle| {
         let identity = Identity {
             settle: Millis(settle),
             ..identity(name, 1)
@@ -168,16 +172,16 @@
         }
         (core.watch(), core.gather())
     };
-    assert_eq!(waits("i0", 11, 10_000), (Millis(3_500), Millis(500)));
+    assert_eq!(timings("i0", 11, 10_000), (Millis(3_500), Millis(500)));
     let all: BTreeSet<_> = (0..17)
-        .map(|at| waits(&format!("i{at}"), 17, 10_000))
+        .map(|at| timings(&format!("i{at}"), 17, 10_000))
         .collect();
-    let turns = [500, 1_000].map(|gather| (Millis(7_000), Millis(gather)));
-    assert_eq!(all, turns.into());
-    // A lost watch ends before changes have to be in force again.
+    let expected = [500, 1_000].map(|gather| (Millis(7_000), Millis(gather)));
+    assert_eq!(all, expected.into());
+    // A lost watch ends before the deadline by which changes must be in force again.
     for settle in [3_000, 4_000] {
         let held = Millis(settle - 1_000);
-        assert_eq!(waits("i0", 11, settle).0, held.min(Millis(3_500)));
-        assert_eq!(waits("i0", 17, settle).0, held);
+        assert_eq!(timings("i0", 11, settle).0, held.min(Millis(3_500)));
+        assert_eq!(timings("i0", 17, settle).0, held);
     }
 }
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -1,4 +1,4 @@
-//! Which instance watches the store, and what the others learn from it.
+//! Selection of the instance that watches the store, and how the others learn of changes.
 
 mod common;
 
@@ -16,21 +16,23 @@
 
 const NAMES: [&str; 4] = ["i0", "i1", "i2", "i3"];
 
-// Whether instance `at` hears instance `other`, by the bits of a number.
-fn hears(bits: u32, at: usize, other: usize) -> bool {
-    at == other || bits >> (at * NAMES.len() + other) & 1 == 1
+// Whether instance `at` receives reports from `other`, by a bit mask over all pairs.
+fn receives_from(links: u32, at: usize, other: usize) -> bool {
+    at == other || links >> (at * NAMES.len() + other) & 1 == 1
 }
 
-fn reaches(bits: u32, at: usize) -> bool {
-    bits >> at & 1 == 1
+// Whether instance `at` can reach the store, by a bit mask over all instances.
+fn reaches_store(store_access: u32, at: usize) -> bool {
+    store_access >> at & 1 == 1
 }
 
-fn followed(reach: u32, hearing: u32, at: usize) -> usize {
+// Returns the instance that `at` selects as the watcher.
+fn selected(store_access: u32, links: u32, at: usize) -> usize {
     let candidate = |at: usize| Candidate {
         name: NAMES[at],
-        store_reachable: reaches(reach, at),
+        store_reachable: reaches_store(store_access, at),
     };
-    let peers = (0..NAMES.len()).filter(|other| *other != at && hears(hearing, at, *other));
+    let peers = (0..NAMES.len()).filter(|other| *other != at && receives_from(links, at, *other));
     let name = select_watcher(candidate(at), peers.map(candidate));
     NAMES
         .iter()
@@ -38,41 +40,47 @@
         .expect("one of them")
 }
 
-// Some instances reach the store and some do not; reports are cut one way or both. An instance that
-// followed in a circle, or followed one that watches nothing, would never hear of a change.
+// Guards against followers in a cycle, or behind an instance that does not watch, which would never
+// learn of a change, where some instances cannot reach the store and links fail one way or both ways.
 //
-// Every state of four instances is looked at: whoever follows, hears whom it follows, and at the end of the
-// chain stands one that watches, which reaches the store if anybody does that its followers hear.
+// All states of four instances are checked: each follower receives reports from the instance that it
+// follows, and each chain ends at a watcher, which can reach the store if any instance that the first
+// follower receives reports from can.
 #[test]
 fn every_chain_of_followers_ends_at_an_instance_that_watches() {
-    for reach in 0..1 << NAMES.len() {
-        for hearing in 0..1u32 << (NAMES.len() * NAMES.len()) {
-            if (0..NAMES.len()).any(|at| hearing >> (at * NAMES.len() + at) & 1 == 1) {
+    for store_access in 0..1 << NAMES.len() {
+        for links in 0..1u32 << (NAMES.len() * NAMES.len()) {
+            if (0..NAMES.len()).any(|at| links >> (at * NAMES.len() + at) & 1 == 1) {
                 continue;
             }
             for start in 0..NAMES.len() {
                 let mut at = start;
                 let mut steps = 0;
-                while followed(reach, hearing, at) != at {
-                    let next = followed(reach, hearing, at);
-                    assert!(hears(hearing, at, next));
+                while selected(store_access, links, at) != at {
+                    let next = selected(store_access, links, at);
+                    assert!(receives_from(links, at, next));
                     at = next;
                     steps += 1;
-                    assert!(steps < NAMES.len(), "{reach:b} {hearing:b} from {start}");
+                    assert!(
+                        steps < NAMES.len(),
+                        "{store_access:b} {links:b} from {start}"
+                    );
                 }
-                let heard = (0..NAMES.len()).filter(|it| hears(hearing, start, *it));
-                let any = heard.into_iter().any(|it| reaches(reach, it));
+                let reporting = (0..NAMES.len()).filter(|it| receives_from(links, start, *it));
+                let any = reporting
+                    .into_iter()
+                    .any(|it| reaches_store(store_access, it));
                 assert!(
-                    !any || reaches(reach, at),
-                    "{reach:b} {hearing:b} from {start}"
+                    !any || reaches_store(store_access, at),
+                    "{store_access:b} {links:b} from {start}"
                 );
             }
         }
     }
 }
 
-// An instance of a fleet of two shards that has read the store, with the peers of its shard.
-fn member() -> (Core, Vec<String>) {
+// Returns an instance of a fleet of two shards that has read the store, and the names of its shard's peers.
+fn core_with_peers() -> (Core, Vec<String>) {
     let mut core = core("i0", 1);
     let names: Vec<String> = (0..16).map(|at| format!("i{at}")).collect();
     let news = names
@@ -86,75 +94,76 @@
     (core, members)
 }
 
-fn hear(core: &mut Core, now: u64, name: &str, reaches: bool) {
+// Delivers a report of the named peer.
+fn receive(core: &mut Core, now: u64, name: &str, store_reachable: bool) {
     let report = Report {
-        store_reachable: reaches,
+        store_reachable,
         revision: 5,
         ..report(name, now + 1)
     };
     core.heard(Millis(now), report);
 }
 
-// The watcher of a shard freezes, or the store begins to refuse it. Nobody else watches; if nobody took
-// over, the whole shard would go on with an old configuration.
+// Guards against a shard that keeps an outdated configuration after its only watcher hangs or is refused
+// by the store.
 #[test]
 fn the_next_one_takes_over_from_a_watcher_that_is_silent_or_refused() {
-    let (mut core, members) = member();
+    let (mut core, members) = core_with_peers();
     for name in &members {
-        hear(&mut core, 0, name, true);
+        receive(&mut core, 0, name, true);
     }
     let first = core.watcher(Millis(10)).to_owned();
     assert!(members.contains(&first), "i0 is not the first of its shard");
     assert_eq!(core.duty(Millis(10)), StoreRole::Follower);
     for name in &members {
-        hear(&mut core, 100, name, *name != first);
+        receive(&mut core, 100, name, *name != first);
     }
     let second = core.watcher(Millis(110)).to_owned();
     assert_ne!(second, first);
     for name in members.iter().filter(|name| **name != first) {
-        hear(&mut core, 1_000, name, true);
+        receive(&mut core, 1_000, name, true);
     }
     assert_eq!(core.watcher(Millis(1_010)), second);
-    // Nobody is heard any more.
+    // All reports have expired.
     assert_eq!(core.duty(Millis(3_000)), StoreRole::Watcher);
 }
 
-// The store refuses a whole shard. If each of its instances went on asking, the calls that it refuses,
-// which are paid for too, would be many times those it serves.
+// Guards against every instance of a shard that the store refuses retrying: refused calls are paid for
+// too and would outnumber the served ones many times over.
 #[test]
 fn in_a_shard_without_the_store_one_instance_goes_on_trying() {
-    let (mut core, members) = member();
+    let (mut core, members) = core_with_peers();
     core.store_failed(Millis(0));
     for name in &members {
-        hear(&mut core, 0, name, false);
+        receive(&mut core, 0, name, false);
     }
     core.notice_store(Millis(1));
     assert!(!core.stored());
     assert_eq!(core.duty(Millis(100)), StoreRole::Follower);
-    // The store may be back for some and not for the first: others try now and then.
+    // The store may be reachable again for some but not for the first, so the others try occasionally.
     for name in &members {
-        hear(&mut core, 3_100, name, false);
+        receive(&mut core, 3_100, name, false);
     }
     assert_eq!(core.duty(Millis(3_100)), StoreRole::Watcher);
     core.store_failed(Millis(3_110));
     assert_eq!(core.duty(Millis(3_120)), StoreRole::Follower);
-    hear(&mut core, 3_200, &members[0], true);
+    receive(&mut core, 3_200, &members[0], true);
     core.notice_store(Millis(3_210));
     assert!(core.stored());
     assert_eq!(core.duty(Millis(3_210)), StoreRole::Follower);
 }
 
-// A peer's reports arrive, but nothing can be taken from it: a connection to it is cut one way.
+// A peer's reports arrive, but changes cannot be fetched from it because the link fails one way.
 #[test]
 fn an_instance_that_cannot_catch_up_asks_the_store_itself() {
-    let (mut core, members) = member();
+    let (mut core, members) = core_with_peers();
     for name in &members {
-        hear(&mut core, 0, name, true);
+        receive(&mut core, 0, name, true);
     }
     assert!(core.heard_revision(Millis(10), 9));
     assert_eq!(core.duty(Millis(20)), StoreRole::Follower);
     for name in &members {
-        hear(&mut core, 1_600, name, true);
+        receive(&mut core, 1_600, name, true);
     }
     assert_eq!(core.duty(Millis(1_600)), StoreRole::Watcher);
     core.learn_news(Millis(1_610), 9, Vec::new());
@@ -162,12 +171,12 @@
     assert!(!core.heard_revision(Millis(1_630), 9));
 }
 
-// A peer that knows more has only just started and cannot say what changed before.
+// A peer with a newer revision has just started and cannot list the earlier changes.
 #[test]
 fn an_instance_whose_peer_cannot_say_what_changed_asks_the_store_at_once() {
-    let (mut core, members) = member();
+    let (mut core, members) = core_with_peers();
     for name in &members {
-        hear(&mut core, 0, name, true);
+        receive(&mut core, 0, name, true);
     }
     core.heard_revision(Millis(10), 9);
     core.ask_store();
@@ -176,11 +185,11 @@
     assert_eq!(core.duty(Millis(40)), StoreRole::Follower);
 }
 
-// A process that starts in a fleet would watch the store until it hears of its peers: as many calls as
-// there are instances at each start of all.
+// Guards against every process watching the store until its peers report, which would cost one call for
+// each instance when a whole fleet starts.
 #[test]
-fn a_process_that_starts_waits_for_its_peers_a_moment() {
-    let (core, _) = member();
+fn a_starting_process_waits_briefly_for_its_peers() {
+    let (core, _) = core_with_peers();
     assert_eq!(core.duty(Millis(200)), StoreRole::Follower);
     assert_eq!(core.duty(Millis(400)), StoreRole::Watcher);
     assert_eq!(
@@ -189,15 +198,15 @@
     );
 }
 
-// The store is away while leases run out. Its return shows in a peer's report first, and with it what
-// lapsed; taken for gone at once, every endpoint would be given up until it is back in the list.
+// Leases expire during a store outage, and its end shows first in a peer's report. Guards against
+// dropping every endpoint whose entry expired before it has time to register again.
 #[test]
-fn what_lapsed_while_the_store_was_away_for_the_shard_has_time_to_return() {
-    let (mut core, members) = member();
+fn entries_that_expired_in_a_store_outage_have_time_to_return() {
+    let (mut core, members) = core_with_peers();
     core.learn_news(Millis(0), 6, vec![StoreUpdate::Endpoint(endpoint("e2", 1))]);
     core.store_failed(Millis(1_000));
     core.notice_store(Millis(1_000));
-    hear(&mut core, 5_000, &members[0], true);
+    receive(&mut core, 5_000, &members[0], true);
     core.notice_store(Millis(5_010));
     let gone = StoreUpdate::EndpointRemoved("e2".to_owned());
     core.learn_news(Millis(5_020), 7, vec![gone]);
