--- a/crates/siskinyoke-dispatch/src/budget.rs
+++ b/crates/siskinyoke-dispatch/src/budget.rs
@@ -1,19 +1,20 @@
-//! How often a request may be sent to a second endpoint, so that retries cannot feed an overload.
+//! Retry budget: limits retries to a share of the requests, so that they cannot amplify an overload.
 
 use std::collections::VecDeque;
 
 use siskinyoke_base::Millis;
 
-/// The window in which requests and their retries are counted, in ms.
+/// The sliding window over which requests and retries are counted.
 ///
-/// Shorter than the platform's ten seconds, so that any ten seconds hold whole windows.
+/// Shorter than the ten seconds over which the platform counts, so that any ten seconds contain
+/// whole windows.
 const BUDGET_WINDOW: Millis = Millis(5_000);
 
-/// One service's retries and requests over a sliding window.
+/// The retry budget of one service.
 ///
-/// Each instance spends only a part of its own requests, so the sum over all instances keeps to
-/// the same part without any exchange. What goes wrong without it: a failing service gets twice
-/// its load just when it can carry least.
+/// Each instance limits retries to a ratio of its own requests, so that the fleet as a whole keeps
+/// to the same ratio without coordination. Without a budget, retries double the load on a failing
+/// service when it has the least capacity.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -22,7 +23,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget of a part of the requests.
+    /// Creates a budget that allows `ratio` retries per request.
     pub fn new(ratio: f64) -> Self {
         Self {
             ratio,
@@ -31,13 +32,15 @@
         }
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub fn record_request(&mut self, now: Millis) {
         drop_expired(&mut self.requests, now);
         self.requests.push_back(now);
     }
 
-    /// Takes one retry if the budget, with a `floor` for quiet times, has it.
+    /// Takes one retry from the budget and returns whether there was one.
+    ///
+    /// `min_retries` are allowed per window in addition, for services with few requests.
     pub fn try_take(&mut self, now: Millis, min_retries: f64) -> bool {
         drop_expired(&mut self.requests, now);
         drop_expired(&mut self.retries, now);
@@ -61,7 +64,7 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "a window holds thousands, not 2^52"
+    reason = "a window holds far fewer than 2^52 requests"
 )]
 fn count_f64(times: &VecDeque<Millis>) -> f64 {
     times.len() as f64
--- a/crates/siskinyoke-dispatch/src/demand.rs
+++ b/crates/siskinyoke-dispatch/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much work is asked of a service, by rank.
+//! Demand for a service by priority.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,21 @@
 use crate::latency_model::millis_to_f64;
 use siskinyoke_base::Millis;
 
-/// How long work counts after it arrived.
+/// The time constant with which recorded work decays.
 ///
-/// Long enough to smooth the clumps in which requests come, and shorter than a peak, which lasts some
+/// Long enough to smooth out bursts of arrivals, and shorter than a load peak, which lasts a few
 /// seconds.
 const DECAY_TIME: Millis = Millis(2_000);
 
-/// How much work is asked of a service, by rank, in places that it would keep busy.
+/// Demand for a service by priority, as the mean number of slots that it keeps busy.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
+    // When the demand was last updated, and its value then.
     by_priority: BTreeMap<Rank, (Millis, f64)>,
 }
 
 impl Demand {
-    /// Takes note of a request that would take so long.
+    /// Records the arrival of a request with the given service time.
     pub fn record(&mut self, now: Millis, priority: Rank, service_time: Millis) {
         let row = self.by_priority.entry(priority).or_insert((now, 0.0));
         *row = (
@@ -28,15 +29,15 @@
         );
     }
 
-    /// Returns the work of requests that go before a new one: of more urgent ranks, and of its own rank
-    /// too if its answer will be late.
-    pub fn slots_before(&self, now: Millis, rank: Rank, late: bool) -> f64 {
-        let ranks = self.by_priority.range(..=rank);
-        let ranks = ranks.filter(|row| late || *row.0 < rank);
-        ranks.map(|row| decayed(*row.1, now)).sum()
+    /// Returns the demand that goes before a new request: that of higher priorities, and of its own
+    /// priority too if the request is late.
+    pub fn slots_before(&self, now: Millis, priority: Rank, late: bool) -> f64 {
+        let rows = self.by_priority.range(..=priority);
+        let rows = rows.filter(|row| late || *row.0 < priority);
+        rows.map(|row| decayed(*row.1, now)).sum()
     }
 }
 
-fn decayed((at, busy): (Millis, f64), now: Millis) -> f64 {
-    busy * (-millis_to_f64(now.since(at)) / millis_to_f64(DECAY_TIME)).exp()
+fn decayed((updated_at, slots): (Millis, f64), now: Millis) -> f64 {
+    slots * (-millis_to_f64(now.since(updated_at)) / millis_to_f64(DECAY_TIME)).exp()
 }
--- a/crates/siskinyoke-dispatch/src/forecast.rs
+++ b/crates/siskinyoke-dispatch/src/forecast.rs
@@ -1,29 +1,30 @@
-//! How long a waiting request is expected to wait.
+//! Forecast of the time that a request waits in the queue.
 
 use crate::latency_model::millis_from_f64;
 use siskinyoke_base::Millis;
 
-/// The smallest part of the places that is taken to be left for a rank.
+/// The smallest share of a service's capacity that is assumed to be available to a priority.
 ///
-/// Demand is measured over seconds, so that a peak that ends now still counts; a twentieth keeps the
-/// forecast finite, and far beyond what any caller waits.
+/// Demand is averaged over seconds and still includes a peak that has just ended. With a twentieth
+/// the forecast stays finite, but far longer than any caller waits.
 const MIN_CAPACITY_RATIO: f64 = 0.05;
 
-/// What the places of a service are up against.
+/// The capacity of a service, and the demand that a waiting request competes with.
 ///
-/// More urgent requests go on arriving while one waits. Where they take nine tenths of the places, it waits
-/// ten times as long as the queue before it suggests. Without that, requests of the last tiers are held for
-/// seconds in a peak and refused then.
+/// Requests of higher priority keep arriving while a request waits. If they take nine tenths of the
+/// slots, it waits ten times as long as the queue ahead of it suggests. Without this, requests of
+/// the lowest tiers are held for seconds during a peak, and refused in the end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WaitForecast {
-    /// Places, each counted by its endpoint's pace.
+    /// The number of slots, each divided by the speed factor of its endpoint.
     pub capacity: f64,
-    /// Places that the requests keep busy which go before this one and are still to arrive.
+    /// Slots kept busy by requests that are still to arrive and go before this one.
     pub future_demand: f64,
 }
 
 impl WaitForecast {
-    /// Returns how long a request waits behind so much work, in ms of one place of the usual pace.
+    /// Returns the expected wait behind queued requests whose service times at a speed factor of 1
+    /// add up to `queued_ms`.
     pub fn wait(&self, queued_ms: f64) -> Millis {
         let available =
             (self.capacity - self.future_demand).max(self.capacity * MIN_CAPACITY_RATIO);
--- a/crates/siskinyoke-dispatch/src/latency_model.rs
+++ b/crates/siskinyoke-dispatch/src/latency_model.rs
@@ -1,47 +1,50 @@
-//! How long requests of one service take, as this instance sees it.
+//! Model of the latency of a service's requests, as observed by this instance.
+//!
+//! A streamed response arrives in parts, each of which holds one or more output tokens.
 
 use crate::Work;
 use crate::regression::LinearRegression;
 use siskinyoke_base::Millis;
 
-/// How much a new observation counts in a running mean.
+/// The weight of a new observation in an exponential moving average.
 ///
-/// A twentieth follows the last twenty requests of an instance, about a second under load.
+/// A twentieth averages over about the last twenty requests of an instance, a second under load.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// The time on an endpoint that is assumed before any was seen, in ms.
+/// The service time that is assumed before the first observation.
 const INITIAL_SERVICE_TIME_MS: f64 = 200.0;
 
-/// The time to the first part that is assumed before any was seen, in ms: of no prompt, and of a
-/// long one of so many tokens.
+/// The time to the first part that is assumed before the first observation: two pairs of prompt
+/// tokens and ms.
 const INITIAL_FIRST_PART_MS: [(f64, f64); 2] = [(0.0, 50.0), (5_000.0, 100.0)];
 
-/// The time between two parts of an answer that is assumed before any was seen, in ms.
+/// The interval between two parts that is assumed before the first observation.
 const INITIAL_PART_INTERVAL_MS: f64 = 20.0;
 
-/// How far the longest pause follows one beyond it, and falls with one below.
+/// How far the long pause moves towards an observation above it, as a share of the difference, and
+/// how far it falls with an observation below it, as a share of itself.
 ///
-/// In balance, one in thirty lies beyond.
+/// In equilibrium, one pause in thirty lies above it.
 const PAUSE_RISE_RATIO: f64 = 0.25;
 const PAUSE_FALL_RATIO: f64 = 0.005;
 
-/// The parts that a token of output makes, assumed before any was seen: engines send several tokens
-/// in one part.
+/// The number of parts per output token that is assumed before the first observation: engines send
+/// several tokens in one part.
 const INITIAL_PARTS_PER_TOKEN: f64 = 0.2;
 
-/// How long requests of one service take, as this instance sees it.
+/// Model of the latency of a service's requests, as observed by this instance.
 ///
-/// Requests of one service differ a hundredfold in prompt and output. One mean for all of them cuts
-/// long prompts off while they are read and is wrong about
-/// every wait; so each request's own time is worked out from its tokens.
+/// Requests of one service differ a hundredfold in their prompt and output tokens. A single mean
+/// would time out long prompts while the endpoint still processes them, and would make every wait
+/// estimate wrong. Each request's latency is therefore estimated from its token counts.
 #[derive(Debug, Clone, Copy)]
 pub struct LatencyModel {
     service_time: f64,
     first_part: LinearRegression,
     part_interval: f64,
-    // The pause between two parts that only one in thirty answers goes beyond.
+    // The pause between two parts that one response in thirty exceeds.
     long_pause: f64,
-    // Means of the parts that answers had, and of the tokens that had been expected of them.
+    // Means of the parts per response, and of the output tokens that had been expected.
     mean_parts: f64,
     mean_tokens: f64,
 }
@@ -63,17 +66,17 @@
 }
 
 impl LatencyModel {
-    /// Takes note that the first part of an answer came after this time.
-    pub fn record_first_part(&mut self, work: &Work, first: Millis) {
-        self.first_part.record(work.prompt, millis_to_f64(first));
+    /// Records the time to the first part of a response.
+    pub fn record_first_part(&mut self, work: &Work, time: Millis) {
+        self.first_part.record(work.prompt, millis_to_f64(time));
     }
 
-    /// Takes note of a finished stay whose answer had so many parts.
+    /// Records a complete response: the times to its first part and to its end, and its parts.
     pub fn record_completion(&mut self, work: &Work, first: Millis, took: Millis, parts: u32) {
         self.service_time += (millis_to_f64(took) - self.service_time) * MEAN_WEIGHT;
         if parts > 1 {
-            let piece = millis_to_f64(took.since(first)) / f64::from(parts - 1);
-            self.part_interval += (piece - self.part_interval) * MEAN_WEIGHT;
+            let interval = millis_to_f64(took.since(first)) / f64::from(parts - 1);
+            self.part_interval += (interval - self.part_interval) * MEAN_WEIGHT;
         }
         if work.output > 0.0 && parts > 0 {
             self.mean_parts += (f64::from(parts) - self.mean_parts) * MEAN_WEIGHT;
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Takes note of the longest pause in an answer, as it would be at the usual pace.
+    /// Records the longest pause in a response, divided by the speed factor of its endpoint.
     pub fn record_pause(&mut self, pause: f64) {
         if pause > self.long_pause {
             self.long_pause += (pause - self.long_pause) * PAUSE_RISE_RATIO;
@@ -90,35 +93,36 @@
         }
     }
 
-    /// Returns how long the answers at an endpoint of the usual pace pause while it reads so many tokens.
+    /// Returns how long responses at an endpoint with a speed factor of 1 pause while it processes
+    /// a prompt of so many tokens.
     ///
-    /// Engines put parts of the answers that they write between those of the prompts that they read; so the
-    /// pause grows with the prompt, up to the longest that is seen.
+    /// Engines interleave prompt processing with output generation, so the pause grows with the
+    /// prompt, up to the long pause observed.
     pub fn expected_pause(&self, prompt: f64) -> f64 {
         (self.part_interval + self.first_part.slope() * prompt).min(self.long_pause)
     }
 
-    /// Returns the usual time on an endpoint.
+    /// Returns the mean service time.
     pub fn mean_service_time(&self) -> Millis {
         millis_from_f64(self.service_time)
     }
 
-    /// Returns the expected time to the first part of a request's answer.
+    /// Returns the expected time to the first part of a request's response.
     pub fn first_part_time(&self, work: &Work) -> Millis {
         millis_from_f64(self.first_part.predict(work.prompt))
     }
 
-    /// Returns the expected time between the first and the last part of an answer of so many parts.
+    /// Returns the expected time between the first and the last part of a response.
     pub fn remaining_time(&self, parts: f64) -> Millis {
         millis_from_f64(self.part_interval * (parts - 1.0).max(0.0))
     }
 
-    /// Returns the expected time of a request on an endpoint.
+    /// Returns the expected service time of a request.
     pub fn service_time_of(&self, work: &Work) -> Millis {
         self.first_part_time(work) + self.remaining_time(self.expected_parts(work))
     }
 
-    /// Returns the expected parts of an answer.
+    /// Returns the expected number of parts of a request's response.
     pub fn expected_parts(&self, work: &Work) -> f64 {
         work.output * self.mean_parts / self.mean_tokens
     }
@@ -126,14 +130,14 @@
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "spans stay far below 2^52 ms"
+    reason = "durations stay far below 2^52 ms"
 )]
-#[expect(clippy::cast_sign_loss, reason = "means of positive values")]
+#[expect(clippy::cast_sign_loss, reason = "clamped to zero")]
 pub(crate) fn millis_from_f64(value: f64) -> Millis {
     Millis(value.max(0.0) as u64)
 }
 
-/// Returns a span in ms as a number to reckon with.
-pub(crate) fn millis_to_f64(span: Millis) -> f64 {
-    span.as_secs() * 1000.0
+/// Returns a duration in ms as a floating-point number.
+pub(crate) fn millis_to_f64(duration: Millis) -> f64 {
+    duration.as_secs() * 1000.0
 }
--- a/crates/siskinyoke-dispatch/src/overload_window.rs
+++ b/crates/siskinyoke-dispatch/src/overload_window.rs
@@ -1,16 +1,16 @@
-//! How long requests have been refused for want of places.
+//! Duration of the current overload.
 
 use siskinyoke_base::Millis;
 
-/// How long no request may have been refused for a peak to be over.
+/// The time without a refusal after which an overload is over.
 ///
-/// Requests come in clumps, some tenths of a second apart.
+/// Requests arrive in bursts some tenths of a second apart.
 const OVERLOAD_END_GAP: Millis = Millis(700);
 
-/// How long requests of one rank have been refused for want of places.
+/// Tracks for how long requests of one priority have been refused for lack of slots.
 ///
-/// Nobody knows when a peak ends. One that has lasted for some time is expected to last as long again;
-/// callers that are told less come back in vain, and have no third try.
+/// The end of an overload is unknown. One that has lasted for some time is expected to last as long
+/// again: callers that are told to retry earlier are refused again, and have no third attempt.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OverloadWindow {
     started_at: Millis,
@@ -18,7 +18,7 @@
 }
 
 impl OverloadWindow {
-    /// Takes note of a refusal, and returns for how long there have been some.
+    /// Records a refusal and returns how long the overload has lasted.
     pub fn record_refusal(&mut self, now: Millis) -> Millis {
         let continues = self
             .last_refusal
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests of one service that wait for a place, the most urgent first.
+//! Queue of the requests of one service that wait for a slot.
 
 use std::collections::BTreeSet;
 
@@ -7,10 +7,10 @@
 use crate::report::WaitingRow;
 use siskinyoke_base::Millis;
 
-/// Where a request stands in the queue: order, then turn, then ticket.
+/// The sort key of a queued request: order, then position, then ticket.
 pub type QueueKey = (Order, Millis, Ticket);
 
-/// Requests of one service that wait for a place.
+/// The requests of one service that wait for a slot, sorted by their keys.
 #[derive(Debug, Default)]
 pub struct Queue {
     keys: BTreeSet<QueueKey>,
@@ -22,22 +22,22 @@
         self.keys.insert(key);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, key: QueueKey) {
         self.keys.remove(&key);
     }
 
-    /// Returns the places in order.
+    /// Returns the keys in queue order.
     pub fn iter(&self) -> impl Iterator<Item = QueueKey> {
         self.keys.iter().copied()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Sums up what waits, by order; `stay` is how long each takes.
+    /// Summarises the waiting requests by order; `service_time` gives the service time of each.
     pub fn summary(
         &self,
         now: Millis,
@@ -46,18 +46,18 @@
     ) -> Vec<WaitingRow> {
         let mut rows: Vec<WaitingRow> = Vec::new();
         for (order, position, ticket) in &self.keys {
-            let work = u32::try_from(service_time(*ticket).0).unwrap_or(u32::MAX);
+            let time_ms = u32::try_from(service_time(*ticket).0).unwrap_or(u32::MAX);
             match rows.last_mut() {
                 Some(row) if row.order == *order => {
                     row.count = row.count.saturating_add(1);
-                    row.service_time = row.service_time.saturating_add(work);
+                    row.service_time = row.service_time.saturating_add(time_ms);
                 }
                 _ => rows.push(WaitingRow {
                     service,
                     order: *order,
                     count: 1,
                     oldest_wait: u32::try_from(now.since(*position).0).unwrap_or(u32::MAX),
-                    service_time: work,
+                    service_time: time_ms,
                 }),
             }
         }
--- a/crates/siskinyoke-dispatch/src/regression.rs
+++ b/crates/siskinyoke-dispatch/src/regression.rs
@@ -1,22 +1,23 @@
-//! A straight line through what was seen, the newest counting most.
+//! Linear regression in which newer observations weigh more.
 
-/// How much a new observation counts once there are enough of them.
+/// The smallest weight of a new observation; the first ones weigh more.
 ///
-/// A fiftieth follows the last fifty: an instance sees as many requests of a busy service in one to three
-/// seconds, and fewer leave the slope to chance, as prompts differ a hundredfold.
+/// A fiftieth averages over about the last fifty, as many requests of a busy service as an instance
+/// observes in one to three seconds. With fewer the slope is unreliable, as prompts differ
+/// a hundredfold.
 const MIN_WEIGHT: f64 = 0.02;
 
-/// How many times the expected value an observation counts for at most.
+/// The multiple of the predicted value at which an observation is clipped.
 ///
-/// One answer that waited for seconds behind others would tilt the line for all.
+/// A single response that was delayed for seconds behind others would skew all predictions.
 const OUTLIER_RATIO: f64 = 4.0;
 
-/// The smallest value that is cut off as an outlier.
+/// The smallest value at which observations are clipped.
 const MIN_OUTLIER_MS: f64 = 100.0;
 
-/// A straight line through what was seen, the newest counting most.
+/// A least-squares fit of a line, in which newer observations weigh more.
 ///
-/// It holds the running means of what a least-squares fit needs.
+/// It keeps exponential moving averages of the terms of the fit.
 #[derive(Debug, Clone, Copy)]
 pub struct LinearRegression {
     samples: f64,
@@ -27,7 +28,7 @@
 }
 
 impl LinearRegression {
-    /// Makes a line through two points, which count as one observation.
+    /// Creates a line through two points, which together count as one observation.
     pub fn through(one: (f64, f64), other: (f64, f64)) -> Self {
         let mean = |of: fn((f64, f64)) -> f64| f64::midpoint(of(one), of(other));
         Self {
@@ -39,24 +40,24 @@
         }
     }
 
-    /// Takes note of a point.
+    /// Records an observation.
     pub fn record(&mut self, x: f64, y: f64) {
         let y = y.min((self.predict(x) * OUTLIER_RATIO).max(MIN_OUTLIER_MS));
         self.samples += 1.0;
         let weight = (1.0 / self.samples).max(MIN_WEIGHT);
-        let follow = |mean: &mut f64, value: f64| *mean += (value - *mean) * weight;
-        follow(&mut self.mean_x, x);
-        follow(&mut self.mean_y, y);
-        follow(&mut self.mean_xx, x * x);
-        follow(&mut self.mean_xy, x * y);
+        let update = |mean: &mut f64, value: f64| *mean += (value - *mean) * weight;
+        update(&mut self.mean_x, x);
+        update(&mut self.mean_y, y);
+        update(&mut self.mean_xx, x * x);
+        update(&mut self.mean_xy, x * y);
     }
 
-    /// Returns the line's value, which never falls as `x` grows.
+    /// Returns the predicted value, which never decreases with `x`.
     pub fn predict(&self, x: f64) -> f64 {
         (self.mean_y + self.slope() * (x - self.mean_x)).max(0.0)
     }
 
-    /// Returns how much the value grows with each unit of `x`.
+    /// Returns the slope of the line, which is never negative.
     pub fn slope(&self) -> f64 {
         let variance = self.mean_xx - self.mean_x * self.mean_x;
         if variance < 1.0 {
--- a/crates/siskinyoke-dispatch/src/stall_timeout.rs
+++ b/crates/siskinyoke-dispatch/src/stall_timeout.rs
@@ -1,27 +1,28 @@
-//! When an endpoint's silence means that it failed.
+//! Time without data from an endpoint after which a request counts as stalled.
 
 use crate::latency_model::millis_from_f64;
 use crate::latency_model::millis_to_f64;
 use siskinyoke_base::Millis;
 
-/// How many times the time that a request should take its endpoint may stay silent.
+/// The timeout for the first part, as a multiple of the expected time to it.
 ///
-/// Sound answers seldom take four times what their own prompt and those before it should.
+/// Healthy endpoints seldom take four times the time expected for a request's prompt and those
+/// ahead of it.
 const STALL_RATIO: f64 = 4.0;
 
-/// The shortest silence that means failure: shorter ones come from pauses of a process.
+/// The shortest timeout for the first part: shorter stalls come from pauses of a process.
 const MIN_STALL_TIMEOUT: Millis = Millis(400);
 
-/// The silence in the middle of a stream that means failure.
+/// The timeout between two parts of a stream.
 ///
-/// Callers give a stream up after two seconds; another endpoint needs the rest of that.
+/// Callers abandon a stream that stalls for two seconds; the remaining second is for another
+/// endpoint to take over.
 pub const STREAM_STALL_TIMEOUT: Millis = Millis(1_000);
 
-/// Returns how long an endpoint may stay silent after a request was sent, of which the first part
-/// of an answer is expected after `first`.
+/// Returns how long to wait for the first part of a response that is expected after `expected`.
 ///
-/// Held against the mean of a service instead, endpoints that read long prompts are given up
-/// halfway, and the next one begins anew.
+/// A timeout based on the mean of the service instead would abandon endpoints while they process
+/// long prompts, and the next endpoint would have to start over.
 pub fn first_part_timeout(expected: Millis) -> Millis {
     millis_from_f64(millis_to_f64(expected) * STALL_RATIO).max(MIN_STALL_TIMEOUT)
 }
