--- a/crates/siskinyoke-dispatch/src/demand.rs
+++ b/crates/siskinyoke-dispatch/src/demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::Rank;
+use crate::Priority;
 use crate::latency_model::millis_to_f64;
 use siskinyoke_base::Millis;
 
@@ -16,12 +16,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     // When the demand was last updated, and its value then.
-    by_priority: BTreeMap<Rank, (Millis, f64)>,
+    by_priority: BTreeMap<Priority, (Millis, f64)>,
 }
 
 impl Demand {
     /// Records the arrival of a request with the given service time.
-    pub fn record(&mut self, now: Millis, priority: Rank, service_time: Millis) {
+    pub fn record(&mut self, now: Millis, priority: Priority, service_time: Millis) {
         let row = self.by_priority.entry(priority).or_insert((now, 0.0));
         *row = (
             now,
@@ -31,7 +31,7 @@
 
     /// Returns the demand that goes before a new request: that of higher priorities, and of its own
     /// priority too if the request is late.
-    pub fn slots_before(&self, now: Millis, priority: Rank, late: bool) -> f64 {
+    pub fn slots_before(&self, now: Millis, priority: Priority, late: bool) -> f64 {
         let rows = self.by_priority.range(..=priority);
         let rows = rows.filter(|row| late || *row.0 < priority);
         rows.map(|row| decayed(*row.1, now)).sum()
--- a/crates/siskinyoke-dispatch/src/latency_model.rs
+++ b/crates/siskinyoke-dispatch/src/latency_model.rs
@@ -2,7 +2,7 @@
 //!
 //! A streamed response arrives in parts, each of which holds one or more output tokens.
 
-use crate::Work;
+use crate::TokenCounts;
 use crate::regression::LinearRegression;
 use siskinyoke_base::Millis;
 
@@ -67,20 +67,26 @@
 
 impl LatencyModel {
     /// Records the time to the first part of a response.
-    pub fn record_first_part(&mut self, work: &Work, time: Millis) {
-        self.first_part.record(work.prompt, millis_to_f64(time));
+    pub fn record_first_part(&mut self, tokens: &TokenCounts, time: Millis) {
+        self.first_part.record(tokens.prompt, millis_to_f64(time));
     }
 
     /// Records a complete response: the times to its first part and to its end, and its parts.
-    pub fn record_completion(&mut self, work: &Work, first: Millis, took: Millis, parts: u32) {
+    pub fn record_completion(
+        &mut self,
+        tokens: &TokenCounts,
+        first: Millis,
+        took: Millis,
+        parts: u32,
+    ) {
         self.service_time += (millis_to_f64(took) - self.service_time) * MEAN_WEIGHT;
         if parts > 1 {
             let interval = millis_to_f64(took.since(first)) / f64::from(parts - 1);
             self.part_interval += (interval - self.part_interval) * MEAN_WEIGHT;
         }
-        if work.output > 0.0 && parts > 0 {
+        if tokens.output > 0.0 && parts > 0 {
             self.mean_parts += (f64::from(parts) - self.mean_parts) * MEAN_WEIGHT;
-            self.mean_tokens += (work.output - self.mean_tokens) * MEAN_WEIGHT;
+            self.mean_tokens += (tokens.output - self.mean_tokens) * MEAN_WEIGHT;
         }
     }
 
@@ -108,8 +114,8 @@
     }
 
     /// Returns the expected time to the first part of a request's response.
-    pub fn first_part_time(&self, work: &Work) -> Millis {
-        millis_from_f64(self.first_part.predict(work.prompt))
+    pub fn first_part_time(&self, tokens: &TokenCounts) -> Millis {
+        millis_from_f64(self.first_part.predict(tokens.prompt))
     }
 
     /// Returns the expected time between the first and the last part of a response.
@@ -118,13 +124,13 @@
     }
 
     /// Returns the expected service time of a request.
-    pub fn service_time_of(&self, work: &Work) -> Millis {
-        self.first_part_time(work) + self.remaining_time(self.expected_parts(work))
+    pub fn service_time_of(&self, tokens: &TokenCounts) -> Millis {
+        self.first_part_time(tokens) + self.remaining_time(self.expected_parts(tokens))
     }
 
     /// Returns the expected number of parts of a request's response.
-    pub fn expected_parts(&self, work: &Work) -> f64 {
-        work.output * self.mean_parts / self.mean_tokens
+    pub fn expected_parts(&self, tokens: &TokenCounts) -> f64 {
+        tokens.output * self.mean_parts / self.mean_tokens
     }
 }
 
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use crate::Ticket;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::report::WaitingRow;
 use siskinyoke_base::Millis;
 
 /// The sort key of a queued request: order, then position, then ticket.
-pub type QueueKey = (Order, Millis, Ticket);
+pub type QueueKey = (QueueOrder, Millis, Ticket);
 
 /// The requests of one service that wait for a slot, sorted by their keys.
 #[derive(Debug, Default)]
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -18,10 +18,10 @@
 use crate::Endpoint;
 use crate::EndpointKey;
 use crate::Outcome;
-use crate::Pending;
-use crate::Rank;
+use crate::Priority;
 use crate::Refusal;
 use crate::RefusalReason;
+use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::demand::Demand;
 use crate::latency_model::LatencyModel;
@@ -57,7 +57,7 @@
 // A request at an endpoint.
 #[derive(Debug)]
 struct RunningRequest {
-    pending: Pending,
+    pending: ScheduledRequest,
     endpoint: EndpointKey,
     sent_at: Millis,
     // What went before it at its endpoint when it was sent.
@@ -88,12 +88,12 @@
 pub struct Scheduler {
     placing: Placing,
     queues: BTreeMap<Arc<str>, Queue>,
-    waiting: Map<Ticket, Pending>,
+    waiting: Map<Ticket, ScheduledRequest>,
     running: Map<Ticket, RunningRequest>,
     in_flight: BTreeMap<EndpointKey, RunningRow>,
     latencies: Map<Arc<str>, LatencyModel>,
     demands: Map<Arc<str>, Demand>,
-    overloads: Map<(Arc<str>, Rank), OverloadWindow>,
+    overloads: Map<(Arc<str>, Priority), OverloadWindow>,
     rate_limits: RateLimits,
     // Places given to other shards, by the question that asked for each.
     lent_slots: Map<u64, lending::LentSlot>,
@@ -123,7 +123,7 @@
     pub fn admit(
         &mut self,
         now: Millis,
-        pending: Pending,
+        pending: ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> Result<Ticket, Refusal> {
@@ -135,12 +135,12 @@
             });
         }
         let load = self.latency_model(&pending.service);
-        let pending = Pending {
-            position: wait::queue_position(&pending, load),
+        let pending = ScheduledRequest {
+            virtual_arrival: wait::queue_position(&pending, load),
             ..pending
         };
         let demand = self.demands.entry(pending.service.clone()).or_default();
-        demand.record(now, pending.rank, load.service_time_of(&pending.work));
+        demand.record(now, pending.priority, load.service_time_of(&pending.tokens));
         let view = ClusterView {
             now,
             registry,
@@ -151,8 +151,8 @@
         }
         // Another shard may have a place: it is asked before the request is refused.
         if registry.divided() && !self.recently_declined(now, &pending.service) {
-            return Ok(self.enqueue(Pending {
-                pressed: true,
+            return Ok(self.enqueue(ScheduledRequest {
+                needs_loan: true,
                 ..pending
             }));
         }
@@ -161,10 +161,10 @@
     }
 
     /// Lets a request wait for another endpoint after one did not serve it.
-    pub fn requeue(&mut self, pending: Pending) -> Ticket {
-        self.enqueue(Pending {
+    pub fn requeue(&mut self, pending: ScheduledRequest) -> Ticket {
+        self.enqueue(ScheduledRequest {
             late: false,
-            pressed: false,
+            needs_loan: false,
             canary: false,
             ..pending
         })
@@ -194,7 +194,7 @@
         now: Millis,
         ticket: Ticket,
         outcome: Outcome,
-    ) -> Option<Pending> {
+    ) -> Option<ScheduledRequest> {
         let RunningRequest {
             mut pending,
             endpoint,
@@ -202,7 +202,7 @@
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.sent += u32::from(outcome != Outcome::Unreached);
+        pending.attempts += u32::from(outcome != Outcome::Unreached);
         if first_part_at.is_none() {
             self.remove_prefill_tokens(endpoint, &pending);
         }
@@ -223,7 +223,7 @@
             }
             self.record_remaining_parts(endpoint, &pending, took.since(first), parts, pause);
             let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.work, first, took, parts);
+            load.record_completion(&pending.tokens, first, took, parts);
         }
         Some(pending)
     }
@@ -253,7 +253,7 @@
         } = running;
         let usual = self
             .latency_model(&pending.service)
-            .first_part_time(&pending.work.behind(backlog.prefill_tokens))
+            .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
             millis_to_f64(usual) * self.placing.pace(*endpoint),
@@ -271,7 +271,7 @@
     }
 
     /// Takes out waiting requests that must not run any more.
-    pub fn cancel_matching(&mut self, matches: impl Fn(&Pending) -> bool) -> Vec<Ticket> {
+    pub fn cancel_matching(&mut self, matches: impl Fn(&ScheduledRequest) -> bool) -> Vec<Ticket> {
         let found = self.waiting.iter().filter(|row| matches(row.1));
         let tickets: Vec<Ticket> = found.map(|row| *row.0).collect();
         for ticket in &tickets {
@@ -281,7 +281,7 @@
     }
 
     /// Returns the request that runs under a ticket.
-    pub fn running(&self, ticket: Ticket) -> Option<&Pending> {
+    pub fn running(&self, ticket: Ticket) -> Option<&ScheduledRequest> {
         self.running.get(&ticket).map(|running| &running.pending)
     }
 
@@ -289,7 +289,7 @@
     pub fn has_alternative(
         &self,
         now: Millis,
-        pending: &Pending,
+        pending: &ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> bool {
@@ -323,7 +323,7 @@
             .iter()
             .flat_map(|(service, queue)| {
                 let load = self.latency_model(service);
-                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].work);
+                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].tokens);
                 queue.summary(now, short_hash(service), stay)
             })
             .collect()
@@ -356,7 +356,7 @@
         })
     }
 
-    fn enqueue(&mut self, pending: Pending) -> Ticket {
+    fn enqueue(&mut self, pending: ScheduledRequest) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         let queue = self.queues.entry(pending.service.clone()).or_default();
@@ -374,6 +374,6 @@
         .sum()
 }
 
-fn queue_key(ticket: Ticket, pending: &Pending) -> QueueKey {
-    (pending.order(), pending.position, ticket)
+fn queue_key(ticket: Ticket, pending: &ScheduledRequest) -> QueueKey {
+    (pending.queue_order(), pending.virtual_arrival, ticket)
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -6,9 +6,9 @@
 use super::Decision;
 use super::Scheduler;
 use super::queue_key;
-use crate::Pending;
 use crate::Refusal;
 use crate::RefusalReason;
+use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::queue::QueueKey;
 use crate::wait;
@@ -40,7 +40,7 @@
             });
         }
         let waited = view.now.since(pending.arrived);
-        if pending.pressed && self.recently_declined(view.now, &pending.service) {
+        if pending.needs_loan && self.recently_declined(view.now, &pending.service) {
             return self.resolve_declined(view, ticket);
         }
         if !pending.late && waited < wait::queue_timeout(pending, load) {
@@ -51,7 +51,7 @@
         if settled && waited < bearable {
             return None;
         }
-        let late = Pending {
+        let late = ScheduledRequest {
             late: true,
             ..pending.clone()
         };
@@ -69,7 +69,7 @@
     // What becomes of a request for which only another shard might have had a place, and none had.
     fn resolve_declined(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let pending = self.waiting.get_mut(&ticket)?;
-        pending.pressed = false;
+        pending.needs_loan = false;
         let pending = pending.clone();
         if self.expected_on_time(view, &pending) {
             return None;
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -11,7 +11,7 @@
 use crate::Endpoint;
 use crate::Ticket;
 use crate::latency_model::LatencyModel;
-use crate::pending::Order;
+use crate::pending::QueueOrder;
 use crate::placing::Candidate;
 use crate::placing::Placing;
 use crate::placing::Query;
@@ -103,7 +103,7 @@
             let endpoint = candidate.endpoint.clone();
             let ahead = backlog(candidate, load);
             candidate.left -= 1;
-            candidate.unread += pending.work.prompt;
+            candidate.unread += pending.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -212,7 +212,7 @@
         pending.canary = canary;
         let busy = self.usage_mut(key);
         busy.count += 1;
-        busy.prefill_tokens += pending.work.unread();
+        busy.prefill_tokens += pending.tokens.prompt_tokens();
         let running = RunningRequest {
             pending,
             endpoint: key,
@@ -254,7 +254,7 @@
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
-fn claimed_by_peers(rows: &[WaitingRow], order: Order, waited: Millis) -> u32 {
+fn claimed_by_peers(rows: &[WaitingRow], order: QueueOrder, waited: Millis) -> u32 {
     rows.iter()
         .map(|row| {
             if row.order < order {
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -14,14 +14,14 @@
 use siskinyoke_dispatch::Limits;
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Outcome;
-use siskinyoke_dispatch::Pending;
-use siskinyoke_dispatch::Rank;
+use siskinyoke_dispatch::Priority;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Route;
+use siskinyoke_dispatch::ScheduledRequest;
 use siskinyoke_dispatch::Service;
-use siskinyoke_dispatch::Work;
+use siskinyoke_dispatch::TokenCounts;
 use siskinyoke_dispatch::core::Identity;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::quota::QuotaPolicy;
 use siskinyoke_dispatch::report::InstanceInfo;
 use siskinyoke_dispatch::report::InstanceLocation;
@@ -51,21 +51,21 @@
     }
 }
 
-pub fn pending(kind: Kind, priority: u8, arrived: u64) -> Pending {
+pub fn pending(kind: Kind, priority: u8, arrived: u64) -> ScheduledRequest {
     let route = route(kind, priority);
-    Pending {
+    ScheduledRequest {
         service: "lm".into(),
-        rank: Rank::new(None, priority),
+        priority: Priority::new(None, priority),
         arrived: Millis(arrived),
-        position: Millis(arrived),
-        until: Millis(arrived) + route.timeout,
+        virtual_arrival: Millis(arrived),
+        deadline: Millis(arrived) + route.timeout,
         route: Arc::new(route),
-        work: Work::default(),
+        tokens: TokenCounts::default(),
         fingerprint: arrived,
         tried: Vec::new(),
-        sent: 0,
+        attempts: 0,
         late: false,
-        pressed: false,
+        needs_loan: false,
         canary: false,
     }
 }
@@ -144,15 +144,15 @@
     core
 }
 
-pub fn request(path: &str) -> Request<'_> {
-    Request {
+pub fn request(path: &str) -> IncomingRequest<'_> {
+    IncomingRequest {
         host: "host",
         path,
-        held: Millis::ZERO,
+        hold_time: Millis::ZERO,
         key: Some("k"),
         deadline: Some(Millis(5_000)),
         tokens: Some((900, 100)),
-        estimate: None,
+        output_estimate: None,
         draw: 0,
     }
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -20,7 +20,7 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 
 const INSTANCE_COUNT: usize = 3;
 const ENDPOINT_COUNT: usize = 4;
@@ -54,7 +54,7 @@
 
 /// How a request ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RequestResult {
+enum Ending {
     Completed,
     NotRun(RefusalReason),
     MayHaveRun,
@@ -73,7 +73,7 @@
     // Times it was taken in by an endpoint, and times that one crashed under it.
     run_count: usize,
     crash_count: usize,
-    result: Option<(u64, RequestResult)>,
+    result: Option<(u64, Ending)>,
 }
 
 #[derive(Debug)]
@@ -170,7 +170,7 @@
                     self.violations
                         .push(format!("{number} ended at {at}, too late"));
                 }
-                Some((_, RequestResult::NotRun(reason))) if job.run_count > 0 => {
+                Some((_, Ending::NotRun(reason))) if job.run_count > 0 => {
                     let text = format!("{number} ran {} times, told {reason:?}", job.run_count);
                     self.violations.push(text);
                 }
@@ -205,7 +205,7 @@
         for (number, job) in self.requests.iter().enumerate() {
             let suspect = matches!(
                 job.result,
-                Some((_, RequestResult::NotRun(RefusalReason::Quarantined)))
+                Some((_, Ending::NotRun(RefusalReason::Quarantined)))
             );
             if suspect && crashes(job.fingerprint) < 2 {
                 let text = format!("{number} crashed nothing twice and is held for a suspect");
@@ -275,7 +275,7 @@
     fn restart_instance(&mut self, at: usize) {
         for job in &mut self.requests {
             if job.instance == at && job.result.is_none() {
-                job.result = Some((self.now, RequestResult::ConnectionLost));
+                job.result = Some((self.now, Ending::ConnectionLost));
             }
         }
         self.tickets.retain(|key, _| key.0 != at);
@@ -322,13 +322,13 @@
         let instance = self.random_index(INSTANCE_COUNT);
         let now = Millis(self.now);
         let number = self.requests.len();
-        let wanted = Request {
+        let wanted = IncomingRequest {
             deadline: Some(Millis(self.rng.random_range(500..=MAX_DEADLINE_MS))),
             ..request(path)
         };
         let core = &mut self.cores[instance];
         let pass = core
-            .pass(now, wanted)
+            .route(now, wanted)
             .expect("the key and the route are known");
         let admitted = core.admit(now, &pass, print);
         self.requests.push(SimulatedRequest {
@@ -342,7 +342,7 @@
             crash_count: 0,
             result: admitted
                 .err()
-                .map(|it| (self.now, RequestResult::NotRun(it.reason))),
+                .map(|it| (self.now, Ending::NotRun(it.reason))),
         });
         if let Some(ticket) = self.requests[number].ticket {
             self.tickets.insert((instance, ticket), number);
@@ -444,21 +444,16 @@
         let instance = job.instance;
         self.tickets.remove(&(instance, ticket));
         let done = matches!(outcome, Outcome::Done { .. });
-        let again = self.cores[instance].ended(Millis(self.now), ticket, outcome, !done);
+        let again = self.cores[instance].record_outcome(Millis(self.now), ticket, outcome, !done);
         let job = &mut self.requests[number];
         job.ticket = again;
         match again {
             Some(ticket) => {
                 self.tickets.insert((instance, ticket), number);
             }
-            None if done => job.result = Some((self.now, RequestResult::Completed)),
-            None if job.has_run => job.result = Some((self.now, RequestResult::MayHaveRun)),
-            None => {
-                job.result = Some((
-                    self.now,
-                    RequestResult::NotRun(RefusalReason::EndpointRejected),
-                ))
-            }
+            None if done => job.result = Some((self.now, Ending::Completed)),
+            None if job.has_run => job.result = Some((self.now, Ending::MayHaveRun)),
+            None => job.result = Some((self.now, Ending::NotRun(RefusalReason::EndpointRejected))),
         }
     }
 
@@ -469,9 +464,9 @@
         }
         let job = &mut self.requests[number];
         let end = if job.has_run {
-            RequestResult::MayHaveRun
+            Ending::MayHaveRun
         } else {
-            RequestResult::NotRun(reason)
+            Ending::NotRun(reason)
         };
         job.result = Some((self.now, end));
         self.tickets
@@ -533,9 +528,9 @@
             }
             let (instance, ticket) = (job.instance, job.ticket);
             let end = if job.has_run {
-                RequestResult::MayHaveRun
+                Ending::MayHaveRun
             } else {
-                RequestResult::NotRun(RefusalReason::QueueTimeout)
+                Ending::NotRun(RefusalReason::QueueTimeout)
             };
             job.result = Some((self.now, end));
             if let Some(ticket) = ticket {
@@ -551,7 +546,7 @@
     // What holds at every moment.
     fn check_invariants(&mut self) {
         for (at, core) in self.cores.iter().enumerate() {
-            let version = core.version();
+            let version = core.configuration_version();
             if version < self.seen_versions[at] {
                 let text = format!("i{at} went from {} to {version}", self.seen_versions[at]);
                 self.violations.push(text);
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -36,7 +36,7 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::Ticket;
-use siskinyoke_dispatch::core::Request;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::message::SlotRequest;
 use siskinyoke_dispatch::message::UnitsRequest;
 
@@ -60,7 +60,7 @@
     queued_ms: u64,
 }
 
-struct RunningRequest {
+struct Attempt {
     instance: usize,
     ticket: Ticket,
     endpoint: Endpoint,
@@ -81,7 +81,7 @@
     granted_units: Vec<(u64, f64)>,
     rejected_units: f64,
     unfinished: BTreeMap<(usize, Ticket), SimulatedRequest>,
-    running: Vec<RunningRequest>,
+    running: Vec<Attempt>,
     /// The most that one endpoint ran at once.
     peak_running: usize,
     finished: Vec<SimulatedRequest>,
@@ -152,12 +152,12 @@
     // Asks for a quota, as the gateway does: the own shard first, then some instances of others.
     fn request_quota(&mut self, at: usize, units: u64) {
         let now = Millis(self.now);
-        let wanted = Request {
+        let wanted = IncomingRequest {
             tokens: Some((units, 0)),
             draw: self.rng.random(),
             ..request("/stream/x")
         };
-        let mut passed = self.cores[at].pass(now, wanted);
+        let mut passed = self.cores[at].route(now, wanted);
         if self.lending
             && passed.is_err()
             && let Some(need) = self.cores[at].lacks(now, wanted)
@@ -174,7 +174,7 @@
                 }
             }
             if sum > 0 {
-                passed = self.cores[at].pass_again(now, wanted, sum);
+                passed = self.cores[at].route_with_borrowed_quota(now, wanted, sum);
             }
         }
         match passed {
@@ -256,11 +256,11 @@
 
     fn submit(&mut self, at: usize) {
         let now = Millis(self.now);
-        let wanted = Request {
+        let wanted = IncomingRequest {
             tokens: Some((1, 1)),
             ..request("/safe/x")
         };
-        let pass = self.cores[at].pass(now, wanted).expect("it may");
+        let pass = self.cores[at].route(now, wanted).expect("it may");
         let print = self.rng.random();
         let job = SimulatedRequest {
             arrived_ms: self.now,
@@ -328,7 +328,7 @@
         let job = self.unfinished.get_mut(&(at, ticket)).expect("it waited");
         job.started_ms = Some(self.now);
         let until = self.now + SERVICE_TIME_MS;
-        self.running.push(RunningRequest {
+        self.running.push(Attempt {
             instance: at,
             ticket,
             endpoint: endpoint.clone(),
@@ -349,13 +349,13 @@
             .partition(|it| it.ends_ms <= now);
         self.running = running;
         for run in over {
-            let RunningRequest {
+            let Attempt {
                 instance,
                 ticket,
                 lender,
                 ..
             } = run;
-            self.cores[instance].ended(Millis(now), ticket, done(), false);
+            self.cores[instance].record_outcome(Millis(now), ticket, done(), false);
             if let Some((lender, id)) = lender {
                 self.cores[lender].returned(id);
             }
