--- a/crates/siskinyoke-dispatch/benches/decide.rs
+++ b/crates/siskinyoke-dispatch/benches/decide.rs
@@ -44,7 +44,7 @@
     let mut core = full(10, endpoints);
     for at in 0..endpoints {
         let endpoint = common::endpoint(&format!("e{at}"), SLOTS);
-        core.note_limit(Millis(0), &endpoint, Millis(0), Some(1.5));
+        core.record_limit(Millis(0), &endpoint, Millis(0), Some(1.5));
     }
     bencher.bench_local(|| black_box(core.decide(Millis(1))));
 }
@@ -74,7 +74,7 @@
     let mut number = 1;
     bencher.bench_local(|| {
         number += 1;
-        core.heard(Millis(1), peer(1, number, endpoints))
+        core.receive_report(Millis(1), peer(1, number, endpoints))
     });
 }
 
@@ -86,7 +86,7 @@
         core.registry().put(Millis(0), endpoint);
     }
     for at in 1..=PEERS {
-        core.heard(Millis(0), peer(at, 1, endpoints));
+        core.receive_report(Millis(0), peer(at, 1, endpoints));
     }
     core
 }
@@ -124,8 +124,8 @@
     admit(core, now, now.0);
     for decision in core.decide(now) {
         if let Decision::Start(ticket, _) = decision {
-            core.record_response_start(now, ticket);
-            core.record_outcome(now, ticket, common::done(), false);
+            core.first_part_received(now, ticket);
+            core.attempt_ended(now, ticket, common::done(), false);
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/configuration.rs
+++ b/crates/siskinyoke-dispatch/src/configuration.rs
@@ -31,9 +31,9 @@
     /// How long the operator lets a request take in all.
     pub timeout: Millis,
     /// The latency objective: to the whole answer, or to a stream's first event.
-    pub latency_objective: Millis,
+    pub latency_target: Millis,
     /// The longest pause between a stream's events for which its answer is on time.
-    pub max_gap: Millis,
+    pub gap_target: Millis,
     /// The priority, 0 first; an organisation's own priority goes before it.
     pub priority: u8,
     /// The services that serve it, with weights.
@@ -61,13 +61,13 @@
     /// Callers leave a stream that is silent for two seconds, four times its objective or eight
     /// times its longest pause, whichever is longest, as their platform tells them to. What waits
     /// here for longer would hold a place in the queue for nobody.
-    pub fn first_byte_timeout(&self) -> Millis {
+    pub fn caller_timeout(&self) -> Millis {
         if self.kind != Kind::Stream {
             return self.timeout;
         }
         let silence = MIN_STREAM_TIMEOUT
-            .max(Millis(self.latency_objective.0 * 4))
-            .max(Millis(self.max_gap.0 * 8));
+            .max(Millis(self.latency_target.0 * 4))
+            .max(Millis(self.gap_target.0 * 8));
         silence.min(self.timeout)
     }
 
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -67,7 +67,7 @@
 impl Core {
     /// Makes the state of an instance that knows nothing yet.
     pub fn new(me: Identity) -> Self {
-        let scheduler = Scheduler::new(&me.name, &me.place.centre);
+        let scheduler = Scheduler::new(&me.name, &me.location.centre);
         Self {
             configuration: None,
             registry: Registry::default(),
@@ -77,7 +77,7 @@
             departed: BTreeMap::new(),
             shard: 0,
             shard_count: 1,
-            quotas: Quotas::new(me.measure),
+            quotas: Quotas::new(me.quota_policy),
             budgets: Map::default(),
             quarantine: Quarantine::default(),
             store_view: store::StoreView::default(),
@@ -166,7 +166,7 @@
         request: IncomingRequest<'_>,
     ) -> Result<RoutedRequest, Refusal> {
         let pass = self.resolve(now, request)?;
-        self.budget(&pass.service).record_request(now);
+        self.retry_budget(&pass.service).record_request(now);
         self.charge_quota(now, &pass, routing::unit_fraction(request.draw), 0)?;
         Ok(pass)
     }
@@ -214,7 +214,7 @@
             })
         } else {
             let mut pending = routing::pending(pass, print);
-            let exposure = self.identity.exposure;
+            let exposure = self.identity.max_exposure;
             let rollout = self.registry.rollout(&pending.service);
             pending.canary = rollout.is_some_and(|it| it.select_canary(now, exposure));
             self.scheduler
@@ -253,7 +253,7 @@
 
     /// Takes note of how a stay ended, and lets the request wait for another endpoint if
     /// `more` is set and both its route and the retry budget allow one.
-    pub fn record_outcome(
+    pub fn attempt_ended(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -263,13 +263,13 @@
         let pending = self.scheduler.attempt_ended(now, ticket, outcome)?;
         self.record_sample(now, &pending, outcome);
         match outcome {
-            Outcome::Broken => {
+            Outcome::ConnectionLost => {
                 if let Some(key) = pending.tried.last() {
                     self.quarantine
                         .record_crash(now, pending.fingerprint, key.short());
                 }
             }
-            Outcome::Done { .. } => self.quarantine.clear(pending.fingerprint),
+            Outcome::Completed { .. } => self.quarantine.clear(pending.fingerprint),
             _ => {}
         }
         if !more || !self.may_retry(now, &pending, outcome) {
@@ -279,20 +279,21 @@
     }
 
     /// Takes note that the first part of a running request's answer came.
-    pub fn record_response_start(&mut self, now: Millis, ticket: Ticket) {
+    pub fn first_part_received(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.first_part_received(now, ticket);
     }
 
     /// Takes out a request, waiting or running, whose caller left.
     pub fn cancel(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.cancel(ticket);
-        self.scheduler.attempt_ended(now, ticket, Outcome::Left);
+        self.scheduler
+            .attempt_ended(now, ticket, Outcome::Cancelled);
     }
 
     /// Does what is due with time: drops what is gone.
     pub fn sweep(&mut self, now: Millis) {
         self.registry.sweep(now);
-        self.sweep_fleet(now);
+        self.expire_departed(now);
         for source in self.peers.sweep(now) {
             self.quotas.forget_peer(source);
         }
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -13,43 +13,43 @@
 /// The fewest instances among which the retries beside the budget's ratio are shared out.
 ///
 /// A few more than the smallest deployments have, as the list may lag behind machines added.
-const FLEET: usize = 12;
+const MIN_FLEET_SIZE: usize = 12;
 
 /// How long changes of the store are gathered before the next look.
 ///
 /// Changes come in bursts: when a fleet starts, each instance's entry is a change.
-const GATHER: Millis = Millis(500);
+const UPDATE_BATCH_DELAY: Millis = Millis(500);
 
 /// How much longer each shard's watcher waits than that of the shard before it in turn.
 ///
 /// If all looked again at once, each change would cost a call for each shard. One shard looks at a time, and
 /// the others hear of it from there; where its watcher is gone, the next one's turn comes soon.
-const TURN: Millis = Millis(500);
+const SHARD_STAGGER: Millis = Millis(500);
 
 /// How long an instance that went still counts for the making of shards.
 ///
 /// A restart takes some seconds. If shards changed with each one, a rolling restart of the fleet
 /// would move endpoints several times a second, and no count of what runs there would hold.
-const RESTART: Millis = Millis::from_secs(15);
+const RESTART_GRACE: Millis = Millis::from_secs(15);
 
 /// Peers that one report names, so that it stays short.
-const NAMED: usize = 8;
+const MAX_REPORTED_PEERS: usize = 8;
 
 impl Core {
     /// Takes note of an instance's entry in the store.
-    pub fn list(&mut self, name: &str, place: InstanceLocation) {
-        self.enter(name, place);
+    pub fn add_instance(&mut self, name: &str, place: InstanceLocation) {
+        self.instance_listed(name, place);
         self.settle();
     }
 
     /// Takes note that an instance's entry is gone.
-    pub fn unlist(&mut self, now: Millis, name: &str) {
-        self.depart(now, name);
+    pub fn remove_instance(&mut self, now: Millis, name: &str) {
+        self.instance_unlisted(now, name);
         self.settle();
     }
 
     /// Returns the listed instances, with whether each belongs to this one's shard.
-    pub fn listed(&self) -> impl Iterator<Item = (&InstanceLocation, bool)> {
+    pub fn other_instances(&self) -> impl Iterator<Item = (&InstanceLocation, bool)> {
         let others = self
             .instances
             .iter()
@@ -58,7 +58,7 @@
     }
 
     /// Returns the listed instances of the other shards, shard by shard.
-    pub fn other_shards(&self) -> Vec<Vec<&InstanceLocation>> {
+    pub fn instances_by_other_shard(&self) -> Vec<Vec<&InstanceLocation>> {
         let mut shards: BTreeMap<usize, Vec<&InstanceLocation>> = BTreeMap::new();
         for (name, place) in self.instances.iter() {
             let home = shards::shard_of(name, self.shard_count);
@@ -70,14 +70,14 @@
     }
 
     /// Chooses the instances that a caller of a data centre is told to use.
-    pub fn addresses(&self, now: Millis, centre: &str) -> Vec<String> {
-        let own = self.about(now);
+    pub fn caller_addresses(&self, now: Millis, centre: &str) -> Vec<String> {
+        let own = self.instance_info(now);
         let peers = self
             .peers
             .fresh(now)
             .filter(|it| it.report.ready && !it.report.leaving);
         let members = peers.map(|peer| &peer.info.location);
-        let others = self.listed().filter(|row| !row.1).map(|row| row.0);
+        let others = self.other_instances().filter(|row| !row.1).map(|row| row.0);
         let others = others.filter(|_| self.shard_count > 1);
         let ready = members
             .chain(self.ready().then_some(&own.location))
@@ -86,31 +86,35 @@
     }
 
     /// Returns how long the store may hold a watch.
-    pub fn watch(&self) -> Millis {
-        watch::watch_timeout(self.identity.settle, self.reaches(), self.shard_count)
+    pub fn watch_timeout(&self) -> Millis {
+        watch::watch_timeout(
+            self.identity.settling_time,
+            self.reaches(),
+            self.shard_count,
+        )
     }
 
     /// Returns how long changes of the store should be gathered before the next look.
     ///
     /// Cells take turns, another one first after each change.
-    pub fn gather(&self) -> Millis {
+    pub fn update_batch_delay(&self) -> Millis {
         let shards = u64::try_from(self.shard_count).unwrap_or(1).max(1);
         let own = u64::try_from(self.shard).unwrap_or(0);
-        GATHER + Millis(TURN.0 * ((own + self.revision()) % shards))
+        UPDATE_BATCH_DELAY + Millis(SHARD_STAGGER.0 * ((own + self.store_revision()) % shards))
     }
 
-    pub(super) fn enter(&mut self, name: &str, place: InstanceLocation) {
+    pub(super) fn instance_listed(&mut self, name: &str, place: InstanceLocation) {
         self.departed.remove(name);
         self.instances.put(name, place);
     }
 
-    pub(super) fn depart(&mut self, now: Millis, name: &str) {
+    pub(super) fn instance_unlisted(&mut self, now: Millis, name: &str) {
         self.departed.insert(name.to_owned(), now);
         self.instances.remove(now, name);
     }
 
     // A few peers, others with each report, so that all get to know all.
-    pub(super) fn inner_addresses(&self, now: Millis) -> Vec<String> {
+    pub(super) fn reported_peers(&self, now: Millis) -> Vec<String> {
         let all: Vec<&String> = self
             .peers
             .fresh(now)
@@ -120,13 +124,13 @@
         all.iter()
             .cycle()
             .skip(skip)
-            .take(all.len().min(NAMED))
+            .take(all.len().min(MAX_REPORTED_PEERS))
             .map(|it| (*it).clone())
             .collect()
     }
 
     // The instances that shards are made of: those listed, and those that may be restarting.
-    pub(super) fn fleet(&self) -> BTreeSet<&str> {
+    pub(super) fn fleet_members(&self) -> BTreeSet<&str> {
         let listed = self.instances.iter().map(|row| row.0);
         listed
             .chain(self.departed.keys().map(String::as_str))
@@ -135,10 +139,10 @@
 
     // Finds out which shard of the fleet this instance belongs to.
     pub(super) fn settle(&mut self) {
-        self.peers.set_listed_count(self.fleet().len());
-        let shards = shards::count(self.fleet().len());
+        self.peers.set_listed_count(self.fleet_members().len());
+        let shards = shards::count(self.fleet_members().len());
         let mut sizes = vec![0; shards];
-        for name in self.fleet() {
+        for name in self.fleet_members() {
             sizes[shards::shard_of(name, shards)] += 1;
         }
         self.shard = shards::shard_of(&self.identity.name, shards);
@@ -157,14 +161,15 @@
 
     // The part of the retries beside the budget's ratio that is this instance's.
     pub(super) fn floor(&self) -> f64 {
-        let fleet = self.instances.iter().count().max(FLEET);
-        self.identity.floor / 2.0 / f64::from(u32::try_from(fleet).unwrap_or(u32::MAX))
+        let fleet = self.instances.iter().count().max(MIN_FLEET_SIZE);
+        self.identity.retry_slack / 2.0 / f64::from(u32::try_from(fleet).unwrap_or(u32::MAX))
     }
 
     // Drops instances whose time is over.
-    pub(super) fn sweep_fleet(&mut self, now: Millis) {
+    pub(super) fn expire_departed(&mut self, now: Millis) {
         let before = self.departed.len();
-        self.departed.retain(|_, since| now.since(*since) < RESTART);
+        self.departed
+            .retain(|_, since| now.since(*since) < RESTART_GRACE);
         if self.instances.remove_expired(now) || self.departed.len() < before {
             self.settle();
         }
--- a/crates/siskinyoke-dispatch/src/core/identity.rs
+++ b/crates/siskinyoke-dispatch/src/core/identity.rs
@@ -10,17 +10,17 @@
     /// Its name.
     pub name: String,
     /// Where it is found.
-    pub place: InstanceLocation,
+    pub location: InstanceLocation,
     /// Names this start of its process; drawn at random.
-    pub source: u64,
+    pub incarnation: u64,
     /// The part of a service's requests that may be sent again, over all instances.
-    pub retries: f64,
+    pub retry_ratio: f64,
     /// Retries allowed beside that part, over all instances.
-    pub floor: f64,
+    pub retry_slack: f64,
     /// The part of a service's requests that a version on trial may get, over all instances.
-    pub exposure: f64,
+    pub max_exposure: f64,
     /// The time from the end of a disturbance until changes must be in force as usual.
-    pub settle: Millis,
+    pub settling_time: Millis,
     /// How quotas are measured.
-    pub measure: QuotaPolicy,
+    pub quota_policy: QuotaPolicy,
 }
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -16,7 +16,7 @@
 
 impl Core {
     /// Returns what other shards may be asked for, so that a request finds its quota.
-    pub fn lacks(&self, now: Millis, request: IncomingRequest<'_>) -> Option<UnitsRequest> {
+    pub fn missing_quota(&self, now: Millis, request: IncomingRequest<'_>) -> Option<UnitsRequest> {
         if !self.registry.is_sharded() {
             return None;
         }
@@ -60,7 +60,7 @@
     }
 
     /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
-    pub fn needs(&mut self, now: Millis) -> Vec<(Ticket, BorrowRequest)> {
+    pub fn borrow_requests(&mut self, now: Millis) -> Vec<(Ticket, BorrowRequest)> {
         if !self.registry.is_sharded() && self.scheduler.rate_limits().active_count() == 0 {
             return Vec::new();
         }
@@ -74,7 +74,7 @@
 
     /// Starts a waiting request at a place that another shard gave, and returns its endpoint; nothing if
     /// the request waits no more or the endpoint is not to be used.
-    pub fn place_granted(
+    pub fn slot_granted(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -86,12 +86,12 @@
     }
 
     /// Takes note that the shards that were asked had no place for a request.
-    pub fn place_declined(&mut self, now: Millis, ticket: Ticket) {
+    pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.slot_declined(now, ticket);
     }
 
     /// Takes a place back that was given to another shard.
-    pub fn returned(&mut self, id: u64) {
+    pub fn reclaim_slot(&mut self, id: u64) {
         self.scheduler.reclaim_slot(id);
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/core/rate_limits.rs
@@ -14,7 +14,7 @@
 impl Core {
     /// Takes in an answer of an endpoint to a request that was sent at `sent`: the requests a second that it takes from
     /// all instances together, if it names that.
-    pub fn note_limit(
+    pub fn record_limit(
         &mut self,
         now: Millis,
         endpoint: &Endpoint,
@@ -25,26 +25,26 @@
     }
 
     /// Returns the endpoint of a shortened key, if it is known.
-    pub fn endpoint(&self, key: u32) -> Option<&Arc<Endpoint>> {
+    pub fn endpoint_by_hash(&self, key: u32) -> Option<&Arc<Endpoint>> {
         self.registry.all().find(|it| it.key().short() == key)
     }
 
     // A limit of an endpoint that is not known here, or gone, would be forgotten and heard again without end.
-    pub(super) fn hear_limits(&mut self, now: Millis, rows: &[LimitRow]) {
+    pub(super) fn record_peer_limits(&mut self, now: Millis, rows: &[LimitRow]) {
         let known = rows
             .iter()
-            .filter(|it| self.endpoint(it.endpoint).is_some());
+            .filter(|it| self.endpoint_by_hash(it.endpoint).is_some());
         let known: Vec<LimitRow> = known.copied().collect();
         self.scheduler.record_peer_limits(now, &known);
     }
 
     /// Returns the limits that were named, changed or lifted since this was last asked.
-    pub fn limit_changes(&mut self) -> Vec<LimitChange> {
+    pub fn take_limit_changes(&mut self) -> Vec<LimitChange> {
         self.scheduler.take_limit_changes()
     }
 
     /// Returns the peers that may give a token of a rate limit for a service's requests, by its hashed name.
-    pub fn holders(&self, now: Millis, service: u32) -> Vec<&InstanceLocation> {
+    pub fn token_holders(&self, now: Millis, service: u32) -> Vec<&InstanceLocation> {
         let view = ClusterView {
             now,
             registry: &self.registry,
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -8,37 +8,37 @@
 use siskinyoke_base::Millis;
 
 /// Suspect work and addresses told in one report, so that it fits a datagram.
-const TOLD: usize = 8;
+const MAX_REPORTED_QUARANTINE: usize = 8;
 
 /// How long the use of an organisation, or a rate limit, stands in each report after it changed.
 ///
 /// Some reports are lost; five in a row are not, and the rest stands in every whole report.
-const RECENT: Millis = Millis(250);
+const CHANGE_REPORT_PERIOD: Millis = Millis(250);
 
 /// By how much longer than this instance a peer may run and still count as no older.
-const TOGETHER: Millis = Millis(1_500);
+const START_SKEW: Millis = Millis(1_500);
 
 impl Core {
     /// Takes in a peer's report; returns whether the peer, or its start, is new.
-    pub fn heard(&mut self, now: Millis, report: Report) -> bool {
+    pub fn receive_report(&mut self, now: Millis, report: Report) -> bool {
         let source = report.source;
         let mut in_shard = true;
         if let Some(about) = &report.info {
             if about.name == self.identity.name {
                 return false;
             }
-            self.learn(now, about);
+            self.apply_info(now, about);
             in_shard = self.in_shard(&about.name);
         }
         self.receive_canaries(now, &report, in_shard);
-        self.hear_limits(now, &report.limits);
+        self.record_peer_limits(now, &report.limits);
         if !in_shard {
             self.peers.remove(source);
             return false;
         }
         let spent = report.quota_used.clone();
         self.scheduler.record_peer_usage(&report.running);
-        let young = Millis(report.age) <= self.age(now) + TOGETHER;
+        let young = Millis(report.age) <= self.age(now) + START_SKEW;
         match self.peers.receive(now, report) {
             Received::Ignored => return false,
             Received::NewProcess(before) => {
@@ -53,7 +53,7 @@
         false
     }
 
-    pub(super) fn learn(&mut self, now: Millis, about: &InstanceInfo) {
+    pub(super) fn apply_info(&mut self, now: Millis, about: &InstanceInfo) {
         for key in &about.leaving_endpoints {
             self.registry.left(now, *key);
         }
@@ -70,23 +70,23 @@
         let since = if whole {
             Millis::ZERO
         } else {
-            Millis(now.0.saturating_sub(RECENT.0))
+            Millis(now.0.saturating_sub(CHANGE_REPORT_PERIOD.0))
         };
         Report {
-            source: self.identity.source,
+            source: self.identity.incarnation,
             age: self.age(now).0,
             number: self.report_number,
             ready: self.ready(),
             leaving: self.leaving,
             configuration: self.configuration_version(),
             revision: self.store_view.revision,
-            store_reachable: self.store_view.reaches,
+            store_reachable: self.store_view.reachable,
             running: self.scheduler.endpoint_usage(),
             waiting: self.scheduler.queue_summary(now),
             quota_used: self.quotas.usage(since),
             limits: self.scheduler.rate_limits().report_rows(now, since),
             canaries: self.canaries(now),
-            info: whole.then(|| self.about(now)),
+            info: whole.then(|| self.instance_info(now)),
         }
     }
 
@@ -95,13 +95,13 @@
         rollouts.map(|it| it.tell(now)).collect()
     }
 
-    pub(super) fn about(&self, now: Millis) -> InstanceInfo {
+    pub(super) fn instance_info(&self, now: Millis) -> InstanceInfo {
         InstanceInfo {
             name: self.identity.name.clone(),
-            location: self.identity.place.clone(),
+            location: self.identity.location.clone(),
             leaving_endpoints: self.registry.news(),
-            quarantine: self.quarantine.recent_crashes(TOLD),
-            peers: self.inner_addresses(now),
+            quarantine: self.quarantine.recent_crashes(MAX_REPORTED_QUARANTINE),
+            peers: self.reported_peers(now),
         }
     }
 
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -12,17 +12,17 @@
 /// The part of the operators' retry ratio that is used.
 ///
 /// Instances count in windows of their own; a fifth covers where these differ from the operators'.
-const RETRIES: f64 = 0.8;
+const USED_RETRY_RATIO: f64 = 0.8;
 
 /// Endpoints tried for one request when none can be reached; no part of it was sent to them.
-const UNSENT: usize = 4;
+const MAX_CONNECT_ATTEMPTS: usize = 4;
 
 impl Core {
     /// Returns whether a running request whose endpoint is silent may be given up for another.
     ///
     /// Only where another has a place for it: an endpoint's silence alone is no reason to end its
     /// work. It takes the retry from the budget, so that another surely may follow.
-    pub fn spare(&mut self, now: Millis, ticket: Ticket) -> bool {
+    pub fn try_abandon(&mut self, now: Millis, ticket: Ticket) -> bool {
         let Some(pending) = self.scheduler.running(ticket).cloned() else {
             return false;
         };
@@ -35,11 +35,11 @@
         allowed
             && elsewhere
             && now < pending.deadline
-            && self.budget(&pending.service).try_take(now, floor)
+            && self.retry_budget(&pending.service).try_take(now, floor)
     }
 
-    pub(super) fn budget(&mut self, service: &Arc<str>) -> &mut RetryBudget {
-        let ratio = self.identity.retries * RETRIES;
+    pub(super) fn retry_budget(&mut self, service: &Arc<str>) -> &mut RetryBudget {
+        let ratio = self.identity.retry_ratio * USED_RETRY_RATIO;
         self.budgets
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(ratio))
@@ -51,8 +51,8 @@
         pending: &ScheduledRequest,
         outcome: Outcome,
     ) -> bool {
-        let unsent = outcome == Outcome::Unreached;
-        let unrun = unsent || matches!(outcome, Outcome::Full | Outcome::Moved);
+        let unsent = outcome == Outcome::ConnectFailed;
+        let unrun = unsent || matches!(outcome, Outcome::Full | Outcome::Misdirected);
         if !unrun && !pending.route.idempotent() {
             return false;
         }
@@ -63,13 +63,13 @@
             return false;
         }
         if unsent {
-            return pending.tried.len() < UNSENT;
+            return pending.tried.len() < MAX_CONNECT_ATTEMPTS;
         }
-        if outcome == Outcome::Silent {
+        if outcome == Outcome::Stalled {
             return true;
         }
         let floor = self.floor();
         pending.attempts < pending.route.max_attempts
-            && self.budget(&pending.service).try_take(now, floor)
+            && self.retry_budget(&pending.service).try_take(now, floor)
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -44,7 +44,7 @@
     /// Its state.
     pub state: State,
     /// The revision that the status must still have, 0 if there must be none.
-    pub expected: u64,
+    pub status_revision: u64,
     /// The revision that the order must still have, 0 if it was withdrawn.
     ///
     /// A write may take effect late, when the same version has been ordered again.
@@ -75,7 +75,7 @@
             Some(StatusWrite {
                 order: it.order().clone(),
                 state: it.due_state(now, self.shard)?,
-                expected: it.status_revision(),
+                status_revision: it.status_revision(),
                 order_revision: it.order_revision(),
             })
         });
@@ -85,7 +85,7 @@
     }
 
     pub(super) fn begin_rollout(&mut self, now: Millis, order: Order) {
-        let draw = stable_hash(&(self.identity.source, order.revision));
+        let draw = stable_hash(&(self.identity.incarnation, order.revision));
         self.registry.order(now, order, unit_fraction(draw));
     }
 
@@ -143,16 +143,21 @@
 // Whether an answer speaks against its endpoint's version; nothing if it says nothing of it.
 fn is_bad_answer(outcome: Outcome, pending: &ScheduledRequest, load: LatencyModel) -> Option<bool> {
     match outcome {
-        Outcome::Failed | Outcome::Broken | Outcome::Silent => Some(true),
-        Outcome::Done { took, parts: 0, .. } => Some(is_slow(took, load.mean_service_time())),
-        Outcome::Done {
-            first, took, parts, ..
+        Outcome::Failed | Outcome::ConnectionLost | Outcome::Stalled => Some(true),
+        Outcome::Completed {
+            total, parts: 0, ..
+        } => Some(is_slow(total, load.mean_service_time())),
+        Outcome::Completed {
+            to_first_part,
+            total,
+            parts,
+            ..
         } => {
-            let late = is_slow(first, load.first_part_time(&pending.tokens));
+            let late = is_slow(to_first_part, load.first_part_time(&pending.tokens));
             let rest = load.remaining_time(f64::from(parts));
-            Some(late || is_slow(took.since(first), rest))
+            Some(late || is_slow(total.since(to_first_part), rest))
         }
-        Outcome::Full | Outcome::Moved | Outcome::Unreached | Outcome::Left => None,
+        Outcome::Full | Outcome::Misdirected | Outcome::ConnectFailed | Outcome::Cancelled => None,
     }
 }
 
--- a/crates/siskinyoke-dispatch/src/health.rs
+++ b/crates/siskinyoke-dispatch/src/health.rs
@@ -50,13 +50,13 @@
     /// Takes note of how a stay ended.
     pub fn record_outcome(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
-            Outcome::Done { .. } => self.record_success(),
+            Outcome::Completed { .. } => self.record_success(),
             Outcome::Failed => self.failure_ratio += (1.0 - self.failure_ratio) * SMOOTHING_RATIO,
             Outcome::Full => self.back_off_until(now + FULL_BACKOFF),
-            Outcome::Moved => self.back_off_until(now + MOVED_BACKOFF),
-            Outcome::Unreached | Outcome::Silent => self.record_unresponsive(now),
-            Outcome::Broken => self.record_broken(now),
-            Outcome::Left => {}
+            Outcome::Misdirected => self.back_off_until(now + MOVED_BACKOFF),
+            Outcome::ConnectFailed | Outcome::Stalled => self.record_unresponsive(now),
+            Outcome::ConnectionLost => self.record_broken(now),
+            Outcome::Cancelled => {}
         }
     }
 
--- a/crates/siskinyoke-dispatch/src/outcome.rs
+++ b/crates/siskinyoke-dispatch/src/outcome.rs
@@ -6,28 +6,28 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// A whole answer arrived.
-    Done {
+    Completed {
         /// From the sending to the first part of the answer.
-        first: Millis,
+        to_first_part: Millis,
         /// From the sending to its end.
-        took: Millis,
+        total: Millis,
         /// The parts in which a streamed answer came; 0 for a whole one.
         parts: u32,
         /// The longest pause between two parts.
-        pause: Millis,
+        longest_pause: Millis,
     },
     /// The endpoint answered with a failure of its own after it ran the request.
     Failed,
     /// The endpoint had no room and did not run it.
     Full,
     /// Another endpoint holds that address now; nothing ran.
-    Moved,
+    Misdirected,
     /// No connection could be made; nothing was sent.
-    Unreached,
+    ConnectFailed,
     /// The connection broke after something was sent; it may have run.
-    Broken,
+    ConnectionLost,
     /// Nothing came for so long that the attempt was given up.
-    Silent,
+    Stalled,
     /// The caller left, or its time ran out.
-    Left,
+    Cancelled,
 }
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -269,10 +269,10 @@
         let pauses = load.expected_parts(&pending.tokens) > SHORT_ANSWER_PARTS
             && stall_ratio > STALL_THRESHOLD_RATIO;
         let stalls =
-            load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.max_gap);
+            load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.gap_target);
         Cost {
             relative_time: time,
-            late: begins > millis_to_f64(pending.route.latency_objective) || pauses,
+            late: begins > millis_to_f64(pending.route.latency_target) || pauses,
             times_out: times_out(query, pace),
             stalled_ratio: if stalls { occupancy } else { 0.0 },
         }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -202,7 +202,7 @@
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.attempts += u32::from(outcome != Outcome::Unreached);
+        pending.attempts += u32::from(outcome != Outcome::ConnectFailed);
         if first_part_at.is_none() {
             self.remove_prefill_tokens(endpoint, &pending);
         }
@@ -211,19 +211,25 @@
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
         self.placing.ended(now, endpoint, outcome);
-        if let Outcome::Done {
-            first,
-            took,
+        if let Outcome::Completed {
+            to_first_part,
+            total,
             parts,
-            pause,
+            longest_pause,
         } = outcome
         {
             if first_part_at.is_none() {
                 self.record_first_part(endpoint, &pending, now.since(sent_at));
             }
-            self.record_remaining_parts(endpoint, &pending, took.since(first), parts, pause);
+            self.record_remaining_parts(
+                endpoint,
+                &pending,
+                total.since(to_first_part),
+                parts,
+                longest_pause,
+            );
             let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.tokens, first, took, parts);
+            load.record_completion(&pending.tokens, to_first_part, total, parts);
         }
         Some(pending)
     }
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -249,8 +249,8 @@
         stream: pending.route.kind == Kind::Stream,
         prompt_tokens: pending.tokens.prompt_tokens(),
         output_tokens: pending.tokens.output_tokens(),
-        latency_target: small(pending.route.latency_objective),
-        gap_target: small(pending.route.max_gap),
+        latency_target: small(pending.route.latency_target),
+        gap_target: small(pending.route.gap_target),
         waited: small(now.since(pending.arrived)),
         remaining_wait: small(pending.deadline.since(now)),
     }
@@ -274,8 +274,8 @@
             Kind::Safe
         },
         timeout: until.since(arrived),
-        latency_objective: span(need.latency_target),
-        max_gap: span(need.gap_target),
+        latency_target: span(need.latency_target),
+        gap_target: span(need.gap_target),
         priority: 0,
         targets: Vec::new(),
         max_attempts: 1,
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -38,7 +38,7 @@
         let load = self.latencies.entry(pending.service.clone()).or_default();
         self.placing
             .paced(key, rest, load.remaining_time(f64::from(parts)));
-        self.placing.paused(key, pause > pending.route.max_gap);
+        self.placing.paused(key, pause > pending.route.gap_target);
         load.record_pause(millis_to_f64(pause) / self.placing.pace(key));
     }
 
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -31,7 +31,7 @@
 /// Where more is asked for than there are places, short work first serves more callers in time; times on an
 /// endpoint differ a hundredfold.
 pub(crate) fn queue_position(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
-    let max_penalty = millis_to_f64(pending.route.latency_objective) * MAX_PENALTY_RATIO;
+    let max_penalty = millis_to_f64(pending.route.latency_target) * MAX_PENALTY_RATIO;
     let penalty = (millis_to_f64(load.service_time_of(&pending.tokens)) * LENGTH_PENALTY_RATIO)
         .min(max_penalty);
     pending
@@ -54,13 +54,8 @@
     } else {
         load.mean_service_time()
     };
-    let slack = pending
-        .route
-        .latency_objective
-        .since(response_time)
-        .as_secs()
-        * 1000.0
-        * ON_TIME_RATIO;
+    let slack =
+        pending.route.latency_target.since(response_time).as_secs() * 1000.0 * ON_TIME_RATIO;
     whole.min(millis_from_f64(slack))
 }
 
@@ -79,7 +74,7 @@
     whole.min(
         pending
             .route
-            .first_byte_timeout()
+            .caller_timeout()
             .since(load.first_part_time(&pending.tokens)),
     )
 }
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -41,8 +41,8 @@
         prefix: "/p/".into(),
         kind,
         timeout: Millis(5_000),
-        latency_objective: Millis(500),
-        max_gap: Millis(400),
+        latency_target: Millis(500),
+        gap_target: Millis(400),
         priority,
         targets: vec![("lm".into(), 1)],
         max_attempts: 2,
@@ -86,13 +86,13 @@
 pub fn identity(name: &str, source: u64) -> Identity {
     Identity {
         name: name.to_owned(),
-        place: place(name, "a"),
-        source,
-        retries: 0.2,
-        floor: 54.0,
-        exposure: 0.1,
-        settle: Millis(3_000),
-        measure: MEASURE,
+        location: place(name, "a"),
+        incarnation: source,
+        retry_ratio: 0.2,
+        retry_slack: 54.0,
+        max_exposure: 0.1,
+        settling_time: Millis(3_000),
+        quota_policy: MEASURE,
     }
 }
 
@@ -224,11 +224,11 @@
 
 /// A whole answer after a fifth of a second.
 pub fn done() -> Outcome {
-    Outcome::Done {
-        first: Millis(50),
-        took: Millis(200),
+    Outcome::Completed {
+        to_first_part: Millis(50),
+        total: Millis(200),
         parts: 0,
-        pause: Millis::ZERO,
+        longest_pause: Millis::ZERO,
     }
 }
 
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -243,7 +243,7 @@
         let now = Millis(self.now);
         if self.now.is_multiple_of(200) {
             self.nodes[at].core.sweep(now);
-            self.nodes[at].core.notice_store(now);
+            self.nodes[at].core.update_store_availability(now);
         }
         self.renew(at);
         self.take(at);
@@ -264,7 +264,7 @@
         match self.store(at) {
             Store::Well => {
                 let node = &mut self.nodes[at];
-                node.core.store_answered();
+                node.core.store_call_succeeded();
                 node.retry = 1_000;
                 let watching = node.watch.is_some();
                 node.renews = self.now + if watching { 1_000 } else { 4_000 };
@@ -281,7 +281,7 @@
     fn renewal_failed(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.unanswered = None;
-        node.core.store_failed(Millis(self.now));
+        node.core.store_call_failed(Millis(self.now));
         node.renews = self.now + node.retry;
         node.retry = (node.retry * 2).min(4_000);
         if node.watch.is_some() {
@@ -308,10 +308,11 @@
             }
             return;
         }
-        let revision = self.nodes[from].core.revision();
+        let revision = self.nodes[from].core.store_revision();
         let node = &mut self.nodes[at];
         node.taking = None;
-        node.core.learn_news(Millis(self.now), revision, Vec::new());
+        node.core
+            .apply_updates(Millis(self.now), revision, Vec::new());
     }
 
     fn watch(&mut self, at: usize) {
@@ -321,18 +322,18 @@
         if let Some(watch) = self.nodes[at].watch {
             return self.wait(at, watch);
         }
-        if self.nodes[at].core.duty(Millis(self.now)) == StoreRole::Follower {
+        if self.nodes[at].core.store_role(Millis(self.now)) == StoreRole::Follower {
             self.nodes[at].rests = self.now + 200;
             return;
         }
         // The first reading is none.
-        self.calls += u64::from(self.nodes[at].core.revision() > 0);
+        self.calls += u64::from(self.nodes[at].core.store_revision() > 0);
         if self.store(at) == Store::Refuses {
             return self.fail(at);
         }
         let watch = Watch {
             since: self.now,
-            held: self.nodes[at].core.watch().0,
+            held: self.nodes[at].core.watch_timeout().0,
             lost: false,
         };
         self.wait(at, watch);
@@ -348,23 +349,23 @@
             return;
         }
         let revision = self.revision();
-        let first = self.nodes[at].core.revision() == 0;
+        let first = self.nodes[at].core.store_revision() == 0;
         let count = if first { self.nodes.len() } else { 0 };
         let node = &mut self.nodes[at];
-        let changed = revision > node.core.revision();
+        let changed = revision > node.core.store_revision();
         if !changed && self.now < watch.since + watch.held {
             return;
         }
         node.watch = None;
         node.pause = 100;
-        node.core.store_answered();
+        node.core.store_call_succeeded();
         if changed {
             let names = (0..count).map(|it| format!("i{it}"));
             let news = names.map(|it| StoreUpdate::Instance(it.clone(), place(&it, "a")));
             node.core
-                .learn_news(Millis(self.now), revision, news.collect());
+                .apply_updates(Millis(self.now), revision, news.collect());
             if !first {
-                node.rests = self.now + node.core.gather().0;
+                node.rests = self.now + node.core.update_batch_delay().0;
             }
         }
     }
@@ -372,7 +373,7 @@
     fn fail(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.watch = None;
-        node.core.store_failed(Millis(self.now));
+        node.core.store_call_failed(Millis(self.now));
         node.rests = self.now + node.pause;
         node.pause = (node.pause * 2).min(500);
     }
@@ -380,7 +381,7 @@
     fn tell(&mut self, at: usize) {
         let whole = (self.now + 10 * at as u64).is_multiple_of(WHOLE);
         let report = self.nodes[at].core.report(Millis(self.now), whole);
-        let listed = self.nodes[at].core.listed();
+        let listed = self.nodes[at].core.other_instances();
         let (members, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
         let members: Vec<usize> = members.iter().map(|row| number(row.0)).collect();
         let others: Vec<usize> = others.iter().map(|row| number(row.0)).collect();
@@ -414,11 +415,11 @@
                 continue;
             }
             let revision = letter.report.revision;
-            node.core.heard(Millis(now), letter.report);
+            node.core.receive_report(Millis(now), letter.report);
             let avoided = node
                 .failed
                 .is_some_and(|it| it.0 == letter.from && now < it.1 + AVOIDED);
-            let ahead = node.core.heard_revision(Millis(now), revision);
+            let ahead = node.core.record_peer_revision(Millis(now), revision);
             if ahead && !avoided && node.taking.is_none() {
                 let pause = if node.watch.is_some() { 150 } else { 30 };
                 node.taking = Some((now + pause, letter.from));
@@ -433,11 +434,11 @@
         let known = self.history.iter().filter(|at| **at <= due).count() as u64 - 1;
         for (at, node) in self.nodes.iter().enumerate() {
             let well = self.now >= node.well + STABLE[size];
-            if well && node.core.revision() < known && self.broken.len() < 5 {
+            if well && node.core.store_revision() < known && self.broken.len() < 5 {
                 let text = format!(
                     "{}: i{at} knows {} of {known}, watched by {}",
                     self.now,
-                    node.core.revision(),
+                    node.core.store_revision(),
                     node.core.watcher(Millis(self.now)),
                 );
                 self.broken.push(text);
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -224,7 +224,7 @@
         );
         for other in 0..INSTANCE_COUNT {
             let name = format!("i{other}");
-            core.list(&name, place(&name, "a"));
+            core.add_instance(&name, place(&name, "a"));
         }
         for machine in &self.endpoints {
             if machine.down_until.is_none() {
@@ -294,7 +294,7 @@
         self.endpoints[at].down_until = Some(back);
         for (number, _, _) in std::mem::take(&mut self.endpoints[at].running) {
             self.requests[number].crash_count += 1;
-            self.finish_attempt(number, Outcome::Broken);
+            self.finish_attempt(number, Outcome::ConnectionLost);
         }
     }
 
@@ -373,11 +373,11 @@
                 }
                 let took = Millis(200);
                 let outcome = if good {
-                    Outcome::Done {
-                        first: took,
-                        took: took,
+                    Outcome::Completed {
+                        to_first_part: took,
+                        total: took,
                         parts: 0,
-                        pause: Millis::ZERO,
+                        longest_pause: Millis::ZERO,
                     }
                 } else {
                     Outcome::Failed
@@ -418,10 +418,10 @@
         let at = place.expect("an endpoint of this world");
         let machine = &mut self.endpoints[at];
         if machine.down_until.is_some() {
-            return self.finish_attempt(number, Outcome::Unreached);
+            return self.finish_attempt(number, Outcome::ConnectFailed);
         }
         if machine.endpoint.started_ms != endpoint.started_ms {
-            return self.finish_attempt(number, Outcome::Moved);
+            return self.finish_attempt(number, Outcome::Misdirected);
         }
         if machine.running.len() >= SLOTS_PER_ENDPOINT as usize {
             return self.finish_attempt(number, Outcome::Full);
@@ -443,8 +443,8 @@
         };
         let instance = job.instance;
         self.tickets.remove(&(instance, ticket));
-        let done = matches!(outcome, Outcome::Done { .. });
-        let again = self.cores[instance].record_outcome(Millis(self.now), ticket, outcome, !done);
+        let done = matches!(outcome, Outcome::Completed { .. });
+        let again = self.cores[instance].attempt_ended(Millis(self.now), ticket, outcome, !done);
         let job = &mut self.requests[number];
         job.ticket = again;
         match again {
@@ -500,7 +500,7 @@
             .partition(|it| it.due_at <= now);
         self.in_flight = later;
         for letter in due {
-            self.cores[letter.recipient].heard(Millis(now), letter.report);
+            self.cores[letter.recipient].receive_report(Millis(now), letter.report);
         }
         self.partitions.retain(|cut| cut.2 > now);
     }
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -104,12 +104,12 @@
                 .map(|it| StoreUpdate::Instance(it.clone(), place(it, "a")));
             let endpoints =
                 (0..endpoints).map(|at| StoreUpdate::Endpoint(endpoint(&format!("e{at}"), 4)));
-            core.learn_news(Millis(0), 1, fleet.chain(endpoints).collect());
+            core.apply_updates(Millis(0), 1, fleet.chain(endpoints).collect());
             core
         };
         let cores: Vec<Core> = (0..size).map(make).collect();
         let members = cores.iter().map(|core| {
-            let members = core.listed().filter(|row| row.1);
+            let members = core.other_instances().filter(|row| row.1);
             members.map(|row| number(row.0)).collect()
         });
         Self {
@@ -135,13 +135,13 @@
         }
         for (at, core) in self.cores.iter_mut().enumerate() {
             for in_shard in &self.shard_peers[at] {
-                core.heard(now, reports[*in_shard].clone());
+                core.receive_report(now, reports[*in_shard].clone());
             }
         }
     }
 
     fn choose_lenders(&mut self, at: usize, count: usize) -> Vec<usize> {
-        let shards = self.cores[at].other_shards();
+        let shards = self.cores[at].instances_by_other_shard();
         let some: Vec<_> = shards.choose_multiple(&mut self.rng, count).collect();
         let places = some
             .into_iter()
@@ -160,7 +160,7 @@
         let mut passed = self.cores[at].route(now, wanted);
         if self.lending
             && passed.is_err()
-            && let Some(need) = self.cores[at].lacks(now, wanted)
+            && let Some(need) = self.cores[at].missing_quota(now, wanted)
         {
             let part = UnitsRequest {
                 units: need.units.div_ceil(2),
@@ -297,23 +297,23 @@
         if !self.lending {
             return;
         }
-        for (ticket, need) in self.cores[at].needs(now) {
+        for (ticket, need) in self.cores[at].borrow_requests(now) {
             let mut found = false;
             for other in self.choose_lenders(at, SLOT_LENDER_COUNT) {
                 let id = self.rng.random();
                 let Grant::Slot(key) = self.cores[other].lend(now, id, need) else {
                     continue;
                 };
-                match self.cores[at].place_granted(now, ticket, key) {
+                match self.cores[at].slot_granted(now, ticket, key) {
                     Some(endpoint) => {
                         found = true;
                         self.start(at, ticket, &endpoint, Some((other, id)));
                     }
-                    None => self.cores[other].returned(id),
+                    None => self.cores[other].reclaim_slot(id),
                 }
             }
             if !found {
-                self.cores[at].place_declined(now, ticket);
+                self.cores[at].slot_declined(now, ticket);
             }
         }
     }
@@ -355,9 +355,9 @@
                 lender,
                 ..
             } = run;
-            self.cores[instance].record_outcome(Millis(now), ticket, done(), false);
+            self.cores[instance].attempt_ended(Millis(now), ticket, done(), false);
             if let Some((lender, id)) = lender {
-                self.cores[lender].returned(id);
+                self.cores[lender].reclaim_slot(id);
             }
             let job = self.unfinished.remove(&(instance, ticket)).expect("it ran");
             self.finished.push(job);
@@ -472,6 +472,6 @@
     fleet.cores[0].sweep(Millis(4_100));
     assert_eq!(count(&fleet.cores[0]), 0);
     // The word comes all the same.
-    fleet.cores[0].returned(7);
+    fleet.cores[0].reclaim_slot(7);
     assert_eq!(count(&fleet.cores[0]), 0);
 }
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -102,7 +102,7 @@
             }
             for other in 0..INSTANCES {
                 let name = format!("i{other}");
-                core.list(&name, place(&name, "a"));
+                core.add_instance(&name, place(&name, "a"));
             }
             core
         };
@@ -223,7 +223,7 @@
         let job = &mut self.jobs[number];
         if let (false, Some(ticket)) = (job.begun, job.ticket) {
             job.begun = true;
-            self.cores[job.instance].record_response_start(Millis(self.now), ticket);
+            self.cores[job.instance].first_part_received(Millis(self.now), ticket);
         }
     }
 
@@ -237,19 +237,19 @@
         let aim = route(Kind::Stream, 0);
         job.end = if first - job.arrived as f64 > 800.0 {
             End::LateFirst
-        } else if run.pause > aim.max_gap.0 as f64 {
+        } else if run.pause > aim.gap_target.0 as f64 {
             End::LatePause
         } else {
             End::InTime
         };
-        let outcome = Outcome::Done {
-            first: Millis((first - run.sent) as u64),
-            took: Millis((run.last - run.sent) as u64),
+        let outcome = Outcome::Completed {
+            to_first_part: Millis((first - run.sent) as u64),
+            total: Millis((run.last - run.sent) as u64),
             parts: run.parts,
-            pause: Millis(run.pause as u64),
+            longest_pause: Millis(run.pause as u64),
         };
         self.tickets.remove(&(job.instance, ticket));
-        self.cores[job.instance].record_outcome(Millis(self.now), ticket, outcome, false);
+        self.cores[job.instance].attempt_ended(Millis(self.now), ticket, outcome, false);
     }
 
     fn tell(&mut self) {
@@ -257,7 +257,7 @@
         for from in 0..INSTANCES {
             let report = self.cores[from].report(now, true);
             for to in (0..INSTANCES).filter(|to| *to != from) {
-                self.cores[to].heard(now, report.clone());
+                self.cores[to].receive_report(now, report.clone());
             }
         }
     }
@@ -300,13 +300,13 @@
                 let core = &mut self.cores[job.instance];
                 let silence = self.now - sent as u64;
                 let limit = core.scheduler().stall_timeout(ticket);
-                if silence < limit.0 || !core.spare(Millis(self.now), ticket) {
+                if silence < limit.0 || !core.try_abandon(Millis(self.now), ticket) {
                     continue;
                 }
                 job.given_up += 1;
                 self.longest = self.longest.max(silence);
                 self.engines[at].runs.retain(|run| run.number != number);
-                let next = core.record_outcome(Millis(self.now), ticket, Outcome::Silent, true);
+                let next = core.attempt_ended(Millis(self.now), ticket, Outcome::Stalled, true);
                 self.tickets.remove(&(job.instance, ticket));
                 job.ticket = next;
                 match next {
@@ -328,7 +328,7 @@
             name: format!("{at}").into(),
             prefix: format!("/{at}/").into(),
             timeout: Millis(NEED),
-            latency_objective: Millis(800),
+            latency_target: Millis(800),
             auth_exempt: true,
             ..(*model).clone()
         };
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -94,10 +94,10 @@
         ..report("unready", 1)
     };
     for report in [leaving, unready, report("sound", 1)] {
-        core.heard(Millis(0), report);
+        core.receive_report(Millis(0), report);
     }
-    assert_eq!(core.addresses(Millis(0), "a"), ["i:1", "sound:1"]);
+    assert_eq!(core.caller_addresses(Millis(0), "a"), ["i:1", "sound:1"]);
     core.leave();
-    assert_eq!(core.addresses(Millis(0), "a"), ["sound:1"]);
+    assert_eq!(core.caller_addresses(Millis(0), "a"), ["sound:1"]);
     assert!(!core.ready());
 }
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -170,7 +170,7 @@
     assert_eq!(world.started(START).len(), 1);
     world
         .scheduler
-        .attempt_ended(Millis(START + 1), first, Outcome::Unreached);
+        .attempt_ended(Millis(START + 1), first, Outcome::ConnectFailed);
     world.admit(stream(START + 2, 100.0, 5.0));
     assert_eq!(world.started(START + 2).len(), 0);
     assert_eq!(world.started(START + 250).len(), 1);
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -53,7 +53,7 @@
             core.registry().put(Millis(now), endpoint("e1", 1_000));
             for other in 0..count {
                 let name = format!("i{other}");
-                core.list(&name, place(&name, "a"));
+                core.add_instance(&name, place(&name, "a"));
             }
             core
         };
@@ -95,7 +95,7 @@
             .collect();
         for core in &mut self.cores {
             for report in &reports {
-                core.heard(Millis(now), report.clone());
+                core.receive_report(Millis(now), report.clone());
             }
         }
     }
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -175,7 +175,7 @@
         core.configure(now, configuration(1, organisation(0.0, 0.0)));
         for other in 0..self.scenario.instances {
             let name = format!("i{other}");
-            core.list(&name, place(&name, "a"));
+            core.add_instance(&name, place(&name, "a"));
         }
         for number in 0..self.scenario.endpoints {
             core.registry()
@@ -265,13 +265,13 @@
             let core = &mut self.cores[run.instance];
             let rate = named.then_some(self.scenario.limit_rate);
             let answering = endpoint(&run.endpoint, SLOTS_PER_ENDPOINT);
-            core.note_limit(Millis(now), &answering, Millis(run.sent_ms), rate);
+            core.record_limit(Millis(now), &answering, Millis(run.sent_ms), rate);
             if named {
                 self.learned_at[run.instance].get_or_insert(now);
             }
             // Some fail, so that others are tried.
             if let Some((lender, id)) = run.lender {
-                self.cores[lender].returned(id);
+                self.cores[lender].reclaim_slot(id);
             }
             let core = &mut self.cores[run.instance];
             let outcome = if self.rng.random_bool(0.1) {
@@ -280,7 +280,7 @@
                 done()
             };
             let more = outcome == Outcome::Failed;
-            core.record_outcome(Millis(now), run.ticket, outcome, more);
+            core.attempt_ended(Millis(now), run.ticket, outcome, more);
         }
     }
 
@@ -294,7 +294,7 @@
                 self.send(at, ticket, &endpoint, None);
             }
         }
-        for (ticket, need) in self.cores[at].needs(now) {
+        for (ticket, need) in self.cores[at].borrow_requests(now) {
             match need {
                 BorrowRequest::RateLimitedSlot(place) => self.ask_holders(at, ticket, place),
                 BorrowRequest::Slot(_) => self.ask_shards(at, ticket, need),
@@ -329,7 +329,7 @@
     // Asks some holders of the limit for a token.
     fn ask_holders(&mut self, at: usize, ticket: Ticket, need: SlotRequest) {
         let now = Millis(self.now);
-        let holders = self.cores[at].holders(now, need.service);
+        let holders = self.cores[at].token_holders(now, need.service);
         let some = holders.choose_multiple(&mut self.rng, LENDER_COUNT);
         let some: Vec<usize> = some.map(|it| number(it)).collect();
         if !self.ask(at, ticket, BorrowRequest::RateLimitedSlot(need), &some) {
@@ -339,14 +339,14 @@
 
     // Asks instances of some other shards for a place.
     fn ask_shards(&mut self, at: usize, ticket: Ticket, need: BorrowRequest) {
-        let shards = self.cores[at].other_shards();
+        let shards = self.cores[at].instances_by_other_shard();
         let some: Vec<_> = shards
             .choose_multiple(&mut self.rng, LENDER_COUNT)
             .collect();
         let some = some.into_iter().filter_map(|it| it.choose(&mut self.rng));
         let some: Vec<usize> = some.map(|it| number(it)).collect();
         if !self.ask(at, ticket, need, &some) {
-            self.cores[at].place_declined(Millis(self.now), ticket);
+            self.cores[at].slot_declined(Millis(self.now), ticket);
         }
     }
 
@@ -364,11 +364,11 @@
             let Grant::Slot(key) = self.cores[lender].lend(now, id, need) else {
                 continue;
             };
-            if let Some(endpoint) = self.cores[at].place_granted(now, ticket, key) {
+            if let Some(endpoint) = self.cores[at].slot_granted(now, ticket, key) {
                 started = true;
                 self.send(at, ticket, &endpoint, Some((lender, id)));
             } else {
-                self.cores[lender].returned(id);
+                self.cores[lender].reclaim_slot(id);
             }
         }
         started
@@ -407,7 +407,7 @@
         }
         let whole = (self.now + 10 * at as u64).is_multiple_of(500);
         let report = self.cores[at].report(Millis(self.now), whole);
-        let listed = self.cores[at].listed();
+        let listed = self.cores[at].other_instances();
         let (members, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
         let some = others
             .choose_multiple(&mut self.rng, FOREIGN_PEER_COUNT)
@@ -439,7 +439,7 @@
         self.in_flight = later;
         for letter in due {
             if self.frozen_until[letter.recipient] <= now {
-                self.cores[letter.recipient].heard(Millis(now), letter.report);
+                self.cores[letter.recipient].receive_report(Millis(now), letter.report);
             }
         }
     }
--- a/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
@@ -155,14 +155,14 @@
     for round in 1..5 {
         let now = Millis(round * 1_000);
         let [first, second] = &mut cores;
-        first.note_limit(now, &named, now, Some(1.234_567));
-        second.heard(now, first.report(now, true));
+        first.record_limit(now, &named, now, Some(1.234_567));
+        second.receive_report(now, first.report(now, true));
         let later = now + Millis(500);
-        second.note_limit(later, &named, later, Some(1.234_567));
-        first.heard(later, second.report(later, true));
+        second.record_limit(later, &named, later, Some(1.234_567));
+        first.receive_report(later, second.report(later, true));
     }
     for core in &mut cores {
-        assert_eq!(core.limit_changes().len(), 1);
+        assert_eq!(core.take_limit_changes().len(), 1);
     }
 }
 
@@ -173,12 +173,12 @@
     let mut second = Core::new(identity("i1", 2));
     let named = endpoint("e0", 4);
     first.registry().put(Millis(0), named.clone());
-    first.note_limit(Millis(1_000), &named, Millis(0), Some(2.0));
-    second.heard(Millis(1_000), first.report(Millis(1_000), true));
-    assert_eq!(second.limit_changes(), []);
+    first.record_limit(Millis(1_000), &named, Millis(0), Some(2.0));
+    second.receive_report(Millis(1_000), first.report(Millis(1_000), true));
+    assert_eq!(second.take_limit_changes(), []);
     second.registry().put(Millis(1_500), named);
-    second.heard(Millis(1_500), first.report(Millis(1_500), true));
-    assert_eq!(second.limit_changes().len(), 1);
+    second.receive_report(Millis(1_500), first.report(Millis(1_500), true));
+    assert_eq!(second.take_limit_changes().len(), 1);
 }
 
 // Guards against tokens that gather at instances which do not use an endpoint, and are spent once they do.
@@ -187,7 +187,7 @@
     let mut core = Core::new(identity("i0", 1));
     for at in 0..17 {
         let name = format!("i{at}");
-        core.list(&name, place(&name, "a"));
+        core.add_instance(&name, place(&name, "a"));
     }
     for at in 0..16 {
         core.registry()
@@ -202,7 +202,7 @@
     assert!((1..16).contains(&own.len()), "{own:?}");
     for at in 0..16 {
         let named = endpoint(&format!("e{at}"), 4);
-        core.note_limit(Millis(0), &named, Millis(0), Some(4.0));
+        core.record_limit(Millis(0), &named, Millis(0), Some(4.0));
     }
     core.decide(Millis(0));
     core.decide(Millis(10_000));
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -134,7 +134,7 @@
             StoreUpdate::Endpoint(of("v1")),
             StoreUpdate::Endpoint(of("v2")),
         ];
-        core.learn_news(Millis(0), 9, news);
+        core.apply_updates(Millis(0), 9, news);
         core.advance_rollouts(Millis(1));
         let fit = core.registry().fit("lm");
         let version = if state == State::Completed {
@@ -156,16 +156,16 @@
         StoreUpdate::RolloutOrder(order("v2", 5)),
         StoreUpdate::Endpoint(of("v1")),
     ];
-    core.learn_news(Millis(0), 6, news);
+    core.apply_updates(Millis(0), 6, news);
     core.advance_rollouts(Millis(1));
     let due = core.status_writes(SPAN).remove(0);
     assert_eq!(due.state, State::RolledBack);
-    assert_eq!((due.order_revision, due.expected), (5, 0));
-    core.learn_news(
+    assert_eq!((due.order_revision, due.status_revision), (5, 0));
+    core.apply_updates(
         Millis(1),
         7,
         vec![StoreUpdate::RolloutOrderRemoved("lm".into())],
     );
     let due = core.status_writes(SPAN).remove(0);
-    assert_eq!((due.order_revision, due.expected), (0, 0));
+    assert_eq!((due.order_revision, due.status_revision), (0, 0));
 }
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -269,7 +269,7 @@
         self.reports = later;
         for (_, to, report) in due {
             if self.nodes[to].down <= self.now {
-                self.nodes[to].core.heard(Millis(self.now), report);
+                self.nodes[to].core.receive_report(Millis(self.now), report);
             }
         }
     }
@@ -321,10 +321,10 @@
     fn learn(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         if node.away > self.now {
-            node.core.store_failed(Millis(self.now));
+            node.core.store_call_failed(Millis(self.now));
             return;
         }
-        node.core.store_answered();
+        node.core.store_call_succeeded();
         if node.learns > self.now || node.known == self.changes.len() {
             return;
         }
@@ -332,7 +332,7 @@
         node.known = self.changes.len();
         node.learns = self.now + self.rng.random_range(10..600);
         node.core
-            .learn_news(Millis(self.now), self.changes.len() as u64, news);
+            .apply_updates(Millis(self.now), self.changes.len() as u64, news);
         node.core.advance_rollouts(Millis(self.now));
     }
 
@@ -345,7 +345,7 @@
             let outcome = run.outcome;
             self.nodes[at]
                 .core
-                .record_outcome(Millis(self.now), run.ticket, outcome, false);
+                .attempt_ended(Millis(self.now), run.ticket, outcome, false);
         }
     }
 
@@ -384,11 +384,11 @@
         let outcome = if failed {
             Outcome::Failed
         } else {
-            Outcome::Done {
-                first: Millis(took),
-                took: Millis(took),
+            Outcome::Completed {
+                to_first_part: Millis(took),
+                total: Millis(took),
                 parts: 0,
-                pause: Millis::ZERO,
+                longest_pause: Millis::ZERO,
             }
         };
         self.observe(at, new, failed || slow > 1.0);
@@ -444,7 +444,7 @@
         }
         for due in node.core.status_writes(Millis(self.now)) {
             // Nobody waits for the answer here, as if each were lost.
-            if due.expected != self.status {
+            if due.status_revision != self.status {
                 continue;
             }
             if self.seen.states.iter().any(|it| it.1 != State::Running) {
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -182,7 +182,7 @@
         let pass = core.route(Millis(0), request(path)).unwrap();
         let ticket = core.admit(Millis(0), &pass, 1).unwrap();
         core.decide(Millis(0));
-        let next = core.record_outcome(Millis(5), ticket, Outcome::Broken, true);
+        let next = core.attempt_ended(Millis(5), ticket, Outcome::ConnectionLost, true);
         assert_eq!(next.is_some(), again, "{path}");
     }
 }
@@ -195,7 +195,7 @@
     let pass = core.route(Millis(0), request("/safe/x")).unwrap();
     let ticket = core.admit(Millis(0), &pass, 1).unwrap();
     core.decide(Millis(0));
-    core.record_outcome(Millis(5), ticket, Outcome::Broken, true)
+    core.attempt_ended(Millis(5), ticket, Outcome::ConnectionLost, true)
         .unwrap();
     let decisions = core.decide(Millis(5));
     let refused = |it: &Decision| matches!(it, Decision::Refuse(_, refusal) if refusal.reason == RefusalReason::NoEndpoint);
@@ -204,7 +204,7 @@
 
 #[test]
 fn what_surely_did_not_run_goes_to_another_endpoint() {
-    for outcome in [Outcome::Unreached, Outcome::Full, Outcome::Moved] {
+    for outcome in [Outcome::ConnectFailed, Outcome::Full, Outcome::Misdirected] {
         let mut core = core("i", 1);
         core.registry().put(Millis(0), endpoint("e2", 1));
         let pass = core.route(Millis(0), request("/unsafe/x")).unwrap();
@@ -212,7 +212,7 @@
         let Some(Decision::Start(_, first)) = core.decide(Millis(0)).pop() else {
             panic!("nothing started");
         };
-        let next = core.record_outcome(Millis(5), ticket, outcome, true);
+        let next = core.attempt_ended(Millis(5), ticket, outcome, true);
         assert!(next.is_some(), "{outcome:?}");
         let Some(Decision::Start(_, second)) = core.decide(Millis(5)).pop() else {
             panic!("nothing started after {outcome:?}");
@@ -232,7 +232,7 @@
     let mut sent = 0;
     loop {
         sent += starts(&core.decide(Millis(sent as u64)));
-        match core.record_outcome(Millis(sent as u64), ticket, Outcome::Failed, true) {
+        match core.attempt_ended(Millis(sent as u64), ticket, Outcome::Failed, true) {
             Some(next) => ticket = next,
             None => break,
         }
@@ -252,7 +252,7 @@
         let pass = core.route(now, request("/safe/x")).unwrap();
         let ticket = core.admit(now, &pass, at).unwrap();
         core.decide(now);
-        if let Some(next) = core.record_outcome(now, ticket, Outcome::Failed, true) {
+        if let Some(next) = core.attempt_ended(now, ticket, Outcome::Failed, true) {
             again += 1;
             core.cancel(now, next);
         }
@@ -273,11 +273,11 @@
     let ticket = one.admit(Millis(0), &pass, 77).unwrap();
     one.decide(Millis(0));
     let next = one
-        .record_outcome(Millis(1), ticket, Outcome::Broken, true)
+        .attempt_ended(Millis(1), ticket, Outcome::ConnectionLost, true)
         .unwrap();
     one.decide(Millis(1));
     assert!(
-        one.record_outcome(Millis(2), next, Outcome::Broken, true)
+        one.attempt_ended(Millis(2), next, Outcome::ConnectionLost, true)
             .is_none()
     );
     assert_eq!(
@@ -285,7 +285,7 @@
         RefusalReason::Quarantined
     );
     let told = one.report(Millis(3), true);
-    other.heard(Millis(3), told);
+    other.receive_report(Millis(3), told);
     assert_eq!(
         other.admit(Millis(3), &pass, 77).unwrap_err().reason,
         RefusalReason::Quarantined
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -70,7 +70,7 @@
 fn a_restart_moves_nothing() {
     let mut core = core("i0", 1);
     for (centre, name) in members(68) {
-        core.list(&name, place(&name, &centre));
+        core.add_instance(&name, place(&name, &centre));
     }
     for at in 0..89 {
         core.registry()
@@ -78,7 +78,7 @@
     }
     let before: Vec<_> = core.registry().fit("lm").to_vec();
     for number in 1..30 {
-        core.unlist(Millis(number), &format!("i{number}"));
+        core.remove_instance(Millis(number), &format!("i{number}"));
     }
     assert_eq!(core.registry().fit("lm"), before);
 }
@@ -90,11 +90,11 @@
 fn instances_whose_entries_ran_out_still_have_their_part() {
     let mut core = core("i0", 1);
     for (centre, name) in members(68) {
-        core.list(&name, place(&name, &centre));
+        core.add_instance(&name, place(&name, &centre));
     }
     let before = core.peers().fleet_share(Millis(0));
     for number in 50..68 {
-        core.unlist(Millis(5_000), &format!("i{number}"));
+        core.remove_instance(Millis(5_000), &format!("i{number}"));
     }
     assert!((core.peers().fleet_share(Millis(9_000)) - before).abs() < 1e-9);
 }
@@ -134,10 +134,10 @@
 fn an_instance_hears_its_own_shard_only_but_learns_of_bad_work_from_all() {
     let mut core = core("i0", 1);
     for (centre, name) in members(40) {
-        core.list(&name, place(&name, &centre));
+        core.add_instance(&name, place(&name, &centre));
     }
     let shard: BTreeSet<_> = core
-        .listed()
+        .other_instances()
         .filter(|row| row.1)
         .map(|row| row.0.peer_address.clone())
         .collect();
@@ -145,7 +145,7 @@
     for (_, name) in members(40) {
         let mut told = report(&name, 1);
         told.info.as_mut().unwrap().quarantine = vec![(55, vec![1, 2])];
-        core.heard(Millis(0), told);
+        core.receive_report(Millis(0), told);
     }
     assert_eq!(core.peers().instance_count(Millis(0)), shard.len() + 1);
     let pass = core.route(Millis(0), common::request("/safe/x")).unwrap();
@@ -158,15 +158,15 @@
 fn a_large_fleet_calls_the_store_less_often() {
     let waits = |name: &str, count, settle| {
         let identity = Identity {
-            settle: Millis(settle),
+            settling_time: Millis(settle),
             ..identity(name, 1)
         };
         let mut core = Core::new(identity);
-        core.store_answered();
+        core.store_call_succeeded();
         for at in 0..count {
-            core.list(&format!("i{at}"), place(&format!("i{at}"), "a"));
+            core.add_instance(&format!("i{at}"), place(&format!("i{at}"), "a"));
         }
-        (core.watch(), core.gather())
+        (core.watch_timeout(), core.update_batch_delay())
     };
     assert_eq!(waits("i0", 11, 10_000), (Millis(3_500), Millis(500)));
     let all: BTreeSet<_> = (0..17)
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -122,10 +122,10 @@
 
 // Whole answers at the pace that peers told.
 fn outcome() -> Outcome {
-    Outcome::Done {
-        first: Millis(100),
-        took: Millis(200),
+    Outcome::Completed {
+        to_first_part: Millis(100),
+        total: Millis(200),
         parts: 0,
-        pause: Millis::ZERO,
+        longest_pause: Millis::ZERO,
     }
 }
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -78,9 +78,9 @@
     let news = names
         .iter()
         .map(|name| StoreUpdate::Instance(name.clone(), place(name, "a")));
-    core.learn_news(Millis(0), 5, news.collect());
-    core.store_answered();
-    let members = core.listed().filter(|row| row.1);
+    core.apply_updates(Millis(0), 5, news.collect());
+    core.store_call_succeeded();
+    let members = core.other_instances().filter(|row| row.1);
     let members = members.map(|row| row.0.peer_address.trim_end_matches(":2").to_owned());
     let members = members.collect();
     (core, members)
@@ -92,7 +92,7 @@
         revision: 5,
         ..report(name, now + 1)
     };
-    core.heard(Millis(now), report);
+    core.receive_report(Millis(now), report);
 }
 
 // The watcher of a shard freezes, or the store begins to refuse it. Nobody else watches; if nobody took
@@ -105,7 +105,7 @@
     }
     let first = core.watcher(Millis(10)).to_owned();
     assert!(members.contains(&first), "i0 is not the first of its shard");
-    assert_eq!(core.duty(Millis(10)), StoreRole::Follower);
+    assert_eq!(core.store_role(Millis(10)), StoreRole::Follower);
     for name in &members {
         hear(&mut core, 100, name, *name != first);
     }
@@ -116,7 +116,7 @@
     }
     assert_eq!(core.watcher(Millis(1_010)), second);
     // Nobody is heard any more.
-    assert_eq!(core.duty(Millis(3_000)), StoreRole::Watcher);
+    assert_eq!(core.store_role(Millis(3_000)), StoreRole::Watcher);
 }
 
 // The store refuses a whole shard. If each of its instances went on asking, the calls that it refuses,
@@ -124,24 +124,24 @@
 #[test]
 fn in_a_shard_without_the_store_one_instance_goes_on_trying() {
     let (mut core, members) = member();
-    core.store_failed(Millis(0));
+    core.store_call_failed(Millis(0));
     for name in &members {
         hear(&mut core, 0, name, false);
     }
-    core.notice_store(Millis(1));
-    assert!(!core.stored());
-    assert_eq!(core.duty(Millis(100)), StoreRole::Follower);
+    core.update_store_availability(Millis(1));
+    assert!(!core.store_available());
+    assert_eq!(core.store_role(Millis(100)), StoreRole::Follower);
     // The store may be back for some and not for the first: others try now and then.
     for name in &members {
         hear(&mut core, 3_100, name, false);
     }
-    assert_eq!(core.duty(Millis(3_100)), StoreRole::Watcher);
-    core.store_failed(Millis(3_110));
-    assert_eq!(core.duty(Millis(3_120)), StoreRole::Follower);
+    assert_eq!(core.store_role(Millis(3_100)), StoreRole::Watcher);
+    core.store_call_failed(Millis(3_110));
+    assert_eq!(core.store_role(Millis(3_120)), StoreRole::Follower);
     hear(&mut core, 3_200, &members[0], true);
-    core.notice_store(Millis(3_210));
-    assert!(core.stored());
-    assert_eq!(core.duty(Millis(3_210)), StoreRole::Follower);
+    core.update_store_availability(Millis(3_210));
+    assert!(core.store_available());
+    assert_eq!(core.store_role(Millis(3_210)), StoreRole::Follower);
 }
 
 // A peer's reports arrive, but nothing can be taken from it: a connection to it is cut one way.
@@ -151,15 +151,15 @@
     for name in &members {
         hear(&mut core, 0, name, true);
     }
-    assert!(core.heard_revision(Millis(10), 9));
-    assert_eq!(core.duty(Millis(20)), StoreRole::Follower);
+    assert!(core.record_peer_revision(Millis(10), 9));
+    assert_eq!(core.store_role(Millis(20)), StoreRole::Follower);
     for name in &members {
         hear(&mut core, 1_600, name, true);
     }
-    assert_eq!(core.duty(Millis(1_600)), StoreRole::Watcher);
-    core.learn_news(Millis(1_610), 9, Vec::new());
-    assert_eq!(core.duty(Millis(1_620)), StoreRole::Follower);
-    assert!(!core.heard_revision(Millis(1_630), 9));
+    assert_eq!(core.store_role(Millis(1_600)), StoreRole::Watcher);
+    core.apply_updates(Millis(1_610), 9, Vec::new());
+    assert_eq!(core.store_role(Millis(1_620)), StoreRole::Follower);
+    assert!(!core.record_peer_revision(Millis(1_630), 9));
 }
 
 // A peer that knows more has only just started and cannot say what changed before.
@@ -169,11 +169,11 @@
     for name in &members {
         hear(&mut core, 0, name, true);
     }
-    core.heard_revision(Millis(10), 9);
-    core.ask_store();
-    assert_eq!(core.duty(Millis(20)), StoreRole::Watcher);
-    core.learn_news(Millis(30), 9, Vec::new());
-    assert_eq!(core.duty(Millis(40)), StoreRole::Follower);
+    core.record_peer_revision(Millis(10), 9);
+    core.request_store_read();
+    assert_eq!(core.store_role(Millis(20)), StoreRole::Watcher);
+    core.apply_updates(Millis(30), 9, Vec::new());
+    assert_eq!(core.store_role(Millis(40)), StoreRole::Follower);
 }
 
 // A process that starts in a fleet would watch the store until it hears of its peers: as many calls as
@@ -181,10 +181,10 @@
 #[test]
 fn a_process_that_starts_waits_for_its_peers_a_moment() {
     let (core, _) = member();
-    assert_eq!(core.duty(Millis(200)), StoreRole::Follower);
-    assert_eq!(core.duty(Millis(400)), StoreRole::Watcher);
+    assert_eq!(core.store_role(Millis(200)), StoreRole::Follower);
+    assert_eq!(core.store_role(Millis(400)), StoreRole::Watcher);
     assert_eq!(
-        crate::common::core("i0", 1).duty(Millis(0)),
+        crate::common::core("i0", 1).store_role(Millis(0)),
         StoreRole::Watcher
     );
 }
@@ -194,13 +194,13 @@
 #[test]
 fn what_lapsed_while_the_store_was_away_for_the_shard_has_time_to_return() {
     let (mut core, members) = member();
-    core.learn_news(Millis(0), 6, vec![StoreUpdate::Endpoint(endpoint("e2", 1))]);
-    core.store_failed(Millis(1_000));
-    core.notice_store(Millis(1_000));
+    core.apply_updates(Millis(0), 6, vec![StoreUpdate::Endpoint(endpoint("e2", 1))]);
+    core.store_call_failed(Millis(1_000));
+    core.update_store_availability(Millis(1_000));
     hear(&mut core, 5_000, &members[0], true);
-    core.notice_store(Millis(5_010));
+    core.update_store_availability(Millis(5_010));
     let gone = StoreUpdate::EndpointRemoved("e2".to_owned());
-    core.learn_news(Millis(5_020), 7, vec![gone]);
+    core.apply_updates(Millis(5_020), 7, vec![gone]);
     let listed = |core: &mut Core| core.registry().all().any(|it| &*it.id == "e2");
     assert!(listed(&mut core));
     core.sweep(Millis(7_500));
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -37,7 +37,7 @@
         .interface
         .pages
         .centre(request.uri().query().unwrap_or(""));
-    let addresses = shell.core.borrow().addresses(shell.now(), centre);
+    let addresses = shell.core.borrow().caller_addresses(shell.now(), centre);
     if addresses.is_empty() {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
@@ -56,7 +56,7 @@
         .state("peers", count(core.peers().instance_count(shell.now()) - 1));
     shell
         .metrics
-        .state("store", f64::from(u8::from(core.stored())));
+        .state("store", f64::from(u8::from(core.store_available())));
     let watching = f64::from(u8::from(shell.watching.get()));
     shell.metrics.state("watching", watching);
     let limits = core.scheduler().rate_limits().active_count();
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -40,7 +40,7 @@
     shell
         .core
         .borrow_mut()
-        .learn_news(shell.now(), revision, news);
+        .apply_updates(shell.now(), revision, news);
     let fields = json!({
         "source": source,
         "revision": revision,
@@ -57,7 +57,10 @@
 
 /// Takes note if the store went away for the whole shard, or came back.
 pub fn notice_store(shell: &Shell) {
-    let changed = shell.core.borrow_mut().notice_store(shell.now());
+    let changed = shell
+        .core
+        .borrow_mut()
+        .update_store_availability(shell.now());
     let Some(away) = changed else { return };
     let event = if away { "store_away" } else { "store_back" };
     let peers = shell.core.borrow().peers().instance_count(shell.now()) - 1;
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -247,7 +247,7 @@
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
     };
-    let need = shell.core.borrow().lacks(shell.now(), wanted);
+    let need = shell.core.borrow().missing_quota(shell.now(), wanted);
     let Some(need) = need else {
         return Err(refusal);
     };
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -105,13 +105,13 @@
 fn identity(settings: &Settings) -> Identity {
     Identity {
         name: settings.instance.clone(),
-        place: settings.place(),
-        source: rand::random(),
-        retries: settings.bounds.retry_ratio,
-        floor: settings.bounds.retry_slack,
-        exposure: settings.bounds.exposure_share,
-        settle: Millis(settings.bounds.settle_ms),
-        measure: QuotaPolicy {
+        location: settings.place(),
+        incarnation: rand::random(),
+        retry_ratio: settings.bounds.retry_ratio,
+        retry_slack: settings.bounds.retry_slack,
+        max_exposure: settings.bounds.exposure_share,
+        settling_time: Millis(settings.bounds.settle_ms),
+        quota_policy: QuotaPolicy {
             window: settings.quota_window(),
             overage: settings.bounds.quota_overage,
             slack: settings.bounds.quota_slack,
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -114,7 +114,7 @@
             Ok(Message::Borrow(id, need)) => lending::answer(shell, from, id, need),
             Ok(Message::Lend(id, grant)) => lending::answered(shell, from, id, grant),
             Ok(Message::Return(id)) => {
-                shell.core.borrow_mut().returned(id);
+                shell.core.borrow_mut().reclaim_slot(id);
                 shell.decide();
             }
             Err(err) => {
@@ -139,7 +139,7 @@
             Self::introduce(shell, from);
         }
         let fields = json!({ "peer": name, "age_ms": report.age, "from": from.to_string() });
-        let first = shell.core.borrow_mut().heard(shell.now(), report);
+        let first = shell.core.borrow_mut().receive_report(shell.now(), report);
         if first {
             shell.log("peer", fields);
             shell.searching.set(true);
@@ -186,7 +186,7 @@
         let settings = shell.settings();
         if search {
             all.extend(listed(&core));
-            if core.listed().next().is_none() {
+            if core.other_instances().next().is_none() {
                 all.append(&mut self.told.borrow_mut());
                 all.extend(&settings.seeds);
             }
@@ -224,7 +224,7 @@
 // The listed instances of this one's shard, and a few others by chance: so news of work that
 // crashes endpoints reaches all shards in some rounds.
 fn listed(core: &Core) -> Vec<SocketAddr> {
-    let (members, others): (Vec<_>, Vec<_>) = core.listed().partition(|row| row.1);
+    let (members, others): (Vec<_>, Vec<_>) = core.other_instances().partition(|row| row.1);
     let some = others.choose_multiple(&mut rand::rng(), OTHERS);
     let places = members.iter().chain(some).map(|row| row.0);
     places
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -114,7 +114,7 @@
                     permit.refused();
                     return self.refused(refusal);
                 }
-                Err(_) => return self.failed(Outcome::Left),
+                Err(_) => return self.failed(Outcome::Cancelled),
             };
             self.progress.waited = self.shell.now().since(self.pass.arrived);
             self.shell.metrics.waited(self.progress.waited);
@@ -122,8 +122,8 @@
                 Step::Finished(outcome) => (outcome, false),
                 Step::Again(outcome) => (outcome, true),
                 Step::Cut => {
-                    permit.end(Outcome::Broken, false);
-                    return self.failed(Outcome::Broken);
+                    permit.end(Outcome::ConnectionLost, false);
+                    return self.failed(Outcome::ConnectionLost);
                 }
             };
             self.trace(&endpoint, outcome);
@@ -148,7 +148,7 @@
             let mut sending = pin!(attempt::send(&shell, endpoint, &self.parcel, headers));
             match timeout(permit.stall_timeout().into(), &mut sending).await {
                 Ok(reply) => reply,
-                Err(_) if permit.spare() => return Step::Again(Outcome::Silent),
+                Err(_) if permit.spare() => return Step::Again(Outcome::Stalled),
                 Err(_) => sending.await,
             }
         };
@@ -156,9 +156,9 @@
             Reply::Head(response, connection) => (response, connection),
             Reply::Unreached => {
                 self.ran = ran;
-                return Step::Again(Outcome::Unreached);
+                return Step::Again(Outcome::ConnectFailed);
             }
-            Reply::Broken => return Step::Again(Outcome::Broken),
+            Reply::Broken => return Step::Again(Outcome::ConnectionLost),
         };
         let verdict = shell.interface.exchange.verdict(
             response.status(),
@@ -171,12 +171,16 @@
             rate_limits::take(&shell, endpoint, start, verdict, named);
         }
         match verdict {
-            Verdict::Foreign => Step::Again(Outcome::Broken),
+            Verdict::Foreign => Step::Again(Outcome::ConnectionLost),
             Verdict::Full | Verdict::Moved => {
                 self.ran = ran;
                 pool::drain(&self.shell, endpoint, response, connection);
                 let full = verdict == Verdict::Full;
-                Step::Again(if full { Outcome::Full } else { Outcome::Moved })
+                Step::Again(if full {
+                    Outcome::Full
+                } else {
+                    Outcome::Misdirected
+                })
             }
             Verdict::Answer if self.pass.is_stream() && response.status().is_success() => {
                 self.stream(endpoint, permit, start, response, connection)
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -31,7 +31,7 @@
 
     pub(super) fn refused(&mut self, refusal: Refusal) -> &'static str {
         if self.ran {
-            return self.failed(Outcome::Left);
+            return self.failed(Outcome::Cancelled);
         }
         self.shell.core.borrow_mut().refund(&self.pass);
         let request = Known {
@@ -125,8 +125,8 @@
             "pause_ms": progress.pause.0,
             "parts": progress.parts,
             "took_ms": took.0,
-            "aim_ms": self.pass.route.latency_objective.0,
-            "gap_ms": self.pass.route.max_gap.0,
+            "aim_ms": self.pass.route.latency_target.0,
+            "gap_ms": self.pass.route.gap_target.0,
             "left_ms": self.pass.until.since(self.shell.now()).0,
             "configuration": self.shell.core.borrow().configuration_version(),
         });
--- a/crates/siskinyoke-gateway/src/job/reading.rs
+++ b/crates/siskinyoke-gateway/src/job/reading.rs
@@ -40,7 +40,7 @@
         let mut held = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
-                return Step::Again(Outcome::Broken);
+                return Step::Again(Outcome::ConnectionLost);
             };
             held.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
             if held.len() > WHOLE {
@@ -57,11 +57,11 @@
             return Step::Again(Outcome::Failed);
         }
         let took = self.shell.now().since(start);
-        Step::Finished(Outcome::Done {
-            first: took,
-            took: took,
+        Step::Finished(Outcome::Completed {
+            to_first_part: took,
+            total: took,
             parts: 0,
-            pause: Millis::ZERO,
+            longest_pause: Millis::ZERO,
         })
     }
 
@@ -84,11 +84,11 @@
             self.pass_on(parts, piece).await;
         }
         let took = self.shell.now().since(start);
-        Step::Finished(Outcome::Done {
-            first: first,
-            took: took,
+        Step::Finished(Outcome::Completed {
+            to_first_part: first,
+            total: took,
             parts: 0,
-            pause: Millis::ZERO,
+            longest_pause: Millis::ZERO,
         })
     }
 
@@ -109,7 +109,7 @@
                 let mut next = pin!(body.frame());
                 match timeout(silence.into(), &mut next).await {
                     Ok(frame) => frame,
-                    Err(_) if permit.spare() => return self.abandon(Outcome::Silent),
+                    Err(_) if permit.spare() => return self.abandon(Outcome::Stalled),
                     Err(_) => next.await,
                 }
             };
@@ -123,7 +123,7 @@
                     };
                     whole
                 }
-                Some(Err(_)) => return self.abandon(Outcome::Broken),
+                Some(Err(_)) => return self.abandon(Outcome::ConnectionLost),
                 None => break,
             };
             if seen.first.is_none() {
@@ -137,11 +137,11 @@
         self.pass_on(&parts, rest).await;
         pool::reuse(&self.shell, endpoint, &parts.headers, connection);
         let took = self.shell.now().since(start);
-        Step::Finished(Outcome::Done {
-            first: seen.first.map_or(took, |it| it.since(start)),
-            took: took,
+        Step::Finished(Outcome::Completed {
+            to_first_part: seen.first.map_or(took, |it| it.since(start)),
+            total: took,
             parts: seen.parts,
-            pause: seen.pause,
+            longest_pause: seen.pause,
         })
     }
 
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -94,7 +94,7 @@
 /// Asks other shards, or holders of rate limits, for places for requests that cannot start yet.
 pub fn places(shell: &Shell) {
     let now = shell.now();
-    let needs = shell.core.borrow_mut().needs(now);
+    let needs = shell.core.borrow_mut().borrow_requests(now);
     for (ticket, need) in needs {
         let id = rand::random();
         let lenders = match &need {
@@ -133,7 +133,7 @@
         let endpoint = shell
             .core
             .borrow_mut()
-            .place_granted(now, question.ticket, key);
+            .slot_granted(now, question.ticket, key);
         endpoint.map(|endpoint| (question, endpoint))
     });
     let Some((question, endpoint)) = placed else {
@@ -177,7 +177,7 @@
     if reserved {
         core.token_declined(now, ticket);
     } else {
-        core.place_declined(now, ticket);
+        core.slot_declined(now, ticket);
     }
     drop(core);
     shell.decide();
@@ -245,7 +245,7 @@
 fn lenders(shell: &Shell, count: usize) -> Vec<SocketAddr> {
     let core = shell.core.borrow();
     let rng = &mut rand::rng();
-    let shards = core.other_shards();
+    let shards = core.instances_by_other_shard();
     let some: Vec<_> = shards.choose_multiple(rng, count).collect();
     let places = some.into_iter().filter_map(|shard| shard.choose(rng));
     places
@@ -256,7 +256,7 @@
 // Some peers that hold a part of a rate limit of a service.
 fn holders(shell: &Shell, service: u32) -> Vec<SocketAddr> {
     let core = shell.core.borrow();
-    let holders = core.holders(shell.now(), service);
+    let holders = core.token_holders(shell.now(), service);
     let some = holders.choose_multiple(&mut rand::rng(), CHOICES);
     some.filter_map(|it| it.peer_address.parse().ok()).collect()
 }
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -81,7 +81,7 @@
 /// Takes from a peer that knows the store up to a revision what is not known here.
 pub fn catch_up(shell: &Rc<Shell>, from: SocketAddr, revision: u64) {
     let now = shell.now();
-    let ahead = shell.core.borrow_mut().heard_revision(now, revision);
+    let ahead = shell.core.borrow_mut().record_peer_revision(now, revision);
     let failed = shell.failed.get();
     let avoided = failed.is_some_and(|it| it.0 == from && now.since(it.1) < AVOIDED);
     if !ahead || avoided || shell.catching.replace(true) {
@@ -89,7 +89,7 @@
     }
     let shell = shell.clone();
     tokio::task::spawn_local(async move {
-        let pause = if shell.core.borrow().reads_first() {
+        let pause = if shell.core.borrow().is_first_read() {
             READING
         } else if shell.watching.get() {
             BEHIND
@@ -97,7 +97,7 @@
             Millis(rand::rng().random_range(0..SPREAD.0))
         };
         sleep(pause.into()).await;
-        if shell.core.borrow().revision() < revision {
+        if shell.core.borrow().store_revision() < revision {
             fetch(&shell, from).await;
         }
         shell.catching.set(false);
@@ -109,7 +109,7 @@
         Ok(update) => beliefs::take(shell, update, "peer"),
         // The store has the changes for one call.
         Err(HandoverError::Call(StoreError::Status(StatusCode::CONFLICT))) => {
-            shell.core.borrow_mut().ask_store();
+            shell.core.borrow_mut().request_store_read();
             shell.handover_failed.notify_waiters();
         }
         Err(err) => {
--- a/crates/siskinyoke-gateway/src/permit.rs
+++ b/crates/siskinyoke-gateway/src/permit.rs
@@ -41,7 +41,7 @@
         self.shell
             .core
             .borrow_mut()
-            .record_outcome(self.shell.now(), ticket, outcome, more)
+            .attempt_ended(self.shell.now(), ticket, outcome, more)
     }
 
     /// Takes note that the first part of the answer came.
@@ -51,7 +51,7 @@
             self.shell
                 .core
                 .borrow_mut()
-                .record_response_start(now, ticket);
+                .first_part_received(now, ticket);
         }
     }
 
@@ -68,7 +68,10 @@
         let Some(ticket) = self.ticket else {
             return false;
         };
-        self.shell.core.borrow_mut().spare(self.shell.now(), ticket)
+        self.shell
+            .core
+            .borrow_mut()
+            .try_abandon(self.shell.now(), ticket)
     }
 }
 
@@ -85,13 +88,13 @@
 /// Returns an outcome's name in logs and metrics.
 pub fn name(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Done { .. } => "done",
+        Outcome::Completed { .. } => "done",
         Outcome::Failed => "failed",
         Outcome::Full => "full",
-        Outcome::Moved => "moved",
-        Outcome::Unreached => "unreached",
-        Outcome::Broken => "broken",
-        Outcome::Silent => "silent",
-        Outcome::Left => "left",
+        Outcome::Misdirected => "moved",
+        Outcome::ConnectFailed => "unreached",
+        Outcome::ConnectionLost => "broken",
+        Outcome::Stalled => "silent",
+        Outcome::Cancelled => "left",
     }
 }
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -32,13 +32,13 @@
     shell
         .core
         .borrow_mut()
-        .note_limit(now, endpoint, sent, rate);
+        .record_limit(now, endpoint, sent, rate);
     log_changes(shell);
 }
 
 /// Writes a line for each limit that was named, changed or lifted.
 pub fn log_changes(shell: &Shell) {
-    let changes = shell.core.borrow_mut().limit_changes();
+    let changes = shell.core.borrow_mut().take_limit_changes();
     if !changes.is_empty() {
         // Peers send there until they hear of it.
         shell.changed.notify_one();
@@ -51,7 +51,7 @@
             from_peer,
         } = change;
         let core = shell.core.borrow();
-        let known = core.endpoint(endpoint);
+        let known = core.endpoint_by_hash(endpoint);
         let fields = json!({
             "endpoint": known.map(|it| it.id.to_string()),
             "key": endpoint,
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -46,12 +46,12 @@
             Ok(kept) => {
                 lease = Some(kept);
                 retry = RETRY;
-                shell.core.borrow_mut().store_answered();
+                shell.core.borrow_mut().store_call_succeeded();
                 if shell.watching.get() { PROBE } else { RENEW }
             }
             Err(err) => {
                 shell.log("registration_failed", json!({ "error": err.to_string() }));
-                shell.core.borrow_mut().store_failed(shell.now());
+                shell.core.borrow_mut().store_call_failed(shell.now());
                 shell.unanswered.notify_waiters();
                 let pause = retry;
                 retry = Millis(retry.0 * 2).min(LONGEST);
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -56,7 +56,7 @@
     let key = documents.state_key(&due.order.service);
     let value = documents.encode_state(due.state, &due.order.version);
     let order = documents.order_key(&due.order.service);
-    let expected = [(&*order, due.order_revision), (&*key, due.expected)];
+    let expected = [(&*order, due.order_revision), (&*key, due.status_revision)];
     let call = store.put_if(&key, &value, &expected);
     let result = client.call(shell.settings().store, &call, LIMIT).await;
     shell.metrics.called("rollout", result.is_ok());
@@ -74,7 +74,7 @@
         "version": &*due.order.version,
         "order": due.order.revision,
         "state": due.state.as_str(),
-        "expected": due.expected,
+        "expected": due.status_revision,
         "standing": due.order_revision,
         "outcome": outcome,
     });
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -213,8 +213,8 @@
             "peers": core.peers().instance_count(now) - 1,
             "quota_share": core.peers().fleet_share(now),
             "configuration": core.configuration_version(),
-            "store": core.stored(),
-            "revision": core.revision(),
+            "store": core.store_available(),
+            "revision": core.store_revision(),
             "store_age_ms": now.since(self.heard.get()).0,
         });
         self.log("refusal", fields);
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -75,13 +75,13 @@
     fn duty(&mut self) -> StoreRole {
         let now = self.shell.now();
         let core = self.shell.core.borrow();
-        let duty = core.duty(now);
+        let duty = core.store_role(now);
         if self.duty != Some(duty) {
             let fields = json!({
                 "duty": duty.as_str(),
                 "watcher": core.watcher(now),
                 "peers": core.peers().instance_count(now) - 1,
-                "revision": core.revision(),
+                "revision": core.store_revision(),
             });
             self.shell.log("store_duty", fields);
             self.duty = Some(duty);
@@ -177,7 +177,7 @@
     async fn watch(&mut self, revision: u64) -> Result<(), StoreError> {
         let address = self.shell.settings().store;
         let store = &*self.shell.interface.store;
-        let held = self.shell.core.borrow().watch();
+        let held = self.shell.core.borrow().watch_timeout();
         let limit = if store.quiet_watch() {
             held.max(RESPONSE_MARGIN)
         } else {
@@ -212,7 +212,7 @@
         };
         beliefs::take(&self.shell, update, "store");
         if changed {
-            let gather = self.shell.core.borrow().gather();
+            let gather = self.shell.core.borrow().update_batch_delay();
             tokio::select! {
                 () = sleep(gather.into()) => {}
                 () = self.shell.handover_failed.notified() => {}
@@ -223,7 +223,7 @@
 
     fn answered(&mut self) {
         self.shell.heard.set(self.shell.now());
-        self.shell.core.borrow_mut().store_answered();
+        self.shell.core.borrow_mut().store_call_succeeded();
         if !self.shell.stored.replace(true) {
             self.shell.log("store_regained", json!({}));
         }
@@ -232,7 +232,10 @@
 
     fn failed(&mut self, err: &StoreError) {
         self.forgotten |= forgotten(err);
-        self.shell.core.borrow_mut().store_failed(self.shell.now());
+        self.shell
+            .core
+            .borrow_mut()
+            .store_call_failed(self.shell.now());
         if self.shell.stored.replace(false) {
             self.shell
                 .log("store_lost", json!({ "error": err.to_string() }));
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -23,13 +23,13 @@
     let settings = Settings::parse(SETTINGS).unwrap();
     let identity = Identity {
         name: settings.instance.clone(),
-        place: settings.place(),
-        source: 1,
-        retries: 0.2,
-        floor: 54.0,
-        exposure: 0.1,
-        settle: Millis(3_000),
-        measure: QuotaPolicy {
+        location: settings.place(),
+        incarnation: 1,
+        retry_ratio: 0.2,
+        retry_slack: 54.0,
+        max_exposure: 0.1,
+        settling_time: Millis(3_000),
+        quota_policy: QuotaPolicy {
             window: Millis(8_000),
             overage: 0.1,
             slack: 0.0,
--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -212,8 +212,8 @@
             prefix: prefix.into(),
             kind,
             timeout: Millis(row.timeout_ms),
-            latency_objective: Millis(row.objective_ms),
-            max_gap: Millis(row.gap_ms),
+            latency_target: Millis(row.objective_ms),
+            gap_target: Millis(row.gap_ms),
             priority: rank,
             targets: if closed {
                 Vec::new()
