--- a/crates/siskinyoke-dispatch/src/placing.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -19,52 +19,52 @@
 /// How much worse an endpoint in another data centre is taken to be, as a part of its pace.
 ///
 /// Enough to decide between equals, too little to leave a faster one idle.
-const FAR: f64 = 0.3;
+const REMOTE_PENALTY_RATIO: f64 = 0.3;
 
 /// How much worse an endpoint is taken to be whose places are all taken, as a part of its pace.
 ///
 /// Some endpoints slow down when they are nearly full; it spreads work over equals.
-const CROWDED: f64 = 0.3;
+const OCCUPANCY_PENALTY_RATIO: f64 = 0.3;
 
 /// How far instances differ in which of several like endpoints they use first, as a part of its pace.
 ///
 /// Instances of a shard see the same free places at the same moment. Were they of one mind on the best of
 /// them, each would fill it before it hears of the others, and requests would queue there beside free
 /// places. Less than what makes an endpoint a worse choice by itself.
-const PREFERENCE: f64 = 0.2;
+const PREFERENCE_SPREAD_RATIO: f64 = 0.2;
 
 /// How much a failure weighs against an endpoint when one is chosen.
-const FAILING: f64 = 3.0;
+const FAILURE_PENALTY_RATIO: f64 = 3.0;
 
 /// How much longer than expected an answer may take and must still be whole in time, where its request can
 /// wait for another endpoint.
 ///
 /// Callers' estimates are right at the median; one answer in five is half as long again.
-const MARGIN: f64 = 1.5;
+const TIMEOUT_MARGIN_RATIO: f64 = 1.5;
 
 /// The pace beyond which an endpoint counts as slow.
 ///
 /// Beyond the scatter of equal endpoints' paces; waiting for a usual one is worth it then.
-const SLOW: f64 = 1.3;
+const SLOW_RATIO: f64 = 1.3;
 
 /// Observations from which on an instance goes by its own: one or two may have waited behind a long prompt.
-const ENOUGH: f64 = 3.0;
+const MIN_OBSERVATIONS: f64 = 3.0;
 
 /// The steps in which paces are told, for each multiple of the usual one: a byte holds up to thirty-two times
 /// the usual one, in steps finer than the scatter of one endpoint's answers.
-const EIGHTHS: f64 = 8.0;
+const SPEED_STEPS_PER_UNIT: f64 = 8.0;
 
 /// The part of streams that pause for too long beyond which the next one is expected to.
 ///
 /// Below one half, so that an endpoint is passed by before most of its streams are late.
-const HELD: f64 = 0.3;
+const STALL_THRESHOLD_RATIO: f64 = 0.3;
 
 /// Parts of an answer up to which such a pause seldom falls into it.
-const SHORT: f64 = 8.0;
+const SHORT_ANSWER_PARTS: f64 = 8.0;
 
 /// A request that is to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Query<'a> {
+pub struct PlacementQuery<'a> {
     /// The present time.
     pub now: Millis,
     /// The request.
@@ -83,7 +83,7 @@
     /// Its free places, as far as all instances' reports tell.
     pub left: u32,
     /// How many of these are not slots, but places in its queue.
-    pub extra: u32,
+    pub queue_slots: u32,
     /// Prompt tokens that it has still to read.
     pub unread: f64,
     /// Whether it takes much longer than the others.
@@ -91,49 +91,52 @@
     /// Whether the free places are this instance's alone, by its part of a rate limit.
     pub reserved: bool,
     /// The pace of the fastest endpoint of its service, with free places or without.
-    pub fastest: f64,
+    pub fastest_factor: f64,
 }
 
 /// What this instance has seen of the endpoints.
 ///
 /// Paces are told to peers: each instance would have to find the slow endpoints out by requests of its own.
 #[derive(Debug, Default)]
-pub struct Placing {
+pub struct EndpointSelector {
     centre: Arc<str>,
     // Of this instance; its preferences follow from it.
     name: Box<str>,
     health: Map<EndpointKey, Health>,
     // Paces that peers saw, by shortened key.
-    told: Map<u32, f64>,
+    peer_speeds: Map<u32, f64>,
 }
 
-impl Placing {
+impl EndpointSelector {
     /// Knows nothing yet of the endpoints; the instance of this name lies in a data centre.
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
             centre: centre.into(),
             name: name.into(),
             health: Map::default(),
-            told: Map::default(),
+            peer_speeds: Map::default(),
         }
     }
 
     /// Takes note of how a stay ended.
     pub fn ended(&mut self, now: Millis, key: EndpointKey, outcome: Outcome) {
-        self.health.entry(key).or_default().ended(now, outcome);
+        self.health
+            .entry(key)
+            .or_default()
+            .record_outcome(now, outcome);
     }
 
     /// Takes note that something took `time` on an endpoint that usually takes `usual`.
     pub fn paced(&mut self, key: EndpointKey, time: Millis, usual: Millis) {
         if usual > Millis::ZERO {
             let pace = millis_to_f64(time) / millis_to_f64(usual);
-            self.health.entry(key).or_default().paced(pace);
+            self.health.entry(key).or_default().record_speed(pace);
         }
     }
 
     /// Takes note whether a stream paused for too long.
     pub fn paused(&mut self, key: EndpointKey, long: bool) {
-        self.health.entry(key).or_default().paused(long);
+        self.health.entry(key).or_default().record_stall(long);
     }
 
     /// Returns how long an endpoint takes for the same work, as a multiple of what is usual.
@@ -141,43 +144,47 @@
     /// What peers saw stands in until there are a few observations of our own.
     pub fn pace(&self, key: EndpointKey) -> f64 {
         let own = self.health.get(&key);
-        let told = self.told.get(&key.short()).copied();
+        let peer_speed = self.peer_speeds.get(&key.short()).copied();
         match own {
-            Some(health) if health.seen() >= ENOUGH => health.pace(),
-            Some(health) => told.unwrap_or_else(|| health.pace()),
-            None => told.unwrap_or(1.0),
+            Some(health) if health.observations() >= MIN_OBSERVATIONS => health.speed_factor(),
+            Some(health) => peer_speed.unwrap_or_else(|| health.speed_factor()),
+            None => peer_speed.unwrap_or(1.0),
         }
     }
 
     /// Returns whether nobody has seen yet how fast an endpoint is.
-    pub fn unknown(&self, key: EndpointKey) -> bool {
-        let seen = self.health.get(&key).map_or(0.0, Health::seen);
-        seen == 0.0 && !self.told.contains_key(&key.short())
+    pub fn is_unobserved(&self, key: EndpointKey) -> bool {
+        let seen = self.health.get(&key).map_or(0.0, Health::observations);
+        seen == 0.0 && !self.peer_speeds.contains_key(&key.short())
     }
 
     /// Returns an endpoint's pace as it stands in reports.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "held to what a byte holds"
+        reason = "clamped to the range of a byte"
     )]
-    pub fn tell(&self, key: EndpointKey) -> u8 {
-        let seen = self.health.get(&key).filter(|it| it.seen() > 0.0);
-        seen.map_or(0, |it| (it.pace() * EIGHTHS).clamp(1.0, 255.0) as u8)
+    pub fn reported_speed(&self, key: EndpointKey) -> u8 {
+        let seen = self.health.get(&key).filter(|it| it.observations() > 0.0);
+        seen.map_or(0, |it| {
+            (it.speed_factor() * SPEED_STEPS_PER_UNIT).clamp(1.0, 255.0) as u8
+        })
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn heard(&mut self, rows: &[RunningRow]) {
         for row in rows.iter().filter(|row| row.speed_factor > 0) {
-            self.told
-                .insert(row.endpoint, f64::from(row.speed_factor) / EIGHTHS);
+            self.peer_speeds.insert(
+                row.endpoint,
+                f64::from(row.speed_factor) / SPEED_STEPS_PER_UNIT,
+            );
         }
     }
 
     /// Returns whether an endpoint rests after failures.
     pub fn resting(&self, now: Millis, key: EndpointKey) -> bool {
         let health = self.health.get(&key);
-        health.is_some_and(|health| health.resting(now))
+        health.is_some_and(|health| health.in_backoff(now))
     }
 
     /// Finds the best endpoint for a request among those with free places that it was not given to
@@ -185,30 +192,36 @@
     ///
     /// `usual` says whether the endpoints of a usual pace may be used; slow and reserved ones always may. A request with
     /// time to wait is given to no slow endpoint that would spoil it or the work there.
-    pub fn best(&self, query: &Query<'_>, candidates: &[Candidate], usual: bool) -> Option<usize> {
-        let fit = candidates.iter().enumerate().filter(|(_, candidate)| {
+    pub fn select(
+        &self,
+        query: &PlacementQuery<'_>,
+        candidates: &[Candidate],
+        usual: bool,
+    ) -> Option<usize> {
+        let eligible = candidates.iter().enumerate().filter(|(_, candidate)| {
             candidate.left > 0
                 && (usual || candidate.slow || candidate.reserved)
                 && !query.pending.tried.contains(&candidate.endpoint.key())
         });
-        let costs = fit.map(|(at, candidate)| (at, self.cost(query, candidate)));
-        let (at, cost) = costs.min_by(|one, other| one.1.sum().total_cmp(&other.1.sum()))?;
-        let spoils = candidates[at].slow && cost.spoils(query.can_wait);
-        let waits = query.can_wait && cost.overruns && !overruns(query, candidates[at].fastest);
-        (!spoils && !waits).then_some(at)
+        let costs = eligible.map(|(at, candidate)| (at, self.cost(query, candidate)));
+        let (at, cost) = costs.min_by(|one, other| one.1.total().total_cmp(&other.1.total()))?;
+        let unacceptable = candidates[at].slow && cost.is_unacceptable(query.can_wait);
+        let should_wait =
+            query.can_wait && cost.times_out && !times_out(query, candidates[at].fastest_factor);
+        (!unacceptable && !should_wait).then_some(at)
     }
 
     /// Returns whether an endpoint takes much longer for the same work than is usual in its service.
     ///
     /// Where even the fastest one does, none counts as slow: there is nothing better to wait for.
     pub fn slow(&self, key: EndpointKey, fastest: f64) -> bool {
-        self.pace(key) > SLOW * fastest.max(1.0)
+        self.pace(key) > SLOW_RATIO * fastest.max(1.0)
     }
 
     /// Forgets endpoints that are not among the known ones.
-    pub fn forget(&mut self, known: &[EndpointKey]) {
+    pub fn retain_known(&mut self, known: &[EndpointKey]) {
         self.health.retain(|key, _| known.contains(key));
-        self.told
+        self.peer_speeds
             .retain(|short, _| known.iter().any(|key| key.short() == *short));
     }
 
@@ -218,26 +231,31 @@
         f64::from(u32::try_from(hash).unwrap_or(u32::MAX)) / f64::from(u32::MAX)
     }
 
-    fn cost(&self, query: &Query<'_>, candidate: &Candidate) -> Cost {
-        let Query {
+    fn cost(&self, query: &PlacementQuery<'_>, candidate: &Candidate) -> Cost {
+        let PlacementQuery {
             now, pending, load, ..
         } = query;
         let endpoint = &candidate.endpoint;
         let health = self.health.get(&endpoint.key());
-        let failures = health.map_or(0.0, Health::failures);
-        let taken =
+        let failure_ratio = health.map_or(0.0, Health::failure_ratio);
+        let occupancy =
             f64::from(endpoint.slots.saturating_sub(candidate.left)) / f64::from(endpoint.slots);
-        let far = if endpoint.centre == self.centre {
+        let remote_penalty = if endpoint.centre == self.centre {
             0.0
         } else {
-            FAR
+            REMOTE_PENALTY_RATIO
         };
         let pace = self.pace(endpoint.key());
-        let preference = self.preference(endpoint.key()) * PREFERENCE;
-        let time = pace * (1.0 + taken * CROWDED + far + failures * FAILING + preference);
+        let preference = self.preference(endpoint.key()) * PREFERENCE_SPREAD_RATIO;
+        let time = pace
+            * (1.0
+                + occupancy * OCCUPANCY_PENALTY_RATIO
+                + remote_penalty
+                + failure_ratio * FAILURE_PENALTY_RATIO
+                + preference);
         if pending.route.kind != Kind::Stream {
             return Cost {
-                time,
+                relative_time: time,
                 ..Cost::default()
             };
         }
@@ -247,22 +265,27 @@
         let time =
             time + pace * millis_to_f64(delay) / millis_to_f64(load.mean_service_time()).max(1.0);
         let begins = millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * pace;
-        let held = health.map_or(0.0, Health::held);
-        let pauses = load.expected_parts(&pending.tokens) > SHORT && held > HELD;
+        let stall_ratio = health.map_or(0.0, Health::stall_ratio);
+        let pauses = load.expected_parts(&pending.tokens) > SHORT_ANSWER_PARTS
+            && stall_ratio > STALL_THRESHOLD_RATIO;
         let stalls =
-            load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.max_gap);
+            load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.gap_target);
         Cost {
-            time,
-            late: begins > millis_to_f64(pending.route.latency_objective) || pauses,
-            overruns: overruns(query, pace),
-            stalled: if stalls { taken } else { 0.0 },
+            relative_time: time,
+            late: begins > millis_to_f64(pending.route.latency_target) || pauses,
+            times_out: times_out(query, pace),
+            stalled_ratio: if stalls { occupancy } else { 0.0 },
         }
     }
 }
 
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
-fn overruns(query: &Query<'_>, pace: f64) -> bool {
+fn times_out(query: &PlacementQuery<'_>, pace: f64) -> bool {
     let stay = millis_to_f64(query.load.service_time_of(&query.pending.tokens)) * pace;
-    let margin = if query.can_wait { MARGIN } else { 1.0 };
+    let margin = if query.can_wait {
+        TIMEOUT_MARGIN_RATIO
+    } else {
+        1.0
+    };
     stay * margin > millis_to_f64(query.pending.deadline.since(query.now))
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -23,8 +23,8 @@
 use crate::latency_model::millis_from_f64;
 use crate::latency_model::millis_to_f64;
 use crate::message::SlotRequest;
-use crate::placing::Candidate;
-use crate::placing::Query;
+use crate::placement::Candidate;
+use crate::placement::PlacementQuery;
 use crate::report::short_hash;
 use siskinyoke_base::Millis;
 
@@ -80,7 +80,7 @@
     ) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let askable = self.queues.iter().flat_map(|(service, queue)| {
-            let place = view.registry.divided() && !self.recently_declined(now, service);
+            let place = view.registry.is_sharded() && !self.recently_declined(now, service);
             let reserved = self.should_ask_holders(view, service);
             let tickets = queue.iter().filter(move |_| place || reserved);
             tickets.map(move |it| (it.2, place, reserved))
@@ -217,13 +217,13 @@
         candidates: &[Candidate],
     ) -> Option<EndpointKey> {
         let load = self.latency_model(&guest.service);
-        let query = Query {
+        let query = PlacementQuery {
             now,
             pending: guest,
             load: &load,
             can_wait: true,
         };
-        let at = self.placing.best(&query, candidates, true)?;
+        let at = self.placing.select(&query, candidates, true)?;
         Some(candidates[at].endpoint.key())
     }
 
@@ -249,8 +249,8 @@
         stream: pending.route.kind == Kind::Stream,
         prompt_tokens: pending.tokens.prompt_tokens(),
         output_tokens: pending.tokens.output_tokens(),
-        latency_target: small(pending.route.latency_objective),
-        gap_target: small(pending.route.max_gap),
+        latency_target: small(pending.route.latency_target),
+        gap_target: small(pending.route.gap_target),
         waited: small(now.since(pending.arrived)),
         remaining_wait: small(pending.deadline.since(now)),
     }
@@ -274,8 +274,8 @@
             Kind::Safe
         },
         timeout: until.since(arrived),
-        latency_objective: span(need.latency_target),
-        max_gap: span(need.gap_target),
+        latency_target: span(need.latency_target),
+        gap_target: span(need.gap_target),
         priority: 0,
         targets: Vec::new(),
         max_attempts: 1,
