--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -292,7 +292,7 @@
 
     /// Does what is due with time: drops what is gone.
     pub fn sweep(&mut self, now: Millis) {
-        self.registry.sweep(now);
+        self.registry.remove_expired(now);
         self.expire_departed(now);
         for source in self.peers.sweep(now) {
             self.quotas.forget_peer(source);
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -80,7 +80,7 @@
         ticket: Ticket,
         key: EndpointKey,
     ) -> Option<Arc<Endpoint>> {
-        let endpoint = self.registry.find(key)?.clone();
+        let endpoint = self.registry.find_eligible(key)?.clone();
         let started = self.scheduler.slot_granted(now, ticket, &endpoint);
         started.then_some(endpoint)
     }
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -92,14 +92,14 @@
 
     fn canaries(&self, now: Millis) -> Vec<CanaryReport> {
         let rollouts = self.registry.rollouts().filter(|it| it.has_report());
-        rollouts.map(|it| it.tell(now)).collect()
+        rollouts.map(|it| it.canary_report(now)).collect()
     }
 
     pub(super) fn instance_info(&self, now: Millis) -> InstanceInfo {
         InstanceInfo {
             name: self.identity.name.clone(),
             location: self.identity.location.clone(),
-            leaving_endpoints: self.registry.news(),
+            leaving_endpoints: self.registry.recent_departures(),
             quarantine: self.quarantine.recent_crashes(MAX_REPORTED_QUARANTINE),
             peers: self.reported_peers(now),
         }
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -54,7 +54,7 @@
 impl Core {
     /// Lets the time act on rollouts, and returns whose traffic goes elsewhere now.
     pub fn advance_rollouts(&mut self, now: Millis) -> Vec<TrafficShift> {
-        let changed = self.registry.advance(now);
+        let changed = self.registry.advance_rollouts(now);
         let rollouts = self.registry.rollouts();
         let changed = rollouts.filter(|it| changed.contains(&it.order().service));
         changed
@@ -86,7 +86,7 @@
 
     pub(super) fn begin_rollout(&mut self, now: Millis, order: Order) {
         let draw = stable_hash(&(self.identity.incarnation, order.revision));
-        self.registry.order(now, order, unit_fraction(draw));
+        self.registry.apply_order(now, order, unit_fraction(draw));
     }
 
     // Reports of other shards count for no endpoint, but what they know of a rollout counts for all.
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -79,13 +79,13 @@
         }
         // A state says nothing before its order is known.
         for (service, status) in progress {
-            self.registry.status(&service, status);
+            self.registry.apply_status(&service, status);
         }
         if fleet {
             self.settle();
         }
         if !endpoints.is_empty() {
-            self.registry.change(now, endpoints);
+            self.registry.apply_updates(now, endpoints);
         }
     }
 
@@ -186,10 +186,10 @@
         }
         self.store_view.unavailable = away;
         if away {
-            self.registry.store_lost();
+            self.registry.store_unreachable();
             self.instances.store_unreachable();
         } else {
-            self.registry.store_back(now);
+            self.registry.store_reachable(now);
             self.instances.store_reachable(now);
         }
         Some(away)
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -70,7 +70,7 @@
     /// The request.
     pub pending: &'a ScheduledRequest,
     /// How its service's requests fare.
-    pub load: &'a LatencyModel,
+    pub latency_model: &'a LatencyModel,
     /// Whether it can wait for another endpoint and still be on time.
     pub can_wait: bool,
 }
@@ -81,11 +81,11 @@
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     /// Its free places, as far as all instances' reports tell.
-    pub left: u32,
+    pub free_slots: u32,
     /// How many of these are not slots, but places in its queue.
     pub queue_slots: u32,
     /// Prompt tokens that it has still to read.
-    pub unread: f64,
+    pub unread_tokens: f64,
     /// Whether it takes much longer than the others.
     pub slow: bool,
     /// Whether the free places are this instance's alone, by its part of a rate limit.
@@ -119,7 +119,7 @@
     }
 
     /// Takes note of how a stay ended.
-    pub fn ended(&mut self, now: Millis, key: EndpointKey, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Millis, key: EndpointKey, outcome: Outcome) {
         self.health
             .entry(key)
             .or_default()
@@ -127,7 +127,7 @@
     }
 
     /// Takes note that something took `time` on an endpoint that usually takes `usual`.
-    pub fn paced(&mut self, key: EndpointKey, time: Millis, usual: Millis) {
+    pub fn record_speed(&mut self, key: EndpointKey, time: Millis, usual: Millis) {
         if usual > Millis::ZERO {
             let pace = millis_to_f64(time) / millis_to_f64(usual);
             self.health.entry(key).or_default().record_speed(pace);
@@ -135,14 +135,14 @@
     }
 
     /// Takes note whether a stream paused for too long.
-    pub fn paused(&mut self, key: EndpointKey, long: bool) {
+    pub fn record_stall(&mut self, key: EndpointKey, long: bool) {
         self.health.entry(key).or_default().record_stall(long);
     }
 
     /// Returns how long an endpoint takes for the same work, as a multiple of what is usual.
     ///
     /// What peers saw stands in until there are a few observations of our own.
-    pub fn pace(&self, key: EndpointKey) -> f64 {
+    pub fn speed_factor(&self, key: EndpointKey) -> f64 {
         let own = self.health.get(&key);
         let peer_speed = self.peer_speeds.get(&key.short()).copied();
         match own {
@@ -172,7 +172,7 @@
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
-    pub fn heard(&mut self, rows: &[RunningRow]) {
+    pub fn record_peer_speeds(&mut self, rows: &[RunningRow]) {
         for row in rows.iter().filter(|row| row.speed_factor > 0) {
             self.peer_speeds.insert(
                 row.endpoint,
@@ -182,7 +182,7 @@
     }
 
     /// Returns whether an endpoint rests after failures.
-    pub fn resting(&self, now: Millis, key: EndpointKey) -> bool {
+    pub fn in_backoff(&self, now: Millis, key: EndpointKey) -> bool {
         let health = self.health.get(&key);
         health.is_some_and(|health| health.in_backoff(now))
     }
@@ -199,7 +199,7 @@
         usual: bool,
     ) -> Option<usize> {
         let eligible = candidates.iter().enumerate().filter(|(_, candidate)| {
-            candidate.left > 0
+            candidate.free_slots > 0
                 && (usual || candidate.slow || candidate.reserved)
                 && !query.pending.tried.contains(&candidate.endpoint.key())
         });
@@ -214,8 +214,8 @@
     /// Returns whether an endpoint takes much longer for the same work than is usual in its service.
     ///
     /// Where even the fastest one does, none counts as slow: there is nothing better to wait for.
-    pub fn slow(&self, key: EndpointKey, fastest: f64) -> bool {
-        self.pace(key) > SLOW_RATIO * fastest.max(1.0)
+    pub fn is_slow(&self, key: EndpointKey, fastest: f64) -> bool {
+        self.speed_factor(key) > SLOW_RATIO * fastest.max(1.0)
     }
 
     /// Forgets endpoints that are not among the known ones.
@@ -233,19 +233,22 @@
 
     fn cost(&self, query: &PlacementQuery<'_>, candidate: &Candidate) -> Cost {
         let PlacementQuery {
-            now, pending, load, ..
+            now,
+            pending,
+            latency_model,
+            ..
         } = query;
         let endpoint = &candidate.endpoint;
         let health = self.health.get(&endpoint.key());
         let failure_ratio = health.map_or(0.0, Health::failure_ratio);
-        let occupancy =
-            f64::from(endpoint.slots.saturating_sub(candidate.left)) / f64::from(endpoint.slots);
+        let occupancy = f64::from(endpoint.slots.saturating_sub(candidate.free_slots))
+            / f64::from(endpoint.slots);
         let remote_penalty = if endpoint.centre == self.centre {
             0.0
         } else {
             REMOTE_PENALTY_RATIO
         };
-        let pace = self.pace(endpoint.key());
+        let pace = self.speed_factor(endpoint.key());
         let preference = self.preference(endpoint.key()) * PREFERENCE_SPREAD_RATIO;
         let time = pace
             * (1.0
@@ -259,17 +262,18 @@
                 ..Cost::default()
             };
         }
-        let unread = pending.tokens.with_backlog(candidate.unread);
-        let first = load.first_part_time(&unread);
-        let delay = first.since(load.first_part_time(&pending.tokens));
-        let time =
-            time + pace * millis_to_f64(delay) / millis_to_f64(load.mean_service_time()).max(1.0);
+        let unread = pending.tokens.with_backlog(candidate.unread_tokens);
+        let first = latency_model.first_part_time(&unread);
+        let delay = first.since(latency_model.first_part_time(&pending.tokens));
+        let time = time
+            + pace * millis_to_f64(delay)
+                / millis_to_f64(latency_model.mean_service_time()).max(1.0);
         let begins = millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * pace;
         let stall_ratio = health.map_or(0.0, Health::stall_ratio);
-        let pauses = load.expected_parts(&pending.tokens) > SHORT_ANSWER_PARTS
+        let pauses = latency_model.expected_parts(&pending.tokens) > SHORT_ANSWER_PARTS
             && stall_ratio > STALL_THRESHOLD_RATIO;
-        let stalls =
-            load.expected_pause(unread.prompt) * pace > millis_to_f64(pending.route.gap_target);
+        let stalls = latency_model.expected_pause(unread.prompt) * pace
+            > millis_to_f64(pending.route.gap_target);
         Cost {
             relative_time: time,
             late: begins > millis_to_f64(pending.route.latency_target) || pauses,
@@ -281,7 +285,7 @@
 
 // Whether an answer at an endpoint of this pace would not be whole before its caller leaves.
 fn times_out(query: &PlacementQuery<'_>, pace: f64) -> bool {
-    let stay = millis_to_f64(query.load.service_time_of(&query.pending.tokens)) * pace;
+    let stay = millis_to_f64(query.latency_model.service_time_of(&query.pending.tokens)) * pace;
     let margin = if query.can_wait {
         TIMEOUT_MARGIN_RATIO
     } else {
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -46,12 +46,12 @@
 
 impl Registry {
     /// Takes note that the store could not be reached.
-    pub fn store_lost(&mut self) {
+    pub fn store_unreachable(&mut self) {
         self.entries.store_unreachable();
     }
 
     /// Takes note that the store answers again.
-    pub fn store_back(&mut self, now: Millis) {
+    pub fn store_reachable(&mut self, now: Millis) {
         self.entries.store_reachable(now);
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Takes in changes of endpoints' entries, all at once.
-    pub fn change(&mut self, now: Millis, news: Vec<StoreUpdate>) {
+    pub fn apply_updates(&mut self, now: Millis, news: Vec<StoreUpdate>) {
         for item in news {
             match item {
                 StoreUpdate::Endpoint(endpoint) => self.add(now, endpoint),
@@ -100,7 +100,7 @@
     }
 
     /// Drops entries whose time is over.
-    pub fn sweep(&mut self, now: Millis) {
+    pub fn remove_expired(&mut self, now: Millis) {
         self.departures
             .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
         if self.entries.remove_expired(now) {
@@ -109,7 +109,7 @@
     }
 
     /// Returns the endpoints of a service that may get new work from here, in a fixed order.
-    pub fn fit(&self, service: &str) -> &[Arc<Endpoint>] {
+    pub fn eligible(&self, service: &str) -> &[Arc<Endpoint>] {
         self.eligible.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Takes in an order to move a service's traffic; `draw` is an even number from 0 to 1.
-    pub fn order(&mut self, now: Millis, order: Order, draw: f64) {
+    pub fn apply_order(&mut self, now: Millis, order: Order, draw: f64) {
         let known = self.rollouts.get(&order.service);
         if known.is_some_and(|it| it.order().revision >= order.revision) {
             return;
@@ -132,7 +132,7 @@
     }
 
     /// Takes in how far the order for a service has come.
-    pub fn status(&mut self, service: &str, status: Status) {
+    pub fn apply_status(&mut self, service: &str, status: Status) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
             rollout.set_status(status);
         }
@@ -154,7 +154,7 @@
     }
 
     /// Lets the time act on rollouts, and returns the services whose traffic goes elsewhere now.
-    pub fn advance(&mut self, now: Millis) -> Vec<Arc<str>> {
+    pub fn advance_rollouts(&mut self, now: Millis) -> Vec<Arc<str>> {
         let rollouts = self.rollouts.iter_mut();
         let changed = rollouts.filter_map(|row| row.1.advance(now).then(|| row.0.clone()));
         let changed: Vec<_> = changed.collect();
@@ -170,13 +170,13 @@
     }
 
     /// Returns the service of a hashed name that has endpoints here.
-    pub fn service(&self, name: u32) -> Option<Arc<str>> {
+    pub fn find_service(&self, name: u32) -> Option<Arc<str>> {
         let known = self.eligible.keys().find(|it| short_hash(it) == name);
         known.cloned()
     }
 
     /// Returns an endpoint of any shard that may get new work.
-    pub fn find(&self, key: EndpointKey) -> Option<&Arc<Endpoint>> {
+    pub fn find_eligible(&self, key: EndpointKey) -> Option<&Arc<Endpoint>> {
         let found = self.all().find(|it| it.key() == key);
         found.filter(|it| !self.is_leaving(it))
     }
@@ -204,7 +204,7 @@
     }
 
     /// Returns the endpoints known to be leaving or gone that peers should hear of.
-    pub fn news(&self) -> Vec<EndpointKey> {
+    pub fn recent_departures(&self) -> Vec<EndpointKey> {
         let mut all: Vec<_> = self
             .departures
             .iter()
@@ -246,7 +246,7 @@
                 let mut new = endpoints.clone();
                 new.retain(|it| rollout.role(it) == EndpointRole::Canary);
                 let mut new = self.own_endpoints(&new, &mut sharing_shards);
-                new.truncate(rollout.canaries());
+                new.truncate(rollout.max_canaries());
                 endpoints.retain(|it| rollout.role(it) == EndpointRole::Serving);
                 self.canaries.insert(service.clone(), new);
             }
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -231,7 +231,7 @@
     }
 
     /// Returns what peers are told.
-    pub fn tell(&self, now: Millis) -> CanaryReport {
+    pub fn canary_report(&self, now: Millis) -> CanaryReport {
         CanaryReport {
             service: short_hash(&self.order.service),
             order: self.order.revision,
@@ -290,7 +290,7 @@
     }
 
     /// Returns how many endpoints of the new version share what is drawn for it.
-    pub fn canaries(&self) -> usize {
+    pub fn max_canaries(&self) -> usize {
         if self.phase == Phase::Trial {
             CANARY_ENDPOINTS
         } else {
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -210,7 +210,7 @@
             busy.count = busy.count.saturating_sub(1);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
-        self.placing.ended(now, endpoint, outcome);
+        self.placing.record_outcome(now, endpoint, outcome);
         if let Outcome::Completed {
             to_first_part,
             total,
@@ -262,7 +262,7 @@
             .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
-            millis_to_f64(usual) * self.placing.pace(*endpoint),
+            millis_to_f64(usual) * self.placing.speed_factor(*endpoint),
         ))
     }
 
@@ -311,7 +311,7 @@
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn record_peer_usage(&mut self, rows: &[RunningRow]) {
-        self.placing.heard(rows);
+        self.placing.record_peer_speeds(rows);
     }
 
     /// Returns this instance's requests at each endpoint.
@@ -374,7 +374,7 @@
 
 fn slot_count(service: &str, registry: &Registry) -> u32 {
     registry
-        .fit(service)
+        .eligible(service)
         .iter()
         .map(|endpoint| endpoint.slots)
         .sum()
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -33,7 +33,7 @@
     fn check_expired(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let pending = &self.waiting[&ticket];
         let load = self.latency_model(&pending.service);
-        if wait::all_tried(pending, view.registry.fit(&pending.service)) {
+        if wait::all_tried(pending, view.registry.eligible(&pending.service)) {
             return Some(Refusal {
                 reason: RefusalReason::NoEndpoint,
                 retry_after: load.mean_service_time(),
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -112,13 +112,13 @@
         id: u64,
         need: &SlotRequest,
     ) -> Option<EndpointKey> {
-        let service = view.registry.service(need.service)?;
+        let service = view.registry.find_service(need.service)?;
         let waits = self.queues.get(&service).is_some_and(|it| !it.is_empty());
         if waits || view.peers.waiting(view.now, need.service).next().is_some() {
             return None;
         }
         let candidates = self.free_endpoints(view, &service);
-        let awake = self.available(view.now, view.registry.fit(&service));
+        let awake = self.available(view.now, view.registry.eligible(&service));
         let all: u32 = awake.iter().map(|it| it.slots).sum();
         if shared_slots(&candidates) <= all / RESERVED_SLOTS_DIVISOR + 1 {
             return None;
@@ -127,7 +127,7 @@
         let guest = borrower_request(view.now, &service, need);
         let key = self.best_endpoint(view.now, &guest, &candidates)?;
         self.rate_limits.take_token(key);
-        let pace = self.placing.pace(key);
+        let pace = self.placing.speed_factor(key);
         let stay = millis_from_f64(
             millis_to_f64(load.service_time_of(&guest.tokens)) * pace * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
@@ -220,7 +220,7 @@
         let query = PlacementQuery {
             now,
             pending: guest,
-            load: &load,
+            latency_model: &load,
             can_wait: true,
         };
         let at = self.placing.select(&query, candidates, true)?;
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -20,7 +20,7 @@
     ) {
         let load = self.latencies.entry(pending.service.clone()).or_default();
         self.placing
-            .paced(key, first, load.first_part_time(&pending.tokens));
+            .record_speed(key, first, load.first_part_time(&pending.tokens));
         load.record_first_part(&pending.tokens, first);
     }
 
@@ -37,9 +37,10 @@
         }
         let load = self.latencies.entry(pending.service.clone()).or_default();
         self.placing
-            .paced(key, rest, load.remaining_time(f64::from(parts)));
-        self.placing.paused(key, pause > pending.route.gap_target);
-        load.record_pause(millis_to_f64(pause) / self.placing.pace(key));
+            .record_speed(key, rest, load.remaining_time(f64::from(parts)));
+        self.placing
+            .record_stall(key, pause > pending.route.gap_target);
+        load.record_pause(millis_to_f64(pause) / self.placing.speed_factor(key));
     }
 
     // The prompt of a request at an endpoint is read, or no longer to be read.
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -48,7 +48,7 @@
         view: &ClusterView<'_>,
         need: &SlotRequest,
     ) -> Option<EndpointKey> {
-        let service = view.registry.service(need.service)?;
+        let service = view.registry.find_service(need.service)?;
         if self.queues.get(&service).is_some_and(|it| !it.is_empty()) {
             return None;
         }
@@ -67,10 +67,11 @@
         view: &ClusterView<'a>,
         service: u32,
     ) -> Vec<&'a InstanceLocation> {
-        let Some(service) = view.registry.service(service) else {
+        let Some(service) = view.registry.find_service(service) else {
             return Vec::new();
         };
-        self.rate_limits.holders(view, view.registry.fit(&service))
+        self.rate_limits
+            .holders(view, view.registry.eligible(&service))
     }
 
     /// Takes note that the holders that were asked had no token for a request.
@@ -84,14 +85,14 @@
     pub(super) fn should_ask_holders(&self, view: &ClusterView<'_>, service: &str) -> bool {
         let refused = self.token_refusals.get(service);
         let refused = refused.is_some_and(|at| view.now.since(*at) < DECLINED_BACKOFF);
-        let mut endpoints = view.registry.fit(service).iter();
+        let mut endpoints = view.registry.eligible(service).iter();
         !refused && endpoints.any(|it| self.rate_limits.tokens(it.key()).is_some())
     }
 
     // The slots of an endpoint, each counted by its pace, of which a limit leaves as many as it keeps busy.
     pub(super) fn effective_slots(&self, endpoint: &Endpoint, load: &LatencyModel) -> f64 {
         let key = endpoint.key();
-        let slots = f64::from(endpoint.slots) / self.placing.pace(key);
+        let slots = f64::from(endpoint.slots) / self.placing.speed_factor(key);
         let limit = self.rate_limits.shard_rate(key);
         limit.map_or(slots, |rate| {
             slots.min(rate * millis_to_f64(load.mean_service_time()) / MS_PER_SECOND)
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -64,7 +64,7 @@
     fn has_private_slots(&self) -> bool {
         let free = self.free.iter();
         let mut own = free.filter(|it| it.slow || it.reserved);
-        own.any(|it| it.left > 0) || self.canaries.iter().any(|it| it.left > 0)
+        own.any(|it| it.free_slots > 0) || self.canaries.iter().any(|it| it.free_slots > 0)
     }
 }
 
@@ -94,7 +94,7 @@
             let query = PlacementQuery {
                 now,
                 pending,
-                load: &load,
+                latency_model: &load,
                 can_wait: !pending.late && now < timeout,
             };
             let Some((candidate, canary)) = open.pick(&self.placing, &query, usual) else {
@@ -102,8 +102,8 @@
             };
             let endpoint = candidate.endpoint.clone();
             let ahead = backlog(candidate, load);
-            candidate.left -= 1;
-            candidate.unread += pending.tokens.prompt;
+            candidate.free_slots -= 1;
+            candidate.unread_tokens += pending.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -116,10 +116,10 @@
         service: &str,
         waiting: usize,
     ) -> OpenEndpoints {
-        let mut free = self.candidates(view, view.registry.fit(service));
+        let mut free = self.candidates(view, view.registry.eligible(service));
         let slots: u32 = free
             .iter()
-            .map(|it| it.left.saturating_sub(it.queue_slots))
+            .map(|it| it.free_slots.saturating_sub(it.queue_slots))
             .sum();
         // As more requests wait than there are free slots, fast endpoints' queues take some of them.
         if waiting <= slots as usize {
@@ -132,7 +132,7 @@
 
     // The endpoints with free places, as far as all instances' reports tell.
     pub(super) fn free_endpoints(&self, view: &ClusterView<'_>, service: &str) -> Vec<Candidate> {
-        let mut free = self.candidates(view, view.registry.fit(service));
+        let mut free = self.candidates(view, view.registry.eligible(service));
         drop_queue_slots(&mut free);
         free
     }
@@ -144,7 +144,7 @@
             return Vec::new();
         }
         let running = view.peers.running_by_endpoint(view.now);
-        let all = awake.iter().map(|it| self.placing.pace(it.key()));
+        let all = awake.iter().map(|it| self.placing.speed_factor(it.key()));
         let fastest = all.fold(f64::INFINITY, f64::min);
         awake
             .into_iter()
@@ -161,10 +161,10 @@
                 let left = tokens.map_or(left, |tokens| left.min(tokens));
                 (left > 0).then(|| Candidate {
                     endpoint: endpoint.clone(),
-                    left,
+                    free_slots: left,
                     queue_slots: extra,
-                    unread: f64::from(ours) + f64::from(theirs),
-                    slow: self.placing.slow(key, fastest),
+                    unread_tokens: f64::from(ours) + f64::from(theirs),
+                    slow: self.placing.is_slow(key, fastest),
                     reserved: tokens.is_some(),
                     fastest_factor: fastest,
                 })
@@ -179,7 +179,7 @@
             let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
             return (few.min(endpoint.slots), 0);
         }
-        let fast = self.placing.pace(key) <= MAX_FAST_SPEED_FACTOR
+        let fast = self.placing.speed_factor(key) <= MAX_FAST_SPEED_FACTOR
             && self.rate_limits.tokens(key).is_none();
         (endpoint.slots, u32::from(fast))
     }
@@ -192,7 +192,7 @@
     ) -> Vec<&'a Arc<Endpoint>> {
         let endpoints = endpoints.iter();
         endpoints
-            .filter(|it| !self.placing.resting(now, it.key()))
+            .filter(|it| !self.placing.in_backoff(now, it.key()))
             .collect()
     }
 
@@ -230,18 +230,18 @@
 // Leaves only slots.
 fn drop_queue_slots(candidates: &mut Vec<Candidate>) {
     for candidate in candidates.iter_mut() {
-        candidate.left = candidate.left.saturating_sub(candidate.queue_slots);
+        candidate.free_slots = candidate.free_slots.saturating_sub(candidate.queue_slots);
         candidate.queue_slots = 0;
     }
-    candidates.retain(|it| it.left > 0);
+    candidates.retain(|it| it.free_slots > 0);
 }
 
 // What goes before a request that is sent to a candidate now.
 fn backlog(candidate: &Candidate, load: LatencyModel) -> Backlog {
-    let queued = candidate.left <= candidate.queue_slots;
+    let queued = candidate.free_slots <= candidate.queue_slots;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
-        prefill_tokens: candidate.unread,
+        prefill_tokens: candidate.unread_tokens,
         slot_wait: Millis(if queued {
             load.mean_service_time().0 / slots
         } else {
@@ -253,7 +253,7 @@
 // Counts the free places of a usual pace that peers may use, too.
 pub(super) fn shared_slots(candidates: &[Candidate]) -> u32 {
     let usual = candidates.iter().filter(|it| !it.slow && !it.reserved);
-    usual.map(|candidate| candidate.left).sum()
+    usual.map(|candidate| candidate.free_slots).sum()
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -93,7 +93,7 @@
     }
 
     fn forecast(&self, view: &ClusterView<'_>, pending: &ScheduledRequest) -> WaitForecast {
-        let awake = self.available(view.now, view.registry.fit(&pending.service));
+        let awake = self.available(view.now, view.registry.eligible(&pending.service));
         let awake = awake.into_iter();
         let load = self.latency_model(&pending.service);
         let capacity = awake.map(|it| self.effective_slots(it, &load));
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -208,15 +208,15 @@
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        load: &load,
+        latency_model: &load,
         can_wait: true,
     };
     let slow = Arc::new(endpoint("slow", 12));
     let candidates = [Candidate {
         endpoint: slow.clone(),
-        left: 12,
+        free_slots: 12,
         queue_slots: 0,
-        unread: 0.0,
+        unread_tokens: 0.0,
         slow: true,
         reserved: false,
         fastest_factor: 1.0,
@@ -224,7 +224,7 @@
     let mut placing = EndpointSelector::new("me", "a");
     assert_eq!(placing.select(&query, &candidates, true), Some(0));
     for _ in 0..10 {
-        placing.paused(slow.key(), true);
+        placing.record_stall(slow.key(), true);
     }
     assert_eq!(placing.select(&query, &candidates, true), None);
     let late = PlacementQuery {
@@ -253,21 +253,21 @@
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        load: &load,
+        latency_model: &load,
         can_wait: false,
     };
     let mut placing = EndpointSelector::new("me", "a");
     let slow = Arc::new(endpoint("slow", 12));
-    placing.heard(&[RunningRow {
+    placing.record_peer_speeds(&[RunningRow {
         speed_factor: SLOW,
         ..busy("slow", 0)
     }]);
     let candidate = |left| {
         [Candidate {
             endpoint: slow.clone(),
-            left,
+            free_slots: left,
             queue_slots: 0,
-            unread: 0.0,
+            unread_tokens: 0.0,
             slow: true,
             reserved: false,
             fastest_factor: 1.0,
@@ -292,16 +292,16 @@
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        load: &load,
+        latency_model: &load,
         can_wait: true,
     };
     let placing = EndpointSelector::new("me", "a");
     let candidates = |fastest| {
         [Candidate {
             endpoint: Arc::new(endpoint("usual", 6)),
-            left: 6,
+            free_slots: 6,
             queue_slots: 0,
-            unread: 0.0,
+            unread_tokens: 0.0,
             slow: false,
             reserved: false,
             fastest_factor: fastest,
--- a/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
@@ -195,7 +195,7 @@
     }
     let own: Vec<String> = core
         .registry()
-        .fit("lm")
+        .eligible("lm")
         .iter()
         .map(|it| it.id.to_string())
         .collect();
--- a/crates/siskinyoke-dispatch/tests/registry.rs
+++ b/crates/siskinyoke-dispatch/tests/registry.rs
@@ -10,7 +10,7 @@
 
 fn fit(registry: &Registry) -> Vec<String> {
     registry
-        .fit("lm")
+        .eligible("lm")
         .iter()
         .map(|it| it.id.to_string())
         .collect()
@@ -66,13 +66,13 @@
     let mut registry = Registry::default();
     registry.put(Millis(0), endpoint("back", 1));
     registry.put(Millis(0), endpoint("gone", 1));
-    registry.store_lost();
-    registry.store_back(Millis(9_000));
+    registry.store_unreachable();
+    registry.store_reachable(Millis(9_000));
     let gone = ["back", "gone"].map(|id| StoreUpdate::EndpointRemoved(id.to_owned()));
-    registry.change(Millis(9_000), gone.into());
+    registry.apply_updates(Millis(9_000), gone.into());
     assert_eq!(fit(&registry), ["back", "gone"]);
     registry.put(Millis(10_500), endpoint("back", 1));
-    registry.sweep(Millis(11_400));
+    registry.remove_expired(Millis(11_400));
     assert_eq!(fit(&registry), ["back"]);
 }
 
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -136,7 +136,7 @@
         ];
         core.apply_updates(Millis(0), 9, news);
         core.advance_rollouts(Millis(1));
-        let fit = core.registry().fit("lm");
+        let fit = core.registry().eligible("lm");
         let version = if state == State::Completed {
             "v2"
         } else {
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -76,11 +76,11 @@
         core.registry()
             .put(Millis(0), endpoint(&format!("e{at}"), 4));
     }
-    let before: Vec<_> = core.registry().fit("lm").to_vec();
+    let before: Vec<_> = core.registry().eligible("lm").to_vec();
     for number in 1..30 {
         core.remove_instance(Millis(number), &format!("i{number}"));
     }
-    assert_eq!(core.registry().fit("lm"), before);
+    assert_eq!(core.registry().eligible("lm"), before);
 }
 
 // The store turns a quarter of a large fleet away, and their entries run out while they serve on.
@@ -117,9 +117,13 @@
                 );
             }
             registry.set_shards(shard, vec![9; 8]);
-            assert!(!registry.fit("lm").is_empty());
-            seen.extend(registry.fit("lm").iter().map(|it| it.id.to_string()));
-            given += registry.fit("lm").iter().map(|it| it.slots).sum::<u32>();
+            assert!(!registry.eligible("lm").is_empty());
+            seen.extend(registry.eligible("lm").iter().map(|it| it.id.to_string()));
+            given += registry
+                .eligible("lm")
+                .iter()
+                .map(|it| it.slots)
+                .sum::<u32>();
         }
         assert_eq!(seen.len(), count);
         // Where shards share endpoints, each gets half as much again as its even part.
