--- a/crates/siskinyoke-dispatch/benches/decide.rs
+++ b/crates/siskinyoke-dispatch/benches/decide.rs
@@ -64,7 +64,7 @@
 #[divan::bench(args = [10, 100, 1_000])]
 fn send_report(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = full(10, endpoints);
-    bencher.bench_local(|| black_box(core.report(Millis(1), false)));
+    bencher.bench_local(|| black_box(core.next_report(Millis(1), false)));
 }
 
 /// Taking in a peer's report, which names each endpoint.
@@ -108,7 +108,7 @@
     let mut report = common::report(&format!("i{at}"), number);
     report.running = (0..endpoints)
         .filter(|it| it % PEERS == at % PEERS)
-        .map(|it| common::busy(&format!("e{it}"), 1))
+        .map(|it| common::running_row(&format!("e{it}"), 1))
         .collect();
     report
 }
@@ -125,7 +125,7 @@
     for decision in core.decide(now) {
         if let Decision::Start(ticket, _) = decision {
             core.first_part_received(now, ticket);
-            core.attempt_ended(now, ticket, common::done(), false);
+            core.attempt_ended(now, ticket, common::completed(), false);
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -213,7 +213,7 @@
                 retry_after: QUARANTINE_RETRY_AFTER,
             })
         } else {
-            let mut pending = routing::pending(pass, print);
+            let mut pending = routing::scheduled_request(pass, print);
             let exposure = self.identity.max_exposure;
             let rollout = self.registry.rollout(&pending.service);
             pending.canary = rollout.is_some_and(|it| it.select_canary(now, exposure));
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -39,13 +39,13 @@
     /// Takes note of an instance's entry in the store.
     pub fn add_instance(&mut self, name: &str, place: InstanceLocation) {
         self.instance_listed(name, place);
-        self.settle();
+        self.update_shards();
     }
 
     /// Takes note that an instance's entry is gone.
     pub fn remove_instance(&mut self, now: Millis, name: &str) {
         self.instance_unlisted(now, name);
-        self.settle();
+        self.update_shards();
     }
 
     /// Returns the listed instances, with whether each belongs to this one's shard.
@@ -89,7 +89,7 @@
     pub fn watch_timeout(&self) -> Millis {
         watch::watch_timeout(
             self.identity.settling_time,
-            self.reaches(),
+            self.reaches_store(),
             self.shard_count,
         )
     }
@@ -138,7 +138,7 @@
     }
 
     // Finds out which shard of the fleet this instance belongs to.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn update_shards(&mut self) {
         self.peers.set_listed_count(self.fleet_members().len());
         let shards = shards::count(self.fleet_members().len());
         let mut sizes = vec![0; shards];
@@ -160,7 +160,7 @@
     }
 
     // The part of the retries beside the budget's ratio that is this instance's.
-    pub(super) fn floor(&self) -> f64 {
+    pub(super) fn min_retries(&self) -> f64 {
         let fleet = self.instances.iter().count().max(MIN_FLEET_SIZE);
         self.identity.retry_slack / 2.0 / f64::from(u32::try_from(fleet).unwrap_or(u32::MAX))
     }
@@ -171,7 +171,7 @@
         self.departed
             .retain(|_, since| now.since(*since) < RESTART_GRACE);
         if self.instances.remove_expired(now) || self.departed.len() < before {
-            self.settle();
+            self.update_shards();
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -65,7 +65,7 @@
     }
 
     /// Makes the next report to peers, with what seldom changes if `whole` is set.
-    pub fn report(&mut self, now: Millis, whole: bool) -> Report {
+    pub fn next_report(&mut self, now: Millis, whole: bool) -> Report {
         self.report_number += 1;
         let since = if whole {
             Millis::ZERO
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -31,7 +31,7 @@
         let elsewhere = self
             .scheduler
             .has_alternative(now, &pending, &self.registry, &self.peers);
-        let floor = self.floor();
+        let floor = self.min_retries();
         allowed
             && elsewhere
             && now < pending.deadline
@@ -68,7 +68,7 @@
         if outcome == Outcome::Stalled {
             return true;
         }
-        let floor = self.floor();
+        let floor = self.min_retries();
         pending.attempts < pending.route.max_attempts
             && self.retry_budget(&pending.service).try_take(now, floor)
     }
--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -45,13 +45,13 @@
     /// Its organisation, where one is needed.
     pub organisation: Option<Arc<Organisation>>,
     /// How urgent it is.
-    pub rank: Priority,
+    pub priority: Priority,
     /// When it arrived.
     pub arrived: Millis,
     /// When nobody waits for it any more.
-    pub until: Millis,
+    pub deadline: Millis,
     /// What it asks of an endpoint.
-    pub work: TokenCounts,
+    pub tokens: TokenCounts,
     /// What it takes of its organisation's quota.
     pub quota_cost: f64,
 }
@@ -125,11 +125,11 @@
     );
     Ok(RoutedRequest {
         service,
-        rank,
+        priority: rank,
         arrived,
-        until: arrived + span,
-        work: TokenCounts::new(request.tokens, request.output_estimate),
-        quota_cost: units(organisation.as_deref(), request.tokens),
+        deadline: arrived + span,
+        tokens: TokenCounts::new(request.tokens, request.output_estimate),
+        quota_cost: quota_cost(organisation.as_deref(), request.tokens),
         organisation,
         route,
     })
@@ -139,7 +139,7 @@
     clippy::cast_precision_loss,
     reason = "token counts stay far below 2^52"
 )]
-fn units(organisation: Option<&Organisation>, tokens: Option<(u64, u64)>) -> f64 {
+fn quota_cost(organisation: Option<&Organisation>, tokens: Option<(u64, u64)>) -> f64 {
     match organisation {
         Some(it) if it.counts_tokens => {
             tokens.map_or(it.default_cost, |(input, output)| (input + output) as f64)
@@ -149,15 +149,15 @@
     }
 }
 
-pub(super) fn pending(pass: &RoutedRequest, fingerprint: u64) -> ScheduledRequest {
+pub(super) fn scheduled_request(pass: &RoutedRequest, fingerprint: u64) -> ScheduledRequest {
     ScheduledRequest {
         service: pass.service.clone(),
         route: pass.route.clone(),
-        priority: pass.rank,
+        priority: pass.priority,
         arrived: pass.arrived,
         virtual_arrival: pass.arrived,
-        deadline: pass.until,
-        tokens: pass.work,
+        deadline: pass.deadline,
+        tokens: pass.tokens,
         fingerprint,
         tried: Vec::new(),
         attempts: 0,
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -82,7 +82,7 @@
             self.registry.apply_status(&service, status);
         }
         if fleet {
-            self.settle();
+            self.update_shards();
         }
         if !endpoints.is_empty() {
             self.registry.apply_updates(now, endpoints);
@@ -100,7 +100,7 @@
     }
 
     /// Returns whether this instance's last call of the store succeeded.
-    pub fn reaches(&self) -> bool {
+    pub fn reaches_store(&self) -> bool {
         self.store_view.reachable
     }
 
@@ -167,7 +167,7 @@
             view.read_requested
                 || (view.behind_since.is_some() && !within(view.behind_since, MAX_PEER_LAG))
         } else {
-            self.away(now) && !within(view.last_failure, STORE_RETRY_INTERVAL)
+            self.store_unreachable(now) && !within(view.last_failure, STORE_RETRY_INTERVAL)
         };
         if watches {
             StoreRole::Watcher
@@ -180,7 +180,7 @@
     ///
     /// What goes from the list while it is away may be back: its lease ran out in the meantime.
     pub fn update_store_availability(&mut self, now: Millis) -> Option<bool> {
-        let away = self.away(now);
+        let away = self.store_unreachable(now);
         if away == self.store_view.unavailable {
             return None;
         }
@@ -195,7 +195,7 @@
         Some(away)
     }
 
-    fn away(&self, now: Millis) -> bool {
+    fn store_unreachable(&self, now: Millis) -> bool {
         !self.store_view.reachable
             && !self
                 .peers
--- a/crates/siskinyoke-dispatch/tests/cold_start.rs
+++ b/crates/siskinyoke-dispatch/tests/cold_start.rs
@@ -8,14 +8,14 @@
 use siskinyoke_dispatch::cold_start;
 
 /// How many clients of each kind are played.
-const CLIENTS: u64 = 400;
+const CLIENT_COUNT: u64 = 400;
 
 /// The kinds of request: how long a client waits, in ms.
-const DEADLINES: [u64; 3] = [1_000, 5_000, 15_000];
+const DEADLINES_MS: [u64; 3] = [1_000, 5_000, 15_000];
 
 /// What an instance does with a request that arrives before the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Policy {
     /// It holds the request for a part of the client's time.
     Hold,
     /// It rejects the request at once.
@@ -24,7 +24,7 @@
 
 /// What became of one client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
+enum ClientOutcome {
     /// Served, after so long.
     Served(Millis),
     /// Rejected twice; it has no retry left.
@@ -35,58 +35,58 @@
 ///
 /// The configuration is known `known` after the start of the instance. The client keeps to the time that it is
 /// told, up to a third of what it has left, as the platform's callers do.
-fn play(way: Way, arrived: Millis, deadline: Millis, known: Millis) -> End {
+fn simulate_client(way: Policy, arrived: Millis, deadline: Millis, known: Millis) -> ClientOutcome {
     let mut at = arrived;
     for _ in 0..2 {
         let left = (arrived + deadline).since(at);
         let hold = match way {
-            Way::Hold => cold_start::hold_timeout(Some(left)),
-            Way::Reject => Millis::ZERO,
+            Policy::Hold => cold_start::hold_timeout(Some(left)),
+            Policy::Reject => Millis::ZERO,
         };
         if known <= at + hold {
-            return End::Served(known.max(at).since(arrived));
+            return ClientOutcome::Served(known.max(at).since(arrived));
         }
         let rejected = at + hold;
         let left = (arrived + deadline).since(rejected);
         let after = cold_start::retry_after(rejected);
         at = rejected + after.min(Millis(left.0 / 3));
     }
-    End::Lost
+    ClientOutcome::Lost
 }
 
-fn lost(way: Way, deadline: u64, known: Millis) -> u64 {
+fn count_lost(way: Policy, deadline: u64, known: Millis) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(deadline);
-    let ends = (0..CLIENTS).map(|_| {
+    let ends = (0..CLIENT_COUNT).map(|_| {
         let arrived = Millis(rng.random_range(0..known.0));
-        play(way, arrived, Millis(deadline), known)
+        simulate_client(way, arrived, Millis(deadline), known)
     });
-    ends.filter(|it| *it == End::Lost).count() as u64
+    ends.filter(|it| *it == ClientOutcome::Lost).count() as u64
 }
 
 // All instances stop under full load. The store is silent for half a second more, and every request is rejected;
 // its client comes back too early and is rejected for good.
 #[test]
-fn a_short_silence_of_the_store_costs_no_client_its_answer() {
+fn holding_serves_every_client_through_a_short_store_outage() {
     for known in [200, 500, 1_000] {
-        for deadline in &DEADLINES[1..] {
+        for deadline in &DEADLINES_MS[1..] {
             assert_eq!(
-                lost(Way::Hold, *deadline, Millis(known)),
+                count_lost(Policy::Hold, *deadline, Millis(known)),
                 0,
                 "{deadline} after {known}"
             );
         }
     }
     // Half a second is half of a short deadline; most of these clients are served as well.
-    assert!(lost(Way::Hold, DEADLINES[0], Millis(500)) <= CLIENTS / 4);
+    assert!(count_lost(Policy::Hold, DEADLINES_MS[0], Millis(500)) <= CLIENT_COUNT / 4);
 }
 
 // Rejecting at once loses clients where holding does not.
 #[test]
 fn holding_serves_more_than_rejecting_at_once() {
     for known in [500, 1_000, 2_000] {
-        for deadline in DEADLINES {
+        for deadline in DEADLINES_MS {
             let [held, rejected] =
-                [Way::Hold, Way::Reject].map(|way| lost(way, deadline, Millis(known)));
+                [Policy::Hold, Policy::Reject].map(|way| count_lost(way, deadline, Millis(known)));
             assert!(
                 held <= rejected,
                 "{deadline} after {known}: {held} and {rejected}"
@@ -94,7 +94,10 @@
         }
     }
     let known = Millis(1_000);
-    assert!(lost(Way::Reject, DEADLINES[0], known) > lost(Way::Hold, DEADLINES[0], known));
+    assert!(
+        count_lost(Policy::Reject, DEADLINES_MS[0], known)
+            > count_lost(Policy::Hold, DEADLINES_MS[0], known)
+    );
 }
 
 // A held request that has waited for most of its client's time is lost for certain, and the client learns it last.
@@ -110,7 +113,7 @@
 
 // In a long outage clients that are told to come back at once do so for nothing.
 #[test]
-fn rejected_clients_are_sent_away_for_longer_the_longer_the_store_is_silent() {
+fn retry_after_grows_with_the_length_of_the_store_outage() {
     let told: Vec<_> = [0, 300, 700, 1_500, 60_000]
         .map(|age| cold_start::retry_after(Millis(age)))
         .to_vec();
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -29,7 +29,7 @@
 use siskinyoke_dispatch::stable_hash;
 
 /// The window, overage and slack of the tests' quotas.
-pub const MEASURE: QuotaPolicy = QuotaPolicy {
+pub const QUOTA_POLICY: QuotaPolicy = QuotaPolicy {
     window: Millis(8_000),
     overage: 0.1,
     slack: 110_000.0,
@@ -86,13 +86,13 @@
 pub fn identity(name: &str, source: u64) -> Identity {
     Identity {
         name: name.to_owned(),
-        location: place(name, "a"),
+        location: location(name, "a"),
         incarnation: source,
         retry_ratio: 0.2,
         retry_slack: 54.0,
         max_exposure: 0.1,
         settling_time: Millis(3_000),
-        quota_policy: MEASURE,
+        quota_policy: QUOTA_POLICY,
     }
 }
 
@@ -173,12 +173,12 @@
         quota_used: Vec::new(),
         limits: Vec::new(),
         canaries: Vec::new(),
-        info: Some(about(name, "a")),
+        info: Some(instance_info(name, "a")),
     }
 }
 
 /// A peer's requests at an endpoint of the usual pace.
-pub fn busy(id: &str, count: u16) -> RunningRow {
+pub fn running_row(id: &str, count: u16) -> RunningRow {
     RunningRow {
         endpoint: endpoint(id, 1).key().short(),
         count,
@@ -188,7 +188,7 @@
 }
 
 /// Where an instance of a data centre is found.
-pub fn place(name: &str, centre: &str) -> InstanceLocation {
+pub fn location(name: &str, centre: &str) -> InstanceLocation {
     InstanceLocation {
         caller_address: format!("{name}:1"),
         peer_address: format!("{name}:2"),
@@ -197,7 +197,7 @@
 }
 
 /// The number of the instance `iN` that is found at a place.
-pub fn number(place: &InstanceLocation) -> usize {
+pub fn instance_number(place: &InstanceLocation) -> usize {
     let name = place.caller_address.trim_start_matches('i');
     name.trim_end_matches(":1").parse().expect("a number")
 }
@@ -212,10 +212,10 @@
 }
 
 /// What a peer of a data centre tells of itself.
-pub fn about(name: &str, centre: &str) -> InstanceInfo {
+pub fn instance_info(name: &str, centre: &str) -> InstanceInfo {
     InstanceInfo {
         name: name.to_owned(),
-        location: place(name, centre),
+        location: location(name, centre),
         leaving_endpoints: Vec::new(),
         quarantine: Vec::new(),
         peers: Vec::new(),
@@ -223,7 +223,7 @@
 }
 
 /// A whole answer after a fifth of a second.
-pub fn done() -> Outcome {
+pub fn completed() -> Outcome {
     Outcome::Completed {
         to_first_part: Millis(50),
         total: Millis(200),
@@ -233,7 +233,7 @@
 }
 
 /// Counts the decisions to start.
-pub fn starts(decisions: &[Decision]) -> usize {
+pub fn count_starts(decisions: &[Decision]) -> usize {
     decisions
         .iter()
         .filter(|it| matches!(it, Decision::Start(..)))
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -8,8 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::common::identity;
-use crate::common::number;
-use crate::common::place;
+use crate::common::instance_number;
+use crate::common::location;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Report;
@@ -361,7 +361,7 @@
         node.core.store_call_succeeded();
         if changed {
             let names = (0..count).map(|it| format!("i{it}"));
-            let news = names.map(|it| StoreUpdate::Instance(it.clone(), place(&it, "a")));
+            let news = names.map(|it| StoreUpdate::Instance(it.clone(), location(&it, "a")));
             node.core
                 .apply_updates(Millis(self.now), revision, news.collect());
             if !first {
@@ -380,11 +380,11 @@
 
     fn tell(&mut self, at: usize) {
         let whole = (self.now + 10 * at as u64).is_multiple_of(WHOLE);
-        let report = self.nodes[at].core.report(Millis(self.now), whole);
+        let report = self.nodes[at].core.next_report(Millis(self.now), whole);
         let listed = self.nodes[at].core.other_instances();
         let (members, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
-        let members: Vec<usize> = members.iter().map(|row| number(row.0)).collect();
-        let others: Vec<usize> = others.iter().map(|row| number(row.0)).collect();
+        let members: Vec<usize> = members.iter().map(|row| instance_number(row.0)).collect();
+        let others: Vec<usize> = others.iter().map(|row| instance_number(row.0)).collect();
         let some = others.choose_multiple(&mut self.rng, OTHERS).copied();
         let to: Vec<usize> = members.into_iter().chain(some.filter(|_| whole)).collect();
         for to in to {
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -9,8 +9,8 @@
 use crate::common::configuration;
 use crate::common::endpoint;
 use crate::common::identity;
+use crate::common::location;
 use crate::common::organisation;
-use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
@@ -224,7 +224,7 @@
         );
         for other in 0..INSTANCE_COUNT {
             let name = format!("i{other}");
-            core.add_instance(&name, place(&name, "a"));
+            core.add_instance(&name, location(&name, "a"));
         }
         for machine in &self.endpoints {
             if machine.down_until.is_none() {
@@ -336,7 +336,7 @@
             fingerprint: print,
             instance,
             ticket: admitted.ok(),
-            deadline: pass.until.0,
+            deadline: pass.deadline.0,
             has_run: false,
             run_count: 0,
             crash_count: 0,
@@ -488,7 +488,7 @@
         if self.now.is_multiple_of(50) {
             for from in 0..INSTANCE_COUNT {
                 let whole = self.now.is_multiple_of(200);
-                let report = self.cores[from].report(Millis(self.now), whole);
+                let report = self.cores[from].next_report(Millis(self.now), whole);
                 for to in 0..INSTANCE_COUNT {
                     self.send_report(from, to, &report);
                 }
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -18,14 +18,14 @@
 use rand_distr::Distribution;
 use rand_distr::LogNormal;
 
-use crate::common::MEASURE;
+use crate::common::QUOTA_POLICY;
+use crate::common::completed;
 use crate::common::configuration;
-use crate::common::done;
 use crate::common::endpoint;
 use crate::common::identity;
-use crate::common::number;
+use crate::common::instance_number;
+use crate::common::location;
 use crate::common::organisation;
-use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::BorrowRequest;
@@ -101,7 +101,7 @@
             );
             let fleet = names
                 .iter()
-                .map(|it| StoreUpdate::Instance(it.clone(), place(it, "a")));
+                .map(|it| StoreUpdate::Instance(it.clone(), location(it, "a")));
             let endpoints =
                 (0..endpoints).map(|at| StoreUpdate::Endpoint(endpoint(&format!("e{at}"), 4)));
             core.apply_updates(Millis(0), 1, fleet.chain(endpoints).collect());
@@ -110,7 +110,7 @@
         let cores: Vec<Core> = (0..size).map(make).collect();
         let members = cores.iter().map(|core| {
             let members = core.other_instances().filter(|row| row.1);
-            members.map(|row| number(row.0)).collect()
+            members.map(|row| instance_number(row.0)).collect()
         });
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -131,7 +131,7 @@
         let now = Millis(self.now);
         let mut reports = Vec::new();
         for core in &mut self.cores {
-            reports.push(core.report(now, true));
+            reports.push(core.next_report(now, true));
         }
         for (at, core) in self.cores.iter_mut().enumerate() {
             for in_shard in &self.shard_peers[at] {
@@ -146,7 +146,7 @@
         let places = some
             .into_iter()
             .filter_map(|shard| shard.choose(&mut self.rng));
-        places.map(|it| number(it)).collect()
+        places.map(|it| instance_number(it)).collect()
     }
 
     // Asks for a quota, as the gateway does: the own shard first, then some instances of others.
@@ -209,7 +209,7 @@
 
     fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
-            let window = from..from + MEASURE.window.0;
+            let window = from..from + QUOTA_POLICY.window.0;
             let inside = self
                 .granted_units
                 .iter()
@@ -355,7 +355,7 @@
                 lender,
                 ..
             } = run;
-            self.cores[instance].attempt_ended(Millis(now), ticket, done(), false);
+            self.cores[instance].attempt_ended(Millis(now), ticket, completed(), false);
             if let Some((lender, id)) = lender {
                 self.cores[lender].reclaim_slot(id);
             }
@@ -400,8 +400,9 @@
 fn what_is_lent_is_not_granted_twice() {
     let mut fleet = Fleet::new(1, 64, 16, true);
     fleet.generate_quota_load(20, 4.0);
-    let allowed = (QUOTA_UNITS_PER_SECOND * 8.0 + QUOTA_UNITS_PER_SECOND) * (1.0 + MEASURE.overage)
-        + MEASURE.slack;
+    let allowed = (QUOTA_UNITS_PER_SECOND * 8.0 + QUOTA_UNITS_PER_SECOND)
+        * (1.0 + QUOTA_POLICY.overage)
+        + QUOTA_POLICY.slack;
     let most = fleet.max_granted_in_window();
     assert!(most <= allowed, "{most} of {allowed}");
     assert!(most >= allowed * 0.7, "{most} of {allowed}");
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -10,9 +10,9 @@
 
 use crate::common::endpoint;
 use crate::common::identity;
+use crate::common::location;
 use crate::common::organisation;
 use crate::common::pending;
-use crate::common::place;
 use crate::common::route;
 use crate::engine::Engine;
 use crate::engine::Run;
@@ -102,7 +102,7 @@
             }
             for other in 0..INSTANCES {
                 let name = format!("i{other}");
-                core.add_instance(&name, place(&name, "a"));
+                core.add_instance(&name, location(&name, "a"));
             }
             core
         };
@@ -255,7 +255,7 @@
     fn tell(&mut self) {
         let now = Millis(self.now);
         for from in 0..INSTANCES {
-            let report = self.cores[from].report(now, true);
+            let report = self.cores[from].next_report(now, true);
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 self.cores[to].receive_report(now, report.clone());
             }
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use crate::common::core;
-use crate::common::place;
+use crate::common::location;
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Report;
@@ -70,7 +70,11 @@
 
 #[test]
 fn callers_are_sent_to_instances_of_their_own_data_centre() {
-    let ready = [place("n1", "a"), place("n2", "a"), place("far", "b")];
+    let ready = [
+        location("n1", "a"),
+        location("n2", "a"),
+        location("far", "b"),
+    ];
     assert_eq!(select_instances("a", ready.iter()), ["n1:1", "n2:1"]);
 }
 
@@ -78,7 +82,7 @@
 // it dies.
 #[test]
 fn one_near_instance_is_not_named_alone() {
-    let ready = [place("n1", "a"), place("far", "b")];
+    let ready = [location("n1", "a"), location("far", "b")];
     assert_eq!(select_instances("a", ready.iter()), ["far:1", "n1:1"]);
 }
 
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -4,10 +4,10 @@
 
 use std::sync::Arc;
 
-use crate::common::busy;
-use crate::common::done;
+use crate::common::completed;
 use crate::common::endpoint;
 use crate::common::pending;
+use crate::common::running_row;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
@@ -50,7 +50,7 @@
             world.registry.put(Millis(0), endpoint(id, *slots));
             let told = RunningRow {
                 speed_factor: *pace,
-                ..busy(id, 0)
+                ..running_row(id, 0)
             };
             world.scheduler.record_peer_usage(&[told]);
         }
@@ -94,7 +94,9 @@
     let long = world.admit(stream(1, 500.0, 600.0));
     let short = world.admit(stream(2, 100.0, 5.0));
     assert_eq!(world.started(2), [(short, "slow".to_owned())]);
-    world.scheduler.attempt_ended(Millis(200), first, done());
+    world
+        .scheduler
+        .attempt_ended(Millis(200), first, completed());
     assert_eq!(world.started(200), [(long, "usual".to_owned())]);
 }
 
@@ -127,7 +129,9 @@
         let long = world.admit(stream(START + 1, 500.0, 60.0));
         let short = world.admit(stream(START + 1 + gap, 100.0, 5.0));
         let now = START + 2 + gap;
-        world.scheduler.attempt_ended(Millis(now), runs, done());
+        world
+            .scheduler
+            .attempt_ended(Millis(now), runs, completed());
         let next = if short_first { short } else { long };
         assert_eq!(world.started(now)[0].0, next, "after {gap} ms");
     }
@@ -188,7 +192,7 @@
         world.registry.put(Millis(0), far);
         world.scheduler.record_peer_usage(&[RunningRow {
             speed_factor: USUAL,
-            ..busy(id, 0)
+            ..running_row(id, 0)
         }]);
     }
     for at in 0..8 {
@@ -260,7 +264,7 @@
     let slow = Arc::new(endpoint("slow", 12));
     placing.record_peer_speeds(&[RunningRow {
         speed_factor: SLOW,
-        ..busy("slow", 0)
+        ..running_row("slow", 0)
     }]);
     let candidate = |left| {
         [Candidate {
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use crate::common::MEASURE;
+use crate::common::QUOTA_POLICY;
 use crate::common::configuration;
 use crate::common::endpoint;
 use crate::common::identity;
+use crate::common::location;
 use crate::common::organisation;
-use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
@@ -53,7 +53,7 @@
             core.registry().put(Millis(now), endpoint("e1", 1_000));
             for other in 0..count {
                 let name = format!("i{other}");
-                core.add_instance(&name, place(&name, "a"));
+                core.add_instance(&name, location(&name, "a"));
             }
             core
         };
@@ -91,7 +91,7 @@
         let reports: Vec<_> = self
             .cores
             .iter_mut()
-            .map(|core| core.report(Millis(now), true))
+            .map(|core| core.next_report(Millis(now), true))
             .collect();
         for core in &mut self.cores {
             for report in &reports {
@@ -103,7 +103,7 @@
     // The most that was granted in any window.
     fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
-            let window = from..from + MEASURE.window.0;
+            let window = from..from + QUOTA_POLICY.window.0;
             let inside = self.grants.iter().filter(|it| window.contains(&it.0));
             inside.map(|it| it.1).sum()
         };
@@ -116,7 +116,7 @@
 }
 
 fn allowed_units_for(rate: f64, burst: f64) -> f64 {
-    (rate * 8.0 + burst) * 1.1 + MEASURE.slack
+    (rate * 8.0 + burst) * 1.1 + QUOTA_POLICY.slack
 }
 
 #[test]
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -7,13 +7,13 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
+use crate::common::completed;
 use crate::common::configuration;
-use crate::common::done;
 use crate::common::endpoint;
 use crate::common::identity;
-use crate::common::number;
+use crate::common::instance_number;
+use crate::common::location;
 use crate::common::organisation;
-use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::BorrowRequest;
@@ -175,7 +175,7 @@
         core.configure(now, configuration(1, organisation(0.0, 0.0)));
         for other in 0..self.scenario.instances {
             let name = format!("i{other}");
-            core.add_instance(&name, place(&name, "a"));
+            core.add_instance(&name, location(&name, "a"));
         }
         for number in 0..self.scenario.endpoints {
             core.registry()
@@ -277,7 +277,7 @@
             let outcome = if self.rng.random_bool(0.1) {
                 Outcome::Failed
             } else {
-                done()
+                completed()
             };
             let more = outcome == Outcome::Failed;
             core.attempt_ended(Millis(now), run.ticket, outcome, more);
@@ -331,7 +331,7 @@
         let now = Millis(self.now);
         let holders = self.cores[at].token_holders(now, need.service);
         let some = holders.choose_multiple(&mut self.rng, LENDER_COUNT);
-        let some: Vec<usize> = some.map(|it| number(it)).collect();
+        let some: Vec<usize> = some.map(|it| instance_number(it)).collect();
         if !self.ask(at, ticket, BorrowRequest::RateLimitedSlot(need), &some) {
             self.cores[at].token_declined(now, ticket);
         }
@@ -344,7 +344,7 @@
             .choose_multiple(&mut self.rng, LENDER_COUNT)
             .collect();
         let some = some.into_iter().filter_map(|it| it.choose(&mut self.rng));
-        let some: Vec<usize> = some.map(|it| number(it)).collect();
+        let some: Vec<usize> = some.map(|it| instance_number(it)).collect();
         if !self.ask(at, ticket, need, &some) {
             self.cores[at].slot_declined(Millis(self.now), ticket);
         }
@@ -406,14 +406,14 @@
             return;
         }
         let whole = (self.now + 10 * at as u64).is_multiple_of(500);
-        let report = self.cores[at].report(Millis(self.now), whole);
+        let report = self.cores[at].next_report(Millis(self.now), whole);
         let listed = self.cores[at].other_instances();
         let (members, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
         let some = others
             .choose_multiple(&mut self.rng, FOREIGN_PEER_COUNT)
             .copied();
         let to = members.into_iter().chain(some.filter(|_| whole));
-        let to: Vec<usize> = to.map(|row| number(row.0)).collect();
+        let to: Vec<usize> = to.map(|row| instance_number(row.0)).collect();
         for to in to {
             let cut = self
                 .partitions
--- a/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
@@ -8,7 +8,7 @@
 
 use crate::common::endpoint;
 use crate::common::identity;
-use crate::common::place;
+use crate::common::location;
 use crate::common::seeds;
 use crate::fleet::Fleet;
 use crate::fleet::Scenario;
@@ -156,10 +156,10 @@
         let now = Millis(round * 1_000);
         let [first, second] = &mut cores;
         first.record_limit(now, &named, now, Some(1.234_567));
-        second.receive_report(now, first.report(now, true));
+        second.receive_report(now, first.next_report(now, true));
         let later = now + Millis(500);
         second.record_limit(later, &named, later, Some(1.234_567));
-        first.receive_report(later, second.report(later, true));
+        first.receive_report(later, second.next_report(later, true));
     }
     for core in &mut cores {
         assert_eq!(core.take_limit_changes().len(), 1);
@@ -174,10 +174,10 @@
     let named = endpoint("e0", 4);
     first.registry().put(Millis(0), named.clone());
     first.record_limit(Millis(1_000), &named, Millis(0), Some(2.0));
-    second.receive_report(Millis(1_000), first.report(Millis(1_000), true));
+    second.receive_report(Millis(1_000), first.next_report(Millis(1_000), true));
     assert_eq!(second.take_limit_changes(), []);
     second.registry().put(Millis(1_500), named);
-    second.receive_report(Millis(1_500), first.report(Millis(1_500), true));
+    second.receive_report(Millis(1_500), first.next_report(Millis(1_500), true));
     assert_eq!(second.take_limit_changes().len(), 1);
 }
 
@@ -187,7 +187,7 @@
     let mut core = Core::new(identity("i0", 1));
     for at in 0..17 {
         let name = format!("i{at}");
-        core.add_instance(&name, place(&name, "a"));
+        core.add_instance(&name, location(&name, "a"));
     }
     for at in 0..16 {
         core.registry()
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -14,8 +14,8 @@
 use crate::common::configuration;
 use crate::common::endpoint;
 use crate::common::identity;
+use crate::common::location;
 use crate::common::organisation;
-use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
@@ -161,7 +161,7 @@
             let name = format!("i{at}");
             world
                 .changes
-                .push(StoreUpdate::Instance(name.clone(), place(&name, "a")));
+                .push(StoreUpdate::Instance(name.clone(), location(&name, "a")));
         }
         for at in 0..ENDPOINTS {
             world
@@ -428,7 +428,7 @@
 
     fn tell(&mut self, at: usize) {
         let whole = self.rng.random_bool(0.2);
-        let report = self.nodes[at].core.report(Millis(self.now), whole);
+        let report = self.nodes[at].core.next_report(Millis(self.now), whole);
         for to in 0..self.nodes.len() {
             if to != at && !self.rng.random_bool(0.02) {
                 let due = self.now + self.rng.random_range(1..20);
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use crate::common::busy;
+use crate::common::completed;
 use crate::common::core;
-use crate::common::done;
+use crate::common::count_starts;
 use crate::common::endpoint;
 use crate::common::pending;
 use crate::common::report;
 use crate::common::request;
-use crate::common::starts;
+use crate::common::running_row;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Kind;
@@ -57,7 +57,7 @@
     let early = admit(1, 1);
     let decisions = scheduler.decide(Millis(3), &registry, &peers);
     assert_eq!(started(&decisions), [urgent, early]);
-    scheduler.attempt_ended(Millis(10), urgent, done());
+    scheduler.attempt_ended(Millis(10), urgent, completed());
     let decisions = scheduler.decide(Millis(10), &registry, &peers);
     assert_eq!(started(&decisions), [late]);
 }
@@ -69,7 +69,7 @@
     let registry = registry(&[("e", 4)]);
     let mut peers = Peers::default();
     let mut told = report("peer", 1);
-    told.running = vec![busy("e", 3)];
+    told.running = vec![running_row("e", 3)];
     let mut scheduler = Scheduler::new("me", "a");
     scheduler.record_peer_usage(&told.running);
     peers.receive(Millis(0), told);
@@ -78,9 +78,15 @@
             .admit(Millis(at), pending(Kind::Safe, 0, at), &registry, &peers)
             .unwrap();
     }
-    assert_eq!(starts(&scheduler.decide(Millis(3), &registry, &peers)), 1);
+    assert_eq!(
+        count_starts(&scheduler.decide(Millis(3), &registry, &peers)),
+        1
+    );
     // A peer that falls silent no longer counts, so its places come free.
-    assert_eq!(starts(&scheduler.decide(Millis(600), &registry, &peers)), 2);
+    assert_eq!(
+        count_starts(&scheduler.decide(Millis(600), &registry, &peers)),
+        2
+    );
 }
 
 // A place comes free. Two instances hold waiting work; the one with less urgent work saw the
@@ -102,9 +108,15 @@
     scheduler
         .admit(Millis(0), pending(Kind::Safe, 1, 0), &registry, &peers)
         .unwrap();
-    assert_eq!(starts(&scheduler.decide(Millis(1), &registry, &peers)), 0);
+    assert_eq!(
+        count_starts(&scheduler.decide(Millis(1), &registry, &peers)),
+        0
+    );
     // The peer does not take it; a place is not kept for a silent one for long.
-    assert_eq!(starts(&scheduler.decide(Millis(100), &registry, &peers)), 1);
+    assert_eq!(
+        count_starts(&scheduler.decide(Millis(100), &registry, &peers)),
+        1
+    );
 }
 
 #[test]
@@ -148,7 +160,7 @@
     let fresh = scheduler
         .admit(Millis(601), pending(Kind::Safe, 1, 601), &registry, &peers)
         .unwrap();
-    scheduler.attempt_ended(Millis(602), runs, done());
+    scheduler.attempt_ended(Millis(602), runs, completed());
     assert_eq!(
         started(&scheduler.decide(Millis(602), &registry, &peers)),
         [fresh]
@@ -231,7 +243,7 @@
     let mut ticket = core.admit(Millis(0), &pass, 1).unwrap();
     let mut sent = 0;
     loop {
-        sent += starts(&core.decide(Millis(sent as u64)));
+        sent += count_starts(&core.decide(Millis(sent as u64)));
         match core.attempt_ended(Millis(sent as u64), ticket, Outcome::Failed, true) {
             Some(next) => ticket = next,
             None => break,
@@ -284,7 +296,7 @@
         one.admit(Millis(3), &pass, 77).unwrap_err().reason,
         RefusalReason::Quarantined
     );
-    let told = one.report(Millis(3), true);
+    let told = one.next_report(Millis(3), true);
     other.receive_report(Millis(3), told);
     assert_eq!(
         other.admit(Millis(3), &pass, 77).unwrap_err().reason,
@@ -308,15 +320,24 @@
                 .unwrap()
         })
         .collect();
-    assert_eq!(starts(&scheduler.decide(Millis(20), &registry, &peers)), 3);
-    scheduler.attempt_ended(Millis(60), tickets[0], done());
-    assert_eq!(starts(&scheduler.decide(Millis(60), &registry, &peers)), 9);
+    assert_eq!(
+        count_starts(&scheduler.decide(Millis(20), &registry, &peers)),
+        3
+    );
+    scheduler.attempt_ended(Millis(60), tickets[0], completed());
+    assert_eq!(
+        count_starts(&scheduler.decide(Millis(60), &registry, &peers)),
+        9
+    );
     // A pace that a peer saw counts as well.
     let mut other = Scheduler::new("me", "a");
-    other.record_peer_usage(&[busy("e", 1)]);
+    other.record_peer_usage(&[running_row("e", 1)]);
     for at in 0..12 {
         let pending = pending(Kind::Safe, 0, at);
         other.admit(Millis(at), pending, &registry, &peers).unwrap();
     }
-    assert_eq!(starts(&other.decide(Millis(20), &registry, &peers)), 12);
+    assert_eq!(
+        count_starts(&other.decide(Millis(20), &registry, &peers)),
+        12
+    );
 }
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -8,7 +8,7 @@
 use crate::common::core;
 use crate::common::endpoint;
 use crate::common::identity;
-use crate::common::place;
+use crate::common::location;
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
@@ -70,7 +70,7 @@
 fn a_restart_moves_nothing() {
     let mut core = core("i0", 1);
     for (centre, name) in members(68) {
-        core.add_instance(&name, place(&name, &centre));
+        core.add_instance(&name, location(&name, &centre));
     }
     for at in 0..89 {
         core.registry()
@@ -90,7 +90,7 @@
 fn instances_whose_entries_ran_out_still_have_their_part() {
     let mut core = core("i0", 1);
     for (centre, name) in members(68) {
-        core.add_instance(&name, place(&name, &centre));
+        core.add_instance(&name, location(&name, &centre));
     }
     let before = core.peers().fleet_share(Millis(0));
     for number in 50..68 {
@@ -138,7 +138,7 @@
 fn an_instance_hears_its_own_shard_only_but_learns_of_bad_work_from_all() {
     let mut core = core("i0", 1);
     for (centre, name) in members(40) {
-        core.add_instance(&name, place(&name, &centre));
+        core.add_instance(&name, location(&name, &centre));
     }
     let shard: BTreeSet<_> = core
         .other_instances()
@@ -168,7 +168,7 @@
         let mut core = Core::new(identity);
         core.store_call_succeeded();
         for at in 0..count {
-            core.add_instance(&format!("i{at}"), place(&format!("i{at}"), "a"));
+            core.add_instance(&format!("i{at}"), location(&format!("i{at}"), "a"));
         }
         (core.watch_timeout(), core.update_batch_delay())
     };
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -4,9 +4,9 @@
 
 use std::collections::VecDeque;
 
-use crate::common::busy;
 use crate::common::endpoint;
 use crate::common::pending;
+use crate::common::running_row;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Kind;
@@ -80,7 +80,7 @@
         registry.put(Millis(0), endpoint(id, SLOTS));
     }
     for (id, pace) in [("fast", 4), ("usual", 8)] {
-        let mut row = busy(id, 0);
+        let mut row = running_row(id, 0);
         row.speed_factor = pace;
         scheduler.record_peer_usage(&[row]);
     }
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -4,7 +4,7 @@
 
 use crate::common::core;
 use crate::common::endpoint;
-use crate::common::place;
+use crate::common::location;
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
@@ -77,7 +77,7 @@
     let names: Vec<String> = (0..16).map(|at| format!("i{at}")).collect();
     let news = names
         .iter()
-        .map(|name| StoreUpdate::Instance(name.clone(), place(name, "a")));
+        .map(|name| StoreUpdate::Instance(name.clone(), location(name, "a")));
     core.apply_updates(Millis(0), 5, news.collect());
     core.store_call_succeeded();
     let members = core.other_instances().filter(|row| row.1);
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -148,7 +148,7 @@
         Ok(passed) => passed,
         Err(refused) => return *refused,
     };
-    let left = pass.until.since(shell.now());
+    let left = pass.deadline.since(shell.now());
     match collect(shell, limits.max_body, left, body).await {
         Ok((body, held)) => {
             let parcel = parcel(shell, parts, &pass, body, held);
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -157,7 +157,7 @@
     }
 
     fn tell_all(shell: &Shell, to: &BTreeSet<SocketAddr>, whole: bool) {
-        let report = shell.core.borrow_mut().report(shell.now(), whole);
+        let report = shell.core.borrow_mut().next_report(shell.now(), whole);
         let message = Message::Report(Box::new(report));
         let Some(bytes) = encode(shell, &message) else {
             return;
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -91,7 +91,7 @@
     /// Serves the request until its answer is whole, its time is up, or its caller left.
     pub async fn run(mut self, permit: Permit, word: oneshot::Receiver<Word>) {
         let pieces = self.caller.pieces.clone();
-        let left = Duration::from(self.pass.until.since(self.shell.now()));
+        let left = Duration::from(self.pass.deadline.since(self.shell.now()));
         let outcome = tokio::select! {
             biased;
             () = pieces.closed() => "caller_left",
@@ -193,7 +193,7 @@
     fn headers(&self, endpoint: &Endpoint, now: Millis) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
         let mut headers = self.parcel.headers.clone();
-        exchange.address(&mut headers, endpoint, self.pass.until.since(now));
+        exchange.address(&mut headers, endpoint, self.pass.deadline.since(now));
         if let Some(event) = self.events.last() {
             exchange.resume(&mut headers, event);
         }
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -113,13 +113,13 @@
         let fields = json!({
             "id": self.id,
             "route": &*self.pass.route.name,
-            "rank": self.pass.rank.0,
+            "rank": self.pass.priority.0,
             "organisation": self.pass.organisation.as_ref().map(|it| &*it.name),
             "units": self.pass.quota_cost,
             "outcome": outcome,
             "endpoint": self.endpoint.as_ref().map(|it| it.id.to_string()),
-            "prompt": self.pass.work.prompt,
-            "output": self.pass.work.output,
+            "prompt": self.pass.tokens.prompt,
+            "output": self.pass.tokens.output,
             "waited_ms": progress.waited.0,
             "first_ms": progress.first.map(|it| it.since(self.pass.arrived).0),
             "pause_ms": progress.pause.0,
@@ -127,7 +127,7 @@
             "took_ms": took.0,
             "aim_ms": self.pass.route.latency_target.0,
             "gap_ms": self.pass.route.gap_target.0,
-            "left_ms": self.pass.until.since(self.shell.now()).0,
+            "left_ms": self.pass.deadline.since(self.shell.now()).0,
             "configuration": self.shell.core.borrow().configuration_version(),
         });
         self.shell.log("answer", fields);
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -201,10 +201,10 @@
         let fields = json!({
             "id": request.id,
             "admitted": request.admitted,
-            "rank": request.pass.map(|it| it.rank.0),
+            "rank": request.pass.map(|it| it.priority.0),
             "organisation": request.organisation,
-            "prompt": request.pass.map(|it| it.work.prompt),
-            "output": request.pass.map(|it| it.work.output),
+            "prompt": request.pass.map(|it| it.tokens.prompt),
+            "output": request.pass.map(|it| it.tokens.output),
             "units": request.pass.map(|it| it.quota_cost),
             "reason": refusal.reason.as_str(),
             "after_ms": refusal.retry_after.0,
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -185,7 +185,7 @@
         };
         let call = store.watch(revision, held);
         let sent = self.shell.now();
-        let doubted = !self.shell.core.borrow().reaches();
+        let doubted = !self.shell.core.borrow().reaches_store();
         let result = tokio::select! {
             result = self.client.watch(address, &call, limit, store) => result,
             // The store did not answer another call: the connection of this one may be dead too.
