--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -136,7 +136,7 @@
         }
         let load = self.latency_model(&pending.service);
         let pending = ScheduledRequest {
-            virtual_arrival: wait::queue_position(&pending, load),
+            virtual_arrival: wait::virtual_arrival(&pending, load),
             ..pending
         };
         let demand = self.demands.entry(pending.service.clone()).or_default();
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -30,7 +30,7 @@
 ///
 /// Where more is asked for than there are places, short work first serves more callers in time; times on an
 /// endpoint differ a hundredfold.
-pub(crate) fn queue_position(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
+pub(crate) fn virtual_arrival(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
     let max_penalty = millis_to_f64(pending.route.latency_target) * MAX_PENALTY_RATIO;
     let penalty = (millis_to_f64(load.service_time_of(&pending.tokens)) * LENGTH_PENALTY_RATIO)
         .min(max_penalty);
