--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -136,7 +136,7 @@
         }
         let load = self.latency_model(&pending.service);
         let pending = ScheduledRequest {
-            virtual_arrival: wait::queue_position(&pending, load),
+            virtual_arrival: wait::virtual_arrival(&pending, load),
             ..pending
         };
         let demand = self.demands.entry(pending.service.clone()).or_default();
@@ -202,7 +202,7 @@
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.attempts += u32::from(outcome != Outcome::Unreached);
+        pending.attempts += u32::from(outcome != Outcome::ConnectFailed);
         if first_part_at.is_none() {
             self.remove_prefill_tokens(endpoint, &pending);
         }
@@ -210,20 +210,26 @@
             busy.count = busy.count.saturating_sub(1);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
-        self.placing.ended(now, endpoint, outcome);
-        if let Outcome::Done {
-            first,
-            took,
+        self.placing.record_outcome(now, endpoint, outcome);
+        if let Outcome::Completed {
+            to_first_part,
+            total,
             parts,
-            pause,
+            longest_pause,
         } = outcome
         {
             if first_part_at.is_none() {
                 self.record_first_part(endpoint, &pending, now.since(sent_at));
             }
-            self.record_remaining_parts(endpoint, &pending, took.since(first), parts, pause);
+            self.record_remaining_parts(
+                endpoint,
+                &pending,
+                total.since(to_first_part),
+                parts,
+                longest_pause,
+            );
             let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.tokens, first, took, parts);
+            load.record_completion(&pending.tokens, to_first_part, total, parts);
         }
         Some(pending)
     }
@@ -256,7 +262,7 @@
             .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
-            millis_to_f64(usual) * self.placing.pace(*endpoint),
+            millis_to_f64(usual) * self.placing.speed_factor(*endpoint),
         ))
     }
 
@@ -305,7 +311,7 @@
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn record_peer_usage(&mut self, rows: &[RunningRow]) {
-        self.placing.heard(rows);
+        self.placing.record_peer_speeds(rows);
     }
 
     /// Returns this instance's requests at each endpoint.
@@ -368,7 +374,7 @@
 
 fn slot_count(service: &str, registry: &Registry) -> u32 {
     registry
-        .fit(service)
+        .eligible(service)
         .iter()
         .map(|endpoint| endpoint.slots)
         .sum()
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -18,14 +18,14 @@
 use rand_distr::Distribution;
 use rand_distr::LogNormal;
 
-use crate::common::MEASURE;
+use crate::common::QUOTA_POLICY;
+use crate::common::completed;
 use crate::common::configuration;
-use crate::common::done;
 use crate::common::endpoint;
 use crate::common::identity;
-use crate::common::number;
+use crate::common::instance_number;
+use crate::common::location;
 use crate::common::organisation;
-use crate::common::place;
 use crate::common::request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::BorrowRequest;
@@ -101,16 +101,16 @@
             );
             let fleet = names
                 .iter()
-                .map(|it| StoreUpdate::Instance(it.clone(), place(it, "a")));
+                .map(|it| StoreUpdate::Instance(it.clone(), location(it, "a")));
             let endpoints =
                 (0..endpoints).map(|at| StoreUpdate::Endpoint(endpoint(&format!("e{at}"), 4)));
-            core.learn_news(Millis(0), 1, fleet.chain(endpoints).collect());
+            core.apply_updates(Millis(0), 1, fleet.chain(endpoints).collect());
             core
         };
         let cores: Vec<Core> = (0..size).map(make).collect();
         let members = cores.iter().map(|core| {
-            let members = core.listed().filter(|row| row.1);
-            members.map(|row| number(row.0)).collect()
+            let members = core.other_instances().filter(|row| row.1);
+            members.map(|row| instance_number(row.0)).collect()
         });
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -131,22 +131,22 @@
         let now = Millis(self.now);
         let mut reports = Vec::new();
         for core in &mut self.cores {
-            reports.push(core.report(now, true));
+            reports.push(core.next_report(now, true));
         }
         for (at, core) in self.cores.iter_mut().enumerate() {
             for in_shard in &self.shard_peers[at] {
-                core.heard(now, reports[*in_shard].clone());
+                core.receive_report(now, reports[*in_shard].clone());
             }
         }
     }
 
     fn choose_lenders(&mut self, at: usize, count: usize) -> Vec<usize> {
-        let shards = self.cores[at].other_shards();
+        let shards = self.cores[at].instances_by_other_shard();
         let some: Vec<_> = shards.choose_multiple(&mut self.rng, count).collect();
         let places = some
             .into_iter()
             .filter_map(|shard| shard.choose(&mut self.rng));
-        places.map(|it| number(it)).collect()
+        places.map(|it| instance_number(it)).collect()
     }
 
     // Asks for a quota, as the gateway does: the own shard first, then some instances of others.
@@ -160,7 +160,7 @@
         let mut passed = self.cores[at].route(now, wanted);
         if self.lending
             && passed.is_err()
-            && let Some(need) = self.cores[at].lacks(now, wanted)
+            && let Some(need) = self.cores[at].missing_quota(now, wanted)
         {
             let part = UnitsRequest {
                 units: need.units.div_ceil(2),
@@ -209,7 +209,7 @@
 
     fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
-            let window = from..from + MEASURE.window.0;
+            let window = from..from + QUOTA_POLICY.window.0;
             let inside = self
                 .granted_units
                 .iter()
@@ -297,23 +297,23 @@
         if !self.lending {
             return;
         }
-        for (ticket, need) in self.cores[at].needs(now) {
+        for (ticket, need) in self.cores[at].borrow_requests(now) {
             let mut found = false;
             for other in self.choose_lenders(at, SLOT_LENDER_COUNT) {
                 let id = self.rng.random();
                 let Grant::Slot(key) = self.cores[other].lend(now, id, need) else {
                     continue;
                 };
-                match self.cores[at].place_granted(now, ticket, key) {
+                match self.cores[at].slot_granted(now, ticket, key) {
                     Some(endpoint) => {
                         found = true;
                         self.start(at, ticket, &endpoint, Some((other, id)));
                     }
-                    None => self.cores[other].returned(id),
+                    None => self.cores[other].reclaim_slot(id),
                 }
             }
             if !found {
-                self.cores[at].place_declined(now, ticket);
+                self.cores[at].slot_declined(now, ticket);
             }
         }
     }
@@ -355,9 +355,9 @@
                 lender,
                 ..
             } = run;
-            self.cores[instance].record_outcome(Millis(now), ticket, done(), false);
+            self.cores[instance].attempt_ended(Millis(now), ticket, completed(), false);
             if let Some((lender, id)) = lender {
-                self.cores[lender].returned(id);
+                self.cores[lender].reclaim_slot(id);
             }
             let job = self.unfinished.remove(&(instance, ticket)).expect("it ran");
             self.finished.push(job);
@@ -400,8 +400,9 @@
 fn what_is_lent_is_not_granted_twice() {
     let mut fleet = Fleet::new(1, 64, 16, true);
     fleet.generate_quota_load(20, 4.0);
-    let allowed = (QUOTA_UNITS_PER_SECOND * 8.0 + QUOTA_UNITS_PER_SECOND) * (1.0 + MEASURE.overage)
-        + MEASURE.slack;
+    let allowed = (QUOTA_UNITS_PER_SECOND * 8.0 + QUOTA_UNITS_PER_SECOND)
+        * (1.0 + QUOTA_POLICY.overage)
+        + QUOTA_POLICY.slack;
     let most = fleet.max_granted_in_window();
     assert!(most <= allowed, "{most} of {allowed}");
     assert!(most >= allowed * 0.7, "{most} of {allowed}");
@@ -472,6 +473,6 @@
     fleet.cores[0].sweep(Millis(4_100));
     assert_eq!(count(&fleet.cores[0]), 0);
     // The word comes all the same.
-    fleet.cores[0].returned(7);
+    fleet.cores[0].reclaim_slot(7);
     assert_eq!(count(&fleet.cores[0]), 0);
 }
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use crate::common::core;
-use crate::common::place;
+use crate::common::location;
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Report;
@@ -70,7 +70,11 @@
 
 #[test]
 fn callers_are_sent_to_instances_of_their_own_data_centre() {
-    let ready = [place("n1", "a"), place("n2", "a"), place("far", "b")];
+    let ready = [
+        location("n1", "a"),
+        location("n2", "a"),
+        location("far", "b"),
+    ];
     assert_eq!(select_instances("a", ready.iter()), ["n1:1", "n2:1"]);
 }
 
@@ -78,7 +82,7 @@
 // instance dies.
 #[test]
 fn a_single_local_instance_is_not_the_only_one_named() {
-    let ready = [place("n1", "a"), place("far", "b")];
+    let ready = [location("n1", "a"), location("far", "b")];
     assert_eq!(select_instances("a", ready.iter()), ["far:1", "n1:1"]);
 }
 
@@ -94,10 +98,10 @@
         ..report("unready", 1)
     };
     for report in [leaving, unready, report("sound", 1)] {
-        core.heard(Millis(0), report);
+        core.receive_report(Millis(0), report);
     }
-    assert_eq!(core.addresses(Millis(0), "a"), ["i:1", "sound:1"]);
+    assert_eq!(core.caller_addresses(Millis(0), "a"), ["i:1", "sound:1"]);
     core.leave();
-    assert_eq!(core.addresses(Millis(0), "a"), ["sound:1"]);
+    assert_eq!(core.caller_addresses(Millis(0), "a"), ["sound:1"]);
     assert!(!core.ready());
 }
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -4,10 +4,10 @@
 
 use std::sync::Arc;
 
-use crate::common::busy;
-use crate::common::done;
+use crate::common::completed;
 use crate::common::endpoint;
 use crate::common::pending;
+use crate::common::running_row;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
@@ -50,7 +50,7 @@
             world.registry.put(Millis(0), endpoint(id, *slots));
             let told = RunningRow {
                 speed_factor: *pace,
-                ..busy(id, 0)
+                ..running_row(id, 0)
             };
             world.scheduler.record_peer_usage(&[told]);
         }
@@ -94,7 +94,9 @@
     let long = world.admit(stream(1, 500.0, 600.0));
     let short = world.admit(stream(2, 100.0, 5.0));
     assert_eq!(world.started(2), [(short, "slow".to_owned())]);
-    world.scheduler.attempt_ended(Millis(200), first, done());
+    world
+        .scheduler
+        .attempt_ended(Millis(200), first, completed());
     assert_eq!(world.started(200), [(long, "usual".to_owned())]);
 }
 
@@ -127,7 +129,9 @@
         let long = world.admit(stream(START + 1, 500.0, 60.0));
         let short = world.admit(stream(START + 1 + gap, 100.0, 5.0));
         let now = START + 2 + gap;
-        world.scheduler.attempt_ended(Millis(now), runs, done());
+        world
+            .scheduler
+            .attempt_ended(Millis(now), runs, completed());
         let next = if short_first { short } else { long };
         assert_eq!(world.started(now)[0].0, next, "after {gap} ms");
     }
@@ -170,7 +174,7 @@
     assert_eq!(world.started(START).len(), 1);
     world
         .scheduler
-        .attempt_ended(Millis(START + 1), first, Outcome::Unreached);
+        .attempt_ended(Millis(START + 1), first, Outcome::ConnectFailed);
     world.admit(stream(START + 2, 100.0, 5.0));
     assert_eq!(world.started(START + 2).len(), 0);
     assert_eq!(world.started(START + 250).len(), 1);
@@ -188,7 +192,7 @@
         world.registry.put(Millis(0), far);
         world.scheduler.record_peer_usage(&[RunningRow {
             speed_factor: USUAL,
-            ..busy(id, 0)
+            ..running_row(id, 0)
         }]);
     }
     for at in 0..8 {
@@ -208,15 +212,15 @@
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        load: &load,
+        latency_model: &load,
         can_wait: true,
     };
     let slow = Arc::new(endpoint("slow", 12));
     let candidates = [Candidate {
         endpoint: slow.clone(),
-        left: 12,
+        free_slots: 12,
         queue_slots: 0,
-        unread: 0.0,
+        unread_tokens: 0.0,
         slow: true,
         reserved: false,
         fastest_factor: 1.0,
@@ -224,7 +228,7 @@
     let mut placing = EndpointSelector::new("me", "a");
     assert_eq!(placing.select(&query, &candidates, true), Some(0));
     for _ in 0..10 {
-        placing.paused(slow.key(), true);
+        placing.record_stall(slow.key(), true);
     }
     assert_eq!(placing.select(&query, &candidates, true), None);
     let late = PlacementQuery {
@@ -253,21 +257,21 @@
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        load: &load,
+        latency_model: &load,
         can_wait: false,
     };
     let mut placing = EndpointSelector::new("me", "a");
     let slow = Arc::new(endpoint("slow", 12));
-    placing.heard(&[RunningRow {
+    placing.record_peer_speeds(&[RunningRow {
         speed_factor: SLOW,
-        ..busy("slow", 0)
+        ..running_row("slow", 0)
     }]);
     let candidate = |left| {
         [Candidate {
             endpoint: slow.clone(),
-            left,
+            free_slots: left,
             queue_slots: 0,
-            unread: 0.0,
+            unread_tokens: 0.0,
             slow: true,
             reserved: false,
             fastest_factor: 1.0,
@@ -292,16 +296,16 @@
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        load: &load,
+        latency_model: &load,
         can_wait: true,
     };
     let placing = EndpointSelector::new("me", "a");
     let candidates = |fastest| {
         [Candidate {
             endpoint: Arc::new(endpoint("usual", 6)),
-            left: 6,
+            free_slots: 6,
             queue_slots: 0,
-            unread: 0.0,
+            unread_tokens: 0.0,
             slow: false,
             reserved: false,
             fastest_factor: fastest,
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -8,7 +8,7 @@
 use crate::common::core;
 use crate::common::endpoint;
 use crate::common::identity;
-use crate::common::place;
+use crate::common::location;
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
@@ -74,17 +74,17 @@
 fn a_restart_moves_nothing() {
     let mut core = core("i0", 1);
     for (centre, name) in names_by_centre(68) {
-        core.list(&name, place(&name, &centre));
+        core.add_instance(&name, location(&name, &centre));
     }
     for at in 0..89 {
         core.registry()
             .put(Millis(0), endpoint(&format!("e{at}"), 4));
     }
-    let before: Vec<_> = core.registry().fit("lm").to_vec();
+    let before: Vec<_> = core.registry().eligible("lm").to_vec();
     for number in 1..30 {
-        core.unlist(Millis(number), &format!("i{number}"));
+        core.remove_instance(Millis(number), &format!("i{number}"));
     }
-    assert_eq!(core.registry().fit("lm"), before);
+    assert_eq!(core.registry().eligible("lm"), before);
 }
 
 // A quarter of a large fleet is rejected by the store, and their entries expire while they keep
@@ -94,11 +94,11 @@
 fn instances_whose_entries_ran_out_still_have_their_part() {
     let mut core = core("i0", 1);
     for (centre, name) in names_by_centre(68) {
-        core.list(&name, place(&name, &centre));
+        core.add_instance(&name, location(&name, &centre));
     }
     let before = core.peers().fleet_share(Millis(0));
     for number in 50..68 {
-        core.unlist(Millis(5_000), &format!("i{number}"));
+        core.remove_instance(Millis(5_000), &format!("i{number}"));
     }
     assert!((core.peers().fleet_share(Millis(9_000)) - before).abs() < 1e-9);
 }
@@ -121,9 +121,13 @@
                 );
             }
             registry.set_shards(shard, vec![9; 8]);
-            assert!(!registry.fit("lm").is_empty());
-            seen.extend(registry.fit("lm").iter().map(|it| it.id.to_string()));
-            total_slots += registry.fit("lm").iter().map(|it| it.slots).sum::<u32>();
+            assert!(!registry.eligible("lm").is_empty());
+            seen.extend(registry.eligible("lm").iter().map(|it| it.id.to_string()));
+            total_slots += registry
+                .eligible("lm")
+                .iter()
+                .map(|it| it.slots)
+                .sum::<u32>();
         }
         assert_eq!(seen.len(), count);
         // Shards that share an endpoint each get one and a half times their even share of its slots.
@@ -138,10 +142,10 @@
 fn an_instance_keeps_peers_of_its_own_shard_but_learns_of_poison_requests_from_all() {
     let mut core = core("i0", 1);
     for (centre, name) in names_by_centre(40) {
-        core.list(&name, place(&name, &centre));
+        core.add_instance(&name, location(&name, &centre));
     }
     let shard: BTreeSet<_> = core
-        .listed()
+        .other_instances()
         .filter(|row| row.1)
         .map(|row| row.0.peer_address.clone())
         .collect();
@@ -149,7 +153,7 @@
     for (_, name) in names_by_centre(40) {
         let mut received = report(&name, 1);
         received.info.as_mut().unwrap().quarantine = vec![(55, vec![1, 2])];
-        core.heard(Millis(0), received);
+        core.receive_report(Millis(0), received);
     }
     assert_eq!(core.peers().instance_count(Millis(0)), shard.len() + 1);
     let pass = core.route(Millis(0), common::request("/safe/x")).unwrap();
@@ -162,15 +166,15 @@
 fn a_large_fleet_calls_the_store_less_often() {
     let timings = |name: &str, count, settle| {
         let identity = Identity {
-            settle: Millis(settle),
+            settling_time: Millis(settle),
             ..identity(name, 1)
         };
         let mut core = Core::new(identity);
-        core.store_answered();
+        core.store_call_succeeded();
         for at in 0..count {
-            core.list(&format!("i{at}"), place(&format!("i{at}"), "a"));
+            core.add_instance(&format!("i{at}"), location(&format!("i{at}"), "a"));
         }
-        (core.watch(), core.gather())
+        (core.watch_timeout(), core.update_batch_delay())
     };
     assert_eq!(timings("i0", 11, 10_000), (Millis(3_500), Millis(500)));
     let all: BTreeSet<_> = (0..17)
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -4,7 +4,7 @@
 
 use crate::common::core;
 use crate::common::endpoint;
-use crate::common::place;
+use crate::common::location;
 use crate::common::report;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
@@ -85,10 +85,10 @@
     let names: Vec<String> = (0..16).map(|at| format!("i{at}")).collect();
     let news = names
         .iter()
-        .map(|name| StoreUpdate::Instance(name.clone(), place(name, "a")));
-    core.learn_news(Millis(0), 5, news.collect());
-    core.store_answered();
-    let members = core.listed().filter(|row| row.1);
+        .map(|name| StoreUpdate::Instance(name.clone(), location(name, "a")));
+    core.apply_updates(Millis(0), 5, news.collect());
+    core.store_call_succeeded();
+    let members = core.other_instances().filter(|row| row.1);
     let members = members.map(|row| row.0.peer_address.trim_end_matches(":2").to_owned());
     let members = members.collect();
     (core, members)
@@ -101,7 +101,7 @@
         revision: 5,
         ..report(name, now + 1)
     };
-    core.heard(Millis(now), report);
+    core.receive_report(Millis(now), report);
 }
 
 // Guards against a shard that keeps an outdated configuration after its only watcher hangs or is refused
@@ -114,7 +114,7 @@
     }
     let first = core.watcher(Millis(10)).to_owned();
     assert!(members.contains(&first), "i0 is not the first of its shard");
-    assert_eq!(core.duty(Millis(10)), StoreRole::Follower);
+    assert_eq!(core.store_role(Millis(10)), StoreRole::Follower);
     for name in &members {
         receive(&mut core, 100, name, *name != first);
     }
@@ -125,7 +125,7 @@
     }
     assert_eq!(core.watcher(Millis(1_010)), second);
     // All reports have expired.
-    assert_eq!(core.duty(Millis(3_000)), StoreRole::Watcher);
+    assert_eq!(core.store_role(Millis(3_000)), StoreRole::Watcher);
 }
 
 // Guards against every instance of a shard that the store refuses retrying: refused calls are paid for
@@ -133,24 +133,24 @@
 #[test]
 fn in_a_shard_without_the_store_one_instance_goes_on_trying() {
     let (mut core, members) = core_with_peers();
-    core.store_failed(Millis(0));
+    core.store_call_failed(Millis(0));
     for name in &members {
         receive(&mut core, 0, name, false);
     }
-    core.notice_store(Millis(1));
-    assert!(!core.stored());
-    assert_eq!(core.duty(Millis(100)), StoreRole::Follower);
+    core.update_store_availability(Millis(1));
+    assert!(!core.store_available());
+    assert_eq!(core.store_role(Millis(100)), StoreRole::Follower);
     // The store may be reachable again for some but not for the first, so the others try occasionally.
     for name in &members {
         receive(&mut core, 3_100, name, false);
     }
-    assert_eq!(core.duty(Millis(3_100)), StoreRole::Watcher);
-    core.store_failed(Millis(3_110));
-    assert_eq!(core.duty(Millis(3_120)), StoreRole::Follower);
+    assert_eq!(core.store_role(Millis(3_100)), StoreRole::Watcher);
+    core.store_call_failed(Millis(3_110));
+    assert_eq!(core.store_role(Millis(3_120)), StoreRole::Follower);
     receive(&mut core, 3_200, &members[0], true);
-    core.notice_store(Millis(3_210));
-    assert!(core.stored());
-    assert_eq!(core.duty(Millis(3_210)), StoreRole::Follower);
+    core.update_store_availability(Millis(3_210));
+    assert!(core.store_available());
+    assert_eq!(core.store_role(Millis(3_210)), StoreRole::Follower);
 }
 
 // A peer's reports arrive, but changes cannot be fetched from it because the link fails one way.
@@ -160,15 +160,15 @@
     for name in &members {
         receive(&mut core, 0, name, true);
     }
-    assert!(core.heard_revision(Millis(10), 9));
-    assert_eq!(core.duty(Millis(20)), StoreRole::Follower);
+    assert!(core.record_peer_revision(Millis(10), 9));
+    assert_eq!(core.store_role(Millis(20)), StoreRole::Follower);
     for name in &members {
         receive(&mut core, 1_600, name, true);
     }
-    assert_eq!(core.duty(Millis(1_600)), StoreRole::Watcher);
-    core.learn_news(Millis(1_610), 9, Vec::new());
-    assert_eq!(core.duty(Millis(1_620)), StoreRole::Follower);
-    assert!(!core.heard_revision(Millis(1_630), 9));
+    assert_eq!(core.store_role(Millis(1_600)), StoreRole::Watcher);
+    core.apply_updates(Millis(1_610), 9, Vec::new());
+    assert_eq!(core.store_role(Millis(1_620)), StoreRole::Follower);
+    assert!(!core.record_peer_revision(Millis(1_630), 9));
 }
 
 // A peer with a newer revision has just started and cannot list the earlier changes.
@@ -178,11 +178,11 @@
     for name in &members {
         receive(&mut core, 0, name, true);
     }
-    core.heard_revision(Millis(10), 9);
-    core.ask_store();
-    assert_eq!(core.duty(Millis(20)), StoreRole::Watcher);
-    core.learn_news(Millis(30), 9, Vec::new());
-    assert_eq!(core.duty(Millis(40)), StoreRole::Follower);
+    core.record_peer_revision(Millis(10), 9);
+    core.request_store_read();
+    assert_eq!(core.store_role(Millis(20)), StoreRole::Watcher);
+    core.apply_updates(Millis(30), 9, Vec::new());
+    assert_eq!(core.store_role(Millis(40)), StoreRole::Follower);
 }
 
 // Guards against every process watching the store until its peers report, which would cost one call for
@@ -190,10 +190,10 @@
 #[test]
 fn a_starting_process_waits_briefly_for_its_peers() {
     let (core, _) = core_with_peers();
-    assert_eq!(core.duty(Millis(200)), StoreRole::Follower);
-    assert_eq!(core.duty(Millis(400)), StoreRole::Watcher);
+    assert_eq!(core.store_role(Millis(200)), StoreRole::Follower);
+    assert_eq!(core.store_role(Millis(400)), StoreRole::Watcher);
     assert_eq!(
-        crate::common::core("i0", 1).duty(Millis(0)),
+        crate::common::core("i0", 1).store_role(Millis(0)),
         StoreRole::Watcher
     );
 }
@@ -203,13 +203,13 @@
 #[test]
 fn entries_that_expired_in_a_store_outage_have_time_to_return() {
     let (mut core, members) = core_with_peers();
-    core.learn_news(Millis(0), 6, vec![StoreUpdate::Endpoint(endpoint("e2", 1))]);
-    core.store_failed(Millis(1_000));
-    core.notice_store(Millis(1_000));
+    core.apply_updates(Millis(0), 6, vec![StoreUpdate::Endpoint(endpoint("e2", 1))]);
+    core.store_call_failed(Millis(1_000));
+    core.update_store_availability(Millis(1_000));
     receive(&mut core, 5_000, &members[0], true);
-    core.notice_store(Millis(5_010));
+    core.update_store_availability(Millis(5_010));
     let gone = StoreUpdate::EndpointRemoved("e2".to_owned());
-    core.learn_news(Millis(5_020), 7, vec![gone]);
+    core.apply_updates(Millis(5_020), 7, vec![gone]);
     let listed = |core: &mut Core| core.registry().all().any(|it| &*it.id == "e2");
     assert!(listed(&mut core));
     core.sweep(Millis(7_500));
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -148,7 +148,7 @@
         Ok(passed) => passed,
         Err(refused) => return *refused,
     };
-    let left = pass.until.since(shell.now());
+    let left = pass.deadline.since(shell.now());
     match collect(shell, limits.max_body, left, body).await {
         Ok((body, held)) => {
             let parcel = parcel(shell, parts, &pass, body, held);
@@ -247,7 +247,7 @@
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
     };
-    let need = shell.core.borrow().lacks(shell.now(), wanted);
+    let need = shell.core.borrow().missing_quota(shell.now(), wanted);
     let Some(need) = need else {
         return Err(refusal);
     };
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -91,7 +91,7 @@
     /// Serves the request until its answer is whole, its time is up, or its caller left.
     pub async fn run(mut self, permit: Permit, word: oneshot::Receiver<Word>) {
         let pieces = self.caller.pieces.clone();
-        let left = Duration::from(self.pass.until.since(self.shell.now()));
+        let left = Duration::from(self.pass.deadline.since(self.shell.now()));
         let outcome = tokio::select! {
             biased;
             () = pieces.closed() => "caller_left",
@@ -114,7 +114,7 @@
                     permit.refused();
                     return self.refused(refusal);
                 }
-                Err(_) => return self.failed(Outcome::Left),
+                Err(_) => return self.failed(Outcome::Cancelled),
             };
             self.progress.waited = self.shell.now().since(self.pass.arrived);
             self.shell.metrics.waited(self.progress.waited);
@@ -122,8 +122,8 @@
                 Step::Finished(outcome) => (outcome, false),
                 Step::Again(outcome) => (outcome, true),
                 Step::Cut => {
-                    permit.end(Outcome::Broken, false);
-                    return self.failed(Outcome::Broken);
+                    permit.end(Outcome::ConnectionLost, false);
+                    return self.failed(Outcome::ConnectionLost);
                 }
             };
             self.trace(&endpoint, outcome);
@@ -148,7 +148,7 @@
             let mut sending = pin!(attempt::send(&shell, endpoint, &self.parcel, headers));
             match timeout(permit.stall_timeout().into(), &mut sending).await {
                 Ok(reply) => reply,
-                Err(_) if permit.spare() => return Step::Again(Outcome::Silent),
+                Err(_) if permit.spare() => return Step::Again(Outcome::Stalled),
                 Err(_) => sending.await,
             }
         };
@@ -156,9 +156,9 @@
             Reply::Head(response, connection) => (response, connection),
             Reply::Unreached => {
                 self.ran = ran;
-                return Step::Again(Outcome::Unreached);
+                return Step::Again(Outcome::ConnectFailed);
             }
-            Reply::Broken => return Step::Again(Outcome::Broken),
+            Reply::Broken => return Step::Again(Outcome::ConnectionLost),
         };
         let verdict = shell.interface.exchange.verdict(
             response.status(),
@@ -171,12 +171,16 @@
             rate_limits::take(&shell, endpoint, start, verdict, named);
         }
         match verdict {
-            Verdict::Foreign => Step::Again(Outcome::Broken),
+            Verdict::Foreign => Step::Again(Outcome::ConnectionLost),
             Verdict::Full | Verdict::Moved => {
                 self.ran = ran;
                 pool::drain(&self.shell, endpoint, response, connection);
                 let full = verdict == Verdict::Full;
-                Step::Again(if full { Outcome::Full } else { Outcome::Moved })
+                Step::Again(if full {
+                    Outcome::Full
+                } else {
+                    Outcome::Misdirected
+                })
             }
             Verdict::Answer if self.pass.is_stream() && response.status().is_success() => {
                 self.stream(endpoint, permit, start, response, connection)
@@ -189,7 +193,7 @@
     fn headers(&self, endpoint: &Endpoint, now: Millis) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
         let mut headers = self.parcel.headers.clone();
-        exchange.address(&mut headers, endpoint, self.pass.until.since(now));
+        exchange.address(&mut headers, endpoint, self.pass.deadline.since(now));
         if let Some(event) = self.events.last() {
             exchange.resume(&mut headers, event);
         }
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -201,10 +201,10 @@
         let fields = json!({
             "id": request.id,
             "admitted": request.admitted,
-            "rank": request.pass.map(|it| it.rank.0),
+            "rank": request.pass.map(|it| it.priority.0),
             "organisation": request.organisation,
-            "prompt": request.pass.map(|it| it.work.prompt),
-            "output": request.pass.map(|it| it.work.output),
+            "prompt": request.pass.map(|it| it.tokens.prompt),
+            "output": request.pass.map(|it| it.tokens.output),
             "units": request.pass.map(|it| it.quota_cost),
             "reason": refusal.reason.as_str(),
             "after_ms": refusal.retry_after.0,
@@ -213,8 +213,8 @@
             "peers": core.peers().instance_count(now) - 1,
             "quota_share": core.peers().fleet_share(now),
             "configuration": core.configuration_version(),
-            "store": core.stored(),
-            "revision": core.revision(),
+            "store": core.store_available(),
+            "revision": core.store_revision(),
             "store_age_ms": now.since(self.heard.get()).0,
         });
         self.log("refusal", fields);
