--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -55,7 +55,7 @@
 
     pub(super) fn apply_info(&mut self, now: Millis, about: &InstanceInfo) {
         for key in &about.leaving_endpoints {
-            self.registry.left(now, *key);
+            self.registry.record_departure(now, *key);
         }
         for (print, endpoints) in &about.quarantine {
             for endpoint in endpoints {
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -93,7 +93,7 @@
     }
 
     /// Takes over from a peer that an endpoint is leaving or gone.
-    pub fn left(&mut self, now: Millis, key: EndpointKey) {
+    pub fn record_departure(&mut self, now: Millis, key: EndpointKey) {
         if self.departures.insert(key, now).is_none() {
             self.update_eligible();
         }
--- a/crates/siskinyoke-dispatch/tests/registry.rs
+++ b/crates/siskinyoke-dispatch/tests/registry.rs
@@ -80,6 +80,6 @@
 fn a_peer_tells_that_an_endpoint_left() {
     let mut registry = Registry::default();
     registry.put(Millis(0), endpoint("e", 1));
-    registry.left(Millis(1), endpoint("e", 1).key());
+    registry.record_departure(Millis(1), endpoint("e", 1).key());
     assert!(fit(&registry).is_empty());
 }
