--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet before the store, in virtual time.
+//! Simulation of a fleet and its store in virtual time; all times are in ms.
 
 use std::collections::BTreeMap;
 
@@ -16,116 +16,125 @@
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::watchers::StoreRole;
 
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
-/// How long an instance must have been well to be held to the bound, and the bound, in ms: of fleets of one shard and
-/// of larger ones.
-const STABLE: [u64; 2] = [3_000, 4_000];
-const BOUND: [u64; 2] = [2_000, 3_000];
+/// How long an instance must have been healthy before the propagation bound applies to it, in fleets of one
+/// shard and in larger ones.
+const HEALTHY_PERIOD_MS: [u64; 2] = [3_000, 4_000];
 
-/// The most instances of a fleet of one shard.
-const SMALL: usize = 11;
+/// The longest time in which a change must reach a healthy instance, in fleets of one shard and in larger ones.
+const PROPAGATION_BOUND_MS: [u64; 2] = [2_000, 3_000];
 
-/// As in the gateway: how often whole reports go out and other ones, and how many go to other shards.
-const WHOLE: u64 = 500;
-const BEAT: u64 = 100;
-const OTHERS: usize = 3;
+/// The largest number of instances that form a single shard.
+const MAX_SINGLE_SHARD: usize = 11;
 
-/// As in the gateway: how long a silent call of the store is waited for, and a silent peer.
-const SILENT: u64 = 1_500;
-const MARGIN: u64 = 700;
-const PEER: u64 = 1_000;
-const AVOIDED: u64 = 3_000;
+/// The intervals of full reports and of all reports, as in the gateway.
+const FULL_REPORT_INTERVAL_MS: u64 = 500;
+const REPORT_INTERVAL_MS: u64 = 100;
 
-/// What goes wrong.
+/// The number of instances of other shards that a full report goes to, as in the gateway.
+const CROSS_SHARD_RECEIVERS: usize = 3;
+
+/// The timeouts of calls to the store and to peers, and the time that a watch may take beyond its hold, as in
+/// the gateway.
+const STORE_TIMEOUT_MS: u64 = 1_500;
+const WATCH_MARGIN_MS: u64 = 700;
+const PEER_TIMEOUT_MS: u64 = 1_000;
+
+/// How long no changes are fetched from a peer after a fetch failed, as in the gateway.
+const FAILED_PEER_BACKOFF_MS: u64 = 3_000;
+
+/// The faults that are injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    /// Nothing.
+pub enum Faults {
+    /// No faults.
     None,
-    /// Freezes, kills, cuts, lost reports, and a store that some do not reach.
-    Wild,
-    /// A store that all find silent or refusing, time and again.
-    Outages,
+    /// Frozen and killed instances, cut links, lost reports, and a store that some instances cannot reach.
+    Mixed,
+    /// Repeated outages in which the store is unresponsive to all instances or refuses them.
+    StoreOutages,
 }
 
-/// How the store treats an instance.
+/// How the store responds to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Store {
-    Well,
-    Refuses,
-    Silent,
+enum StoreState {
+    Healthy,
+    Refusing,
+    Unresponsive,
 }
 
 struct Node {
     core: Core,
-    // Frozen until then.
-    frozen: u64,
-    store: (Store, u64),
-    // Since when it has been well.
-    well: u64,
+    // The instance does nothing before this time.
+    frozen_until: u64,
+    // How the store responds to this instance, and until when.
+    store_state: (StoreState, u64),
+    // When the last fault ended that affects this instance.
+    healthy_since: u64,
     watch: Option<Watch>,
-    // No look at the watch before then.
-    rests: u64,
-    pause: u64,
-    renews: u64,
-    retry: u64,
-    // When a renewal that was sent into silence is given up.
-    unanswered: Option<u64>,
-    // What is being taken from a peer: when, from whom.
-    taking: Option<(u64, usize)>,
-    // Who handed over nothing, and when.
-    failed: Option<(usize, u64)>,
+    // When the watch is processed next.
+    watch_due: u64,
+    watch_backoff: u64,
+    renewal_due: u64,
+    renewal_backoff: u64,
+    // When a renewal without a response times out.
+    renewal_timeout: Option<u64>,
+    // The ongoing fetch of changes: when it completes, and from which peer.
+    fetch: Option<(u64, usize)>,
+    // The peer that the last fetch failed at, and when.
+    failed_fetch: Option<(usize, u64)>,
 }
 
-// A call that waits for changes.
+// A call to the store that waits for changes.
 #[derive(Clone, Copy)]
 struct Watch {
-    since: u64,
-    held: u64,
-    // Whether it was sent to a silent store, or met one since: it stays unanswered when the store is back.
+    started: u64,
+    hold: u64,
+    // Whether the store was unresponsive at any time since the call began: it is then never answered, even
+    // after the store recovers.
     lost: bool,
 }
 
-struct Letter {
+struct InFlightReport {
     due: u64,
     from: usize,
     to: usize,
     report: Report,
 }
 
-/// A fleet before the store.
+/// A fleet and its store.
 pub struct Fleet {
     rng: ChaCha8Rng,
-    trouble: Trouble,
+    faults: Faults,
     now: u64,
     nodes: Vec<Node>,
-    letters: Vec<Letter>,
-    // How the store treats everybody, and until when.
-    outage: (Store, u64),
-    // Nothing goes from one to the other until then.
-    cuts: BTreeMap<(usize, usize), u64>,
-    // When each revision was reached.
-    history: Vec<u64>,
-    /// Watches so far.
+    in_flight: Vec<InFlightReport>,
+    // How the store responds to all instances, and until when.
+    store_outage: (StoreState, u64),
+    // Links from one instance to another that drop everything, and until when.
+    cut_links: BTreeMap<(usize, usize), u64>,
+    // When each revision of the store was written.
+    revision_times: Vec<u64>,
+    /// The number of watches so far.
     pub calls: u64,
-    /// Each broken promise, in words.
-    pub broken: Vec<String>,
+    /// Descriptions of the violated bounds.
+    pub violations: Vec<String>,
 }
 
 impl Fleet {
     /// Starts all instances.
-    pub fn new(seed: u64, size: usize, trouble: Trouble) -> Self {
+    pub fn new(seed: u64, size: usize, faults: Faults) -> Self {
         let mut fleet = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            trouble,
+            faults,
             now: 0,
             nodes: Vec::new(),
-            letters: Vec::new(),
-            outage: (Store::Well, 0),
-            cuts: BTreeMap::new(),
-            history: vec![0, 0],
+            in_flight: Vec::new(),
+            store_outage: (StoreState::Healthy, 0),
+            cut_links: BTreeMap::new(),
+            revision_times: vec![0, 0],
             calls: 0,
-            broken: Vec::new(),
+            violations: Vec::new(),
         };
         for at in 0..size {
             let node = fleet.start(at);
@@ -134,109 +143,109 @@
         fleet
     }
 
-    /// Plays so many ms.
-    pub fn run(&mut self, length: u64) {
-        while self.now < length {
-            self.now += STEP;
-            match self.trouble {
-                Trouble::None => {}
-                Trouble::Wild => self.harm(),
-                Trouble::Outages => self.fail_store(),
+    /// Runs the simulation until this time, in ms.
+    pub fn run(&mut self, end: u64) {
+        while self.now < end {
+            self.now += STEP_MS;
+            match self.faults {
+                Faults::None => {}
+                Faults::Mixed => self.inject_faults(),
+                Faults::StoreOutages => self.inject_outage(),
             }
-            // The operators cannot write either while nobody reaches the store.
-            if self.now.is_multiple_of(1_000) && self.outage.1 <= self.now {
-                self.history.push(self.now);
+            // Operators cannot write to the store during an outage either.
+            if self.now.is_multiple_of(1_000) && self.store_outage.1 <= self.now {
+                self.revision_times.push(self.now);
             }
-            self.deliver();
+            self.deliver_reports();
             for at in 0..self.nodes.len() {
-                if self.nodes[at].frozen <= self.now {
+                if self.nodes[at].frozen_until <= self.now {
                     self.step(at);
                 }
             }
-            self.check();
+            self.check_revisions();
         }
     }
 
     fn start(&mut self, at: usize) -> Node {
-        let mut renews = self.now + self.rng.random_range(0..1_000);
-        renews -= renews % STEP;
+        let mut renewal_due = self.now + self.rng.random_range(0..1_000);
+        renewal_due -= renewal_due % STEP_MS;
         Node {
             core: Core::new(identity(&format!("i{at}"), self.rng.random())),
-            frozen: self.now + self.rng.random_range(0..30) / STEP * STEP,
-            store: (Store::Well, 0),
-            well: self.now,
+            frozen_until: self.now + self.rng.random_range(0..30) / STEP_MS * STEP_MS,
+            store_state: (StoreState::Healthy, 0),
+            healthy_since: self.now,
             watch: None,
-            rests: 0,
-            pause: 100,
-            renews,
-            retry: 1_000,
-            unanswered: None,
-            taking: None,
-            failed: None,
+            watch_due: 0,
+            watch_backoff: 100,
+            renewal_due,
+            renewal_backoff: 1_000,
+            renewal_timeout: None,
+            fetch: None,
+            failed_fetch: None,
         }
     }
 
     fn revision(&self) -> u64 {
-        self.history.len() as u64 - 1
+        self.revision_times.len() as u64 - 1
     }
 
-    fn harm(&mut self) {
+    fn inject_faults(&mut self) {
         let count = self.nodes.len();
         let at = self.rng.random_range(0..count);
         let until = self.now + self.rng.random_range(300..6_000);
         if self.rng.random_bool(0.01) {
-            self.nodes[at].frozen = self.nodes[at].frozen.max(until);
-            self.nodes[at].well = self.nodes[at].well.max(until);
+            self.nodes[at].frozen_until = self.nodes[at].frozen_until.max(until);
+            self.nodes[at].healthy_since = self.nodes[at].healthy_since.max(until);
         }
         if self.rng.random_bool(0.005) {
             self.nodes[at] = self.start(at);
         }
         if self.rng.random_bool(0.02) {
-            let store = if self.rng.random() {
-                Store::Refuses
+            let state = if self.rng.random() {
+                StoreState::Refusing
             } else {
-                Store::Silent
+                StoreState::Unresponsive
             };
-            self.nodes[at].store = (store, until.max(self.nodes[at].store.1));
-            self.nodes[at].well = self.nodes[at].well.max(until);
+            self.nodes[at].store_state = (state, until.max(self.nodes[at].store_state.1));
+            self.nodes[at].healthy_since = self.nodes[at].healthy_since.max(until);
         }
         if self.rng.random_bool(0.03) {
             let other = self.rng.random_range(0..count);
-            self.cuts.insert((at, other), until);
+            self.cut_links.insert((at, other), until);
             for node in [at, other] {
-                self.nodes[node].well = self.nodes[node].well.max(until);
+                self.nodes[node].healthy_since = self.nodes[node].healthy_since.max(until);
             }
         }
     }
 
-    // Begins an outage now and then, with some calm between two.
-    fn fail_store(&mut self) {
-        let calm = 6_000;
-        if self.now < self.outage.1 + calm || !self.rng.random_bool(0.002) {
+    // Occasionally begins a store outage, with a calm period after the previous one.
+    fn inject_outage(&mut self) {
+        let calm_period_ms = 6_000;
+        if self.now < self.store_outage.1 + calm_period_ms || !self.rng.random_bool(0.002) {
             return;
         }
-        let store = if self.rng.random_bool(0.7) {
-            Store::Silent
+        let state = if self.rng.random_bool(0.7) {
+            StoreState::Unresponsive
         } else {
-            Store::Refuses
+            StoreState::Refusing
         };
         let until = self.now + self.rng.random_range(200..8_000);
-        self.outage = (store, until);
+        self.store_outage = (state, until);
         for node in &mut self.nodes {
-            node.well = node.well.max(until);
+            node.healthy_since = node.healthy_since.max(until);
         }
     }
 
-    fn cut(&self, from: usize, to: usize) -> bool {
-        self.cuts
+    fn is_cut(&self, from: usize, to: usize) -> bool {
+        self.cut_links
             .get(&(from, to))
             .is_some_and(|until| *until > self.now)
     }
 
-    fn store(&self, at: usize) -> Store {
-        let states = [self.outage, self.nodes[at].store];
-        let bad = states.iter().find(|it| it.1 > self.now);
-        bad.map_or(Store::Well, |it| it.0)
+    fn store_state(&self, at: usize) -> StoreState {
+        let states = [self.store_outage, self.nodes[at].store_state];
+        let active = states.iter().find(|it| it.1 > self.now);
+        active.map_or(StoreState::Healthy, |it| it.0)
     }
 
     fn step(&mut self, at: usize) {
@@ -245,106 +254,111 @@
             self.nodes[at].core.sweep(now);
             self.nodes[at].core.update_store_availability(now);
         }
-        self.renew(at);
-        self.take(at);
-        self.watch(at);
-        if (self.now + 10 * at as u64).is_multiple_of(BEAT) {
-            self.tell(at);
+        self.step_renewal(at);
+        self.step_fetch(at);
+        self.step_watch(at);
+        if (self.now + 10 * at as u64).is_multiple_of(REPORT_INTERVAL_MS) {
+            self.send_reports(at);
         }
     }
 
-    // The lease is renewed; that it is not shows that the store is out of reach.
-    fn renew(&mut self, at: usize) {
-        if self.nodes[at].unanswered.is_some_and(|due| due <= self.now) {
+    // Renews the lease; a failed renewal shows that the store is out of reach.
+    fn step_renewal(&mut self, at: usize) {
+        if self.nodes[at]
+            .renewal_timeout
+            .is_some_and(|due| due <= self.now)
+        {
             return self.renewal_failed(at);
         }
-        if self.nodes[at].renews > self.now {
+        if self.nodes[at].renewal_due > self.now {
             return;
         }
-        match self.store(at) {
-            Store::Well => {
+        match self.store_state(at) {
+            StoreState::Healthy => {
                 let node = &mut self.nodes[at];
                 node.core.store_call_succeeded();
-                node.retry = 1_000;
+                node.renewal_backoff = 1_000;
                 let watching = node.watch.is_some();
-                node.renews = self.now + if watching { 1_000 } else { 4_000 };
+                node.renewal_due = self.now + if watching { 1_000 } else { 4_000 };
             }
-            Store::Refuses => self.renewal_failed(at),
-            Store::Silent => {
+            StoreState::Refusing => self.renewal_failed(at),
+            StoreState::Unresponsive => {
                 let node = &mut self.nodes[at];
-                node.unanswered = Some(self.now + SILENT);
-                node.renews = u64::MAX;
+                node.renewal_timeout = Some(self.now + STORE_TIMEOUT_MS);
+                node.renewal_due = u64::MAX;
             }
         }
     }
 
     fn renewal_failed(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.unanswered = None;
+        node.renewal_timeout = None;
         node.core.store_call_failed(Millis(self.now));
-        node.renews = self.now + node.retry;
-        node.retry = (node.retry * 2).min(4_000);
+        node.renewal_due = self.now + node.renewal_backoff;
+        node.renewal_backoff = (node.renewal_backoff * 2).min(4_000);
         if node.watch.is_some() {
-            self.fail(at);
+            self.watch_failed(at);
         }
     }
 
-    fn take(&mut self, at: usize) {
-        let Some((due, from)) = self.nodes[at].taking else {
+    fn step_fetch(&mut self, at: usize) {
+        let Some((due, from)) = self.nodes[at].fetch else {
             return;
         };
         if due > self.now {
             return;
         }
-        let silent = self.nodes[from].frozen > self.now || self.cut(at, from) || self.cut(from, at);
-        if silent {
-            if self.now >= due + PEER {
+        let unreachable = self.nodes[from].frozen_until > self.now
+            || self.is_cut(at, from)
+            || self.is_cut(from, at);
+        if unreachable {
+            if self.now >= due + PEER_TIMEOUT_MS {
                 let node = &mut self.nodes[at];
-                node.taking = None;
-                node.failed = Some((from, self.now));
+                node.fetch = None;
+                node.failed_fetch = Some((from, self.now));
                 if node.watch.is_none() {
-                    node.rests = self.now;
+                    node.watch_due = self.now;
                 }
             }
             return;
         }
         let revision = self.nodes[from].core.store_revision();
         let node = &mut self.nodes[at];
-        node.taking = None;
+        node.fetch = None;
         node.core
             .apply_updates(Millis(self.now), revision, Vec::new());
     }
 
-    fn watch(&mut self, at: usize) {
-        if self.nodes[at].rests > self.now {
+    fn step_watch(&mut self, at: usize) {
+        if self.nodes[at].watch_due > self.now {
             return;
         }
         if let Some(watch) = self.nodes[at].watch {
-            return self.wait(at, watch);
+            return self.poll_watch(at, watch);
         }
         if self.nodes[at].core.store_role(Millis(self.now)) == StoreRole::Follower {
-            self.nodes[at].rests = self.now + 200;
+            self.nodes[at].watch_due = self.now + 200;
             return;
         }
-        // The first reading is none.
+        // The first read is not a watch.
         self.calls += u64::from(self.nodes[at].core.store_revision() > 0);
-        if self.store(at) == Store::Refuses {
-            return self.fail(at);
+        if self.store_state(at) == StoreState::Refusing {
+            return self.watch_failed(at);
         }
         let watch = Watch {
-            since: self.now,
-            held: self.nodes[at].core.watch_timeout().0,
+            started: self.now,
+            hold: self.nodes[at].core.watch_timeout().0,
             lost: false,
         };
-        self.wait(at, watch);
+        self.poll_watch(at, watch);
     }
 
-    fn wait(&mut self, at: usize, mut watch: Watch) {
-        watch.lost |= self.store(at) == Store::Silent;
+    fn poll_watch(&mut self, at: usize, mut watch: Watch) {
+        watch.lost |= self.store_state(at) == StoreState::Unresponsive;
         self.nodes[at].watch = Some(watch);
-        if watch.lost || self.store(at) == Store::Refuses {
-            if self.now >= watch.since + watch.held + MARGIN {
-                self.fail(at);
+        if watch.lost || self.store_state(at) == StoreState::Refusing {
+            if self.now >= watch.started + watch.hold + WATCH_MARGIN_MS {
+                self.watch_failed(at);
             }
             return;
         }
@@ -353,48 +367,56 @@
         let count = if first { self.nodes.len() } else { 0 };
         let node = &mut self.nodes[at];
         let changed = revision > node.core.store_revision();
-        if !changed && self.now < watch.since + watch.held {
+        if !changed && self.now < watch.started + watch.hold {
             return;
         }
         node.watch = None;
-        node.pause = 100;
+        node.watch_backoff = 100;
         node.core.store_call_succeeded();
         if changed {
             let names = (0..count).map(|it| format!("i{it}"));
-            let news = names.map(|it| StoreUpdate::Instance(it.clone(), location(&it, "a")));
+            let updates = names.map(|it| StoreUpdate::Instance(it.clone(), location(&it, "a")));
             node.core
-                .apply_updates(Millis(self.now), revision, news.collect());
+                .apply_updates(Millis(self.now), revision, updates.collect());
             if !first {
-                node.rests = self.now + node.core.update_batch_delay().0;
+                node.watch_due = self.now + node.core.update_batch_delay().0;
             }
         }
     }
 
-    fn fail(&mut self, at: usize) {
+    fn watch_failed(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.watch = None;
         node.core.store_call_failed(Millis(self.now));
-        node.rests = self.now + node.pause;
-        node.pause = (node.pause * 2).min(500);
+        node.watch_due = self.now + node.watch_backoff;
+        node.watch_backoff = (node.watch_backoff * 2).min(500);
     }
 
-    fn tell(&mut self, at: usize) {
-        let whole = (self.now + 10 * at as u64).is_multiple_of(WHOLE);
-        let report = self.nodes[at].core.next_report(Millis(self.now), whole);
+    fn send_reports(&mut self, at: usize) {
+        let full = (self.now + 10 * at as u64).is_multiple_of(FULL_REPORT_INTERVAL_MS);
+        let report = self.nodes[at].core.next_report(Millis(self.now), full);
         let listed = self.nodes[at].core.other_instances();
-        let (members, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
-        let members: Vec<usize> = members.iter().map(|row| instance_number(row.0)).collect();
+        let (shard_peers, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
+        let shard_peers: Vec<usize> = shard_peers
+            .iter()
+            .map(|row| instance_number(row.0))
+            .collect();
         let others: Vec<usize> = others.iter().map(|row| instance_number(row.0)).collect();
-        let some = others.choose_multiple(&mut self.rng, OTHERS).copied();
-        let to: Vec<usize> = members.into_iter().chain(some.filter(|_| whole)).collect();
+        let selected = others
+            .choose_multiple(&mut self.rng, CROSS_SHARD_RECEIVERS)
+            .copied();
+        let to: Vec<usize> = shard_peers
+            .into_iter()
+            .chain(selected.filter(|_| full))
+            .collect();
         for to in to {
-            let lost = self.trouble == Trouble::Wild && self.rng.random_bool(0.05);
-            if lost || self.cut(at, to) {
+            let lost = self.faults == Faults::Mixed && self.rng.random_bool(0.05);
+            if lost || self.is_cut(at, to) {
                 continue;
             }
             let due = self.now + self.rng.random_range(1..30);
             let report = report.clone();
-            self.letters.push(Letter {
+            self.in_flight.push(InFlightReport {
                 due,
                 from: at,
                 to,
@@ -403,45 +425,50 @@
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_reports(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.letters)
+        let (arrived, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|it| it.due <= now);
-        self.letters = later;
-        for letter in due {
-            let node = &mut self.nodes[letter.to];
-            if node.frozen > now {
+        self.in_flight = later;
+        for delivery in arrived {
+            let node = &mut self.nodes[delivery.to];
+            if node.frozen_until > now {
                 continue;
             }
-            let revision = letter.report.revision;
-            node.core.receive_report(Millis(now), letter.report);
+            let revision = delivery.report.revision;
+            node.core.receive_report(Millis(now), delivery.report);
             let avoided = node
-                .failed
-                .is_some_and(|it| it.0 == letter.from && now < it.1 + AVOIDED);
-            let ahead = node.core.record_peer_revision(Millis(now), revision);
-            if ahead && !avoided && node.taking.is_none() {
-                let pause = if node.watch.is_some() { 150 } else { 30 };
-                node.taking = Some((now + pause, letter.from));
+                .failed_fetch
+                .is_some_and(|it| it.0 == delivery.from && now < it.1 + FAILED_PEER_BACKOFF_MS);
+            let is_newer = node.core.record_peer_revision(Millis(now), revision);
+            if is_newer && !avoided && node.fetch.is_none() {
+                let delay = if node.watch.is_some() { 150 } else { 30 };
+                node.fetch = Some((now + delay, delivery.from));
             }
         }
     }
 
-    // Whoever has been well for some time knows what was known to the store some time ago.
-    fn check(&mut self) {
-        let size = usize::from(self.nodes.len() > SMALL);
-        let due = self.now.saturating_sub(BOUND[size]);
-        let known = self.history.iter().filter(|at| **at <= due).count() as u64 - 1;
+    // Checks that each healthy instance has applied all changes that are older than the bound.
+    fn check_revisions(&mut self) {
+        let size = usize::from(self.nodes.len() > MAX_SINGLE_SHARD);
+        let written_before = self.now.saturating_sub(PROPAGATION_BOUND_MS[size]);
+        let expected = self
+            .revision_times
+            .iter()
+            .filter(|at| **at <= written_before)
+            .count() as u64
+            - 1;
         for (at, node) in self.nodes.iter().enumerate() {
-            let well = self.now >= node.well + STABLE[size];
-            if well && node.core.store_revision() < known && self.broken.len() < 5 {
+            let healthy = self.now >= node.healthy_since + HEALTHY_PERIOD_MS[size];
+            if healthy && node.core.store_revision() < expected && self.violations.len() < 5 {
                 let text = format!(
-                    "{}: i{at} knows {} of {known}, watched by {}",
+                    "{} ms: i{at} is at revision {} of {expected}, watcher {}",
                     self.now,
                     node.core.store_revision(),
                     node.core.watcher(Millis(self.now)),
                 );
-                self.broken.push(text);
+                self.violations.push(text);
             }
         }
     }
