--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -7,7 +7,7 @@
 use crate::report::WaitingRow;
 use siskinyoke_base::Millis;
 
-/// The sort key of a queued request: order, then position, then ticket.
+/// The sort key of a queued request: queue order, then virtual arrival, then ticket.
 pub type QueueKey = (QueueOrder, Millis, Ticket);
 
 /// The requests of one service that wait for a slot, sorted by their keys.
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -1,4 +1,4 @@
-//! How long a request may wait, and when a refused one should return.
+//! Queue order by service time, queue timeouts, and jitter for retries.
 
 use std::sync::Arc;
 
@@ -10,87 +10,89 @@
 use crate::latency_model::millis_to_f64;
 use siskinyoke_base::Millis;
 
-/// The part of what the latency objective leaves, less the expected time to the first part, that a
-/// request may wait for and still count as on time.
+/// The share of the latency target, less the expected response time, that a request may spend in
+/// the queue and still count as on time.
 ///
-/// Beyond it the answer would be late, and a late answer takes the place of one that could be on time. The
-/// tenth that is left covers what that time scatters by.
+/// After a longer wait the response would be late, and would use a slot that another request needs to
+/// be on time. The remaining tenth covers the variance of the response time.
 const ON_TIME_RATIO: f64 = 0.9;
 
-/// The part of a request's own time on an endpoint by which it stands behind shorter ones.
+/// The penalty for long requests in the queue order, as a share of the service time.
 ///
-/// A fifth puts work of two seconds behind all that comes within the next four tenths.
+/// With a fifth, a request of two seconds goes behind short ones that arrive up to 0.4 seconds later.
 const LENGTH_PENALTY_RATIO: f64 = 0.2;
 
-/// The most of it, as a part of the objective: long work that has waited for so long stands before short
-/// work that comes now, so that none waits for ever.
+/// The largest penalty, as a share of the latency target.
+///
+/// A long request that has waited for that time goes before any short one that arrives now, so that
+/// long requests do not starve.
 const MAX_PENALTY_RATIO: f64 = 0.4;
 
-/// Returns the turn of a request among those of its order.
+/// Returns the arrival time that determines a request's position among those of the same order.
 ///
-/// Where more is asked for than there are places, short work first serves more callers in time; times on an
-/// endpoint differ a hundredfold.
-pub(crate) fn virtual_arrival(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
-    let max_penalty = millis_to_f64(pending.route.latency_target) * MAX_PENALTY_RATIO;
-    let penalty = (millis_to_f64(load.service_time_of(&pending.tokens)) * LENGTH_PENALTY_RATIO)
+/// Under overload, more callers are served in time if short requests go first: service times differ
+/// a hundredfold.
+pub(crate) fn virtual_arrival(request: &ScheduledRequest, latency: LatencyModel) -> Millis {
+    let max_penalty = millis_to_f64(request.route.latency_target) * MAX_PENALTY_RATIO;
+    let penalty = (millis_to_f64(latency.service_time_of(&request.tokens)) * LENGTH_PENALTY_RATIO)
         .min(max_penalty);
-    pending
+    request
         .arrived
         .since(millis_from_f64(max_penalty - penalty))
 }
 
-/// Returns how long a request may wait and still be of use.
+/// Returns how long a request may wait in the queue and still be on time.
 ///
-/// What lost its first endpoint is served even late, up to the time that its own run needs. All other work
-/// waits only as long as its answer can still be on time, whatever its rank: served first come first
-/// served, urgent work is all late in a peak.
-pub(crate) fn queue_timeout(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
-    let whole = max_wait(pending, load);
-    if is_retry(pending) {
-        return whole;
+/// A retried request is served even if it is late, as long as its caller waits for it. Any other
+/// request waits only while its response can still be on time, whatever its priority: in plain order
+/// of arrival, all urgent requests would be late during a peak.
+pub(crate) fn queue_timeout(request: &ScheduledRequest, latency: LatencyModel) -> Millis {
+    let max_wait = max_wait(request, latency);
+    if is_retry(request) {
+        return max_wait;
     }
-    let response_time = if pending.route.kind == Kind::Stream {
-        load.first_part_time(&pending.tokens)
+    let response_time = if request.route.kind == Kind::Stream {
+        latency.first_part_time(&request.tokens)
     } else {
-        load.mean_service_time()
+        latency.mean_service_time()
     };
     let slack =
-        pending.route.latency_target.since(response_time).as_secs() * 1000.0 * ON_TIME_RATIO;
-    whole.min(millis_from_f64(slack))
+        request.route.latency_target.since(response_time).as_secs() * 1000.0 * ON_TIME_RATIO;
+    max_wait.min(millis_from_f64(slack))
 }
 
-/// Returns how long a request may wait whose answer will be late: half of its time, so that its
-/// caller has the other half to come back in.
-pub(crate) fn late_timeout(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
-    Millis(pending.deadline.since(pending.arrived).0 / 2).min(max_wait(pending, load))
+/// Returns how long a late request may wait in the queue: at most half of the time to its deadline,
+/// so that its caller can retry in the other half.
+pub(crate) fn late_timeout(request: &ScheduledRequest, latency: LatencyModel) -> Millis {
+    Millis(request.deadline.since(request.arrived).0 / 2).min(max_wait(request, latency))
 }
 
-// The longest wait after which the caller is still there for the answer.
-pub(crate) fn max_wait(pending: &ScheduledRequest, load: LatencyModel) -> Millis {
-    let whole = pending
+// Returns the longest wait after which the caller still waits for the response.
+pub(crate) fn max_wait(request: &ScheduledRequest, latency: LatencyModel) -> Millis {
+    let until_deadline = request
         .deadline
-        .since(pending.arrived)
-        .since(load.mean_service_time());
-    whole.min(
-        pending
+        .since(request.arrived)
+        .since(latency.mean_service_time());
+    until_deadline.min(
+        request
             .route
             .caller_timeout()
-            .since(load.first_part_time(&pending.tokens)),
+            .since(latency.first_part_time(&request.tokens)),
     )
 }
 
-// Whether every endpoint that could take a request was tried for it: no wait can help then.
-pub(crate) fn all_tried(pending: &ScheduledRequest, fit: &[Arc<Endpoint>]) -> bool {
-    !pending.tried.is_empty() && fit.iter().all(|it| pending.tried.contains(&it.key()))
+// Returns whether a request was sent to every eligible endpoint, so that waiting cannot help.
+pub(crate) fn all_tried(request: &ScheduledRequest, eligible: &[Arc<Endpoint>]) -> bool {
+    !request.tried.is_empty() && eligible.iter().all(|it| request.tried.contains(&it.key()))
 }
 
-// Whether a request waits as long as its caller does: one that lost its endpoint has waited before.
-pub(crate) fn is_retry(pending: &ScheduledRequest) -> bool {
-    !pending.tried.is_empty()
+// Returns whether an earlier attempt at the request failed.
+pub(crate) fn is_retry(request: &ScheduledRequest) -> bool {
+    !request.tried.is_empty()
 }
 
-// Spreads returns over half as much time again, so that callers refused together do not return
-// together.
-pub(crate) fn with_jitter(after: Millis, pending: &ScheduledRequest) -> Millis {
-    after + Millis(after.0 * (pending.fingerprint % 64) / 128)
+// Adds up to half of the delay as jitter, so that callers that are refused together do not retry at
+// the same time.
+pub(crate) fn with_jitter(after: Millis, request: &ScheduledRequest) -> Millis {
+    after + Millis(after.0 * (request.fingerprint % 64) / 128)
 }
