--- a/crates/siskinyoke-dispatch/tests/histories/main.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/main.rs
@@ -1,8 +1,8 @@
-//! Random histories of several instances before shared endpoints, in virtual time.
+//! Random histories of several instances in front of shared endpoints, in virtual time.
 //!
-//! Instances are killed, start again, are cut off from each other and lose reports; endpoints crash
-//! and come back as new starts. What callers and endpoints see is checked against the promises.
-//! `SEEDS=FROM..TO` plays other seeds than those of every run.
+//! Instances are killed, restarted and partitioned, and reports between them are lost; endpoints
+//! crash and restart. What callers and endpoints observe is checked against the guarantees.
+//! `SEEDS=FROM..TO` runs other seeds than the default ones.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,12 +14,12 @@
 use crate::world::Scenario;
 use crate::world::Simulation;
 
-fn check_histories(usual: Range<u64>, trouble: Scenario) {
-    for seed in seeds(usual) {
-        let mut world = Simulation::new(seed, trouble);
-        world.run();
-        let broken = world.violations();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+fn check_histories(default_seeds: Range<u64>, scenario: Scenario) {
+    for seed in seeds(default_seeds) {
+        let mut simulation = Simulation::new(seed, scenario);
+        simulation.run();
+        let violations = simulation.violations();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
 
@@ -28,14 +28,15 @@
     check_histories(0..150, Scenario::RandomFaults);
 }
 
-// One request crashes each endpoint that runs it, and its caller sends it again, elsewhere. Each
-// crash takes down what runs beside it; without the news between instances it goes on for ever.
+// Guards against a request that crashes every endpoint that runs it. Its callers keep sending it to
+// random instances, and each crash aborts the other requests on the endpoint. Unless instances tell
+// each other of the crashes, this never stops.
 #[test]
 fn histories_with_a_poison_request_keep_the_guarantees() {
     check_histories(0..150, Scenario::PoisonRequest);
 }
 
-// More arrives than endpoints can take, for as long as the history lasts.
+// The arrival rate exceeds the capacity of the endpoints for the whole history.
 #[test]
 fn overloaded_histories_keep_the_guarantees() {
     check_histories(0..100, Scenario::Overload);
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -1,4 +1,4 @@
-//! Instances, endpoints and callers in virtual time.
+//! Simulation of instances, endpoints and callers in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -26,29 +26,31 @@
 const ENDPOINT_COUNT: usize = 4;
 const SLOTS_PER_ENDPOINT: u32 = 2;
 
-/// How long a history lasts; callers stop one longest wait before its end.
+/// Length of a history. Arrivals stop early enough for every request to end within it.
 const HISTORY_LENGTH_MS: u64 = 20_000;
 const STEP_MS: u64 = 10;
 
-/// How long callers wait.
+/// Longest deadline of a caller.
 const MAX_DEADLINE_MS: u64 = 5_000;
 
-/// The work that crashes endpoints.
+/// Fingerprint of the request that crashes endpoints.
 const POISON_FINGERPRINT: u64 = 666;
 
-/// Endpoints that one content may crash, and how long until every instance knows: two whole reports'
-/// spacing less a step, and their way.
+/// Number of endpoints that a request may crash before it is quarantined.
 const CRASHES_TO_QUARANTINE: usize = 2;
+
+/// Time until every instance knows of a crash: the interval between two full reports less one step,
+/// plus transit.
 const PROPAGATION_MS: u64 = 250;
 
 /// What goes wrong in a history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Kills, cuts, lost reports, crashes and changes of the configuration.
+    /// Killed instances, partitions, lost reports, endpoint crashes and configuration changes.
     RandomFaults,
-    /// One content crashes what runs it; nothing else goes wrong.
+    /// One request crashes every endpoint that runs it; no other faults.
     PoisonRequest,
-    /// Too much work; nothing else goes wrong.
+    /// Requests exceed the capacity of the endpoints; no other faults.
     Overload,
 }
 
@@ -58,7 +60,7 @@
     Completed,
     NotRun(RefusalReason),
     MayHaveRun,
-    // Its instance was killed.
+    // The instance was killed.
     ConnectionLost,
 }
 
@@ -70,18 +72,20 @@
     ticket: Option<Ticket>,
     deadline: u64,
     has_run: bool,
-    // Times it was taken in by an endpoint, and times that one crashed under it.
+    // Number of attempts that an endpoint accepted.
     run_count: usize,
+    // Number of attempts during which the endpoint crashed.
     crash_count: usize,
-    result: Option<(u64, Ending)>,
+    // Time and kind of its end.
+    end: Option<(u64, Ending)>,
 }
 
 #[derive(Debug)]
 struct SimulatedEndpoint {
     endpoint: Endpoint,
-    // Requests it runs, by their number, with their ends and whether these are successes.
+    // Request number, end time and success of each running request.
     running: Vec<(usize, u64, bool)>,
-    // Crashed until then.
+    // When a crashed endpoint is back.
     down_until: Option<u64>,
 }
 
@@ -91,7 +95,7 @@
     report: Report,
 }
 
-/// Instances, endpoints and callers in virtual time.
+/// Simulation of instances, endpoints and callers in virtual time.
 pub struct Simulation {
     rng: ChaCha8Rng,
     scenario: Scenario,
@@ -100,11 +104,13 @@
     seen_versions: Vec<u64>,
     endpoints: Vec<SimulatedEndpoint>,
     requests: Vec<SimulatedRequest>,
+    // Request number by instance and ticket.
     tickets: BTreeMap<(usize, Ticket), usize>,
     in_flight: Vec<InFlightReport>,
+    // Sender, recipient and end of each one-way partition.
     partitions: Vec<(usize, usize, u64)>,
     latest_version: u64,
-    // When the poison was sent to an endpoint, and when it crashed one.
+    // When the poison request was sent to an endpoint, and when it crashed one.
     poison_sent: Vec<u64>,
     poison_crashes: Vec<u64>,
     violations: Vec<String>,
@@ -112,19 +118,19 @@
 
 impl Simulation {
     /// Starts all instances and endpoints.
-    pub fn new(seed: u64, trouble: Scenario) -> Self {
-        let machines = (0..ENDPOINT_COUNT).map(|at| SimulatedEndpoint {
+    pub fn new(seed: u64, scenario: Scenario) -> Self {
+        let endpoints = (0..ENDPOINT_COUNT).map(|at| SimulatedEndpoint {
             endpoint: endpoint(&format!("e{at}"), SLOTS_PER_ENDPOINT),
             running: Vec::new(),
             down_until: None,
         });
-        let mut world = Self {
+        let mut simulation = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            scenario: trouble,
+            scenario,
             now: 0,
             cores: Vec::new(),
             seen_versions: vec![0; INSTANCE_COUNT],
-            endpoints: machines.collect(),
+            endpoints: endpoints.collect(),
             requests: Vec::new(),
             tickets: BTreeMap::new(),
             in_flight: Vec::new(),
@@ -134,13 +140,13 @@
             poison_crashes: Vec::new(),
             violations: Vec::new(),
         };
-        world.cores = (0..INSTANCE_COUNT)
-            .map(|at| world.start_instance(at))
+        simulation.cores = (0..INSTANCE_COUNT)
+            .map(|at| simulation.start_instance(at))
             .collect();
-        world
+        simulation
     }
 
-    /// Plays the history to its end.
+    /// Runs the history to its end.
     pub fn run(&mut self) {
         while self.now < HISTORY_LENGTH_MS {
             self.now += STEP_MS;
@@ -156,22 +162,31 @@
         }
     }
 
-    /// Returns each broken promise, in words.
+    /// Returns a description of each violated guarantee.
     pub fn violations(&mut self) -> Vec<String> {
-        for (number, job) in self.requests.iter().enumerate() {
-            let once = job.path == "/unsafe/";
-            if once && job.run_count > 1 {
-                let text = format!("{number} may run once and ran {} times", job.run_count);
+        for (number, request) in self.requests.iter().enumerate() {
+            let run_once = request.path == "/unsafe/";
+            if run_once && request.run_count > 1 {
+                let text = format!(
+                    "request {number} may run once and ran {} times",
+                    request.run_count
+                );
                 self.violations.push(text);
             }
-            match job.result {
-                None => self.violations.push(format!("{number} never ended")),
-                Some((at, _)) if at > job.deadline + STEP_MS => {
-                    self.violations
-                        .push(format!("{number} ended at {at}, too late"));
+            match request.end {
+                None => self
+                    .violations
+                    .push(format!("request {number} never ended")),
+                Some((at, _)) if at > request.deadline + STEP_MS => {
+                    self.violations.push(format!(
+                        "request {number} ended at {at} ms, after its deadline"
+                    ));
                 }
-                Some((_, Ending::NotRun(reason))) if job.run_count > 0 => {
-                    let text = format!("{number} ran {} times, told {reason:?}", job.run_count);
+                Some((_, Ending::NotRun(reason))) if request.run_count > 0 => {
+                    let text = format!(
+                        "request {number} ran {} times, reported as not run: {reason:?}",
+                        request.run_count
+                    );
                     self.violations.push(text);
                 }
                 Some(_) => {}
@@ -181,7 +196,8 @@
         std::mem::take(&mut self.violations)
     }
 
-    // Nobody runs the poison once all can know of it, and who ran beside it once is no suspect.
+    // Checks that no instance sends the poison request once all must know of its crashes, and that
+    // no request is quarantined for a single crash.
     fn check_poison(&mut self) {
         self.poison_crashes.sort_unstable();
         let known = self
@@ -193,30 +209,33 @@
             .iter()
             .filter(|at| known.is_some_and(|it| **at > it));
         if self.scenario == Scenario::PoisonRequest {
-            let late: Vec<String> = late
-                .map(|at| format!("the poison was sent at {at}, known since {known:?}"))
+            let messages: Vec<String> = late
+                .map(|at| format!("poison request sent at {at} ms, known since {known:?} ms"))
                 .collect();
-            self.violations.extend(late);
-        }
-        let crashes = |print| {
-            let same = self.requests.iter().filter(|job| job.fingerprint == print);
-            same.map(|job| job.crash_count).sum::<usize>()
+            self.violations.extend(messages);
+        }
+        let crashes = |fingerprint| {
+            let same = self
+                .requests
+                .iter()
+                .filter(|request| request.fingerprint == fingerprint);
+            same.map(|request| request.crash_count).sum::<usize>()
         };
-        for (number, job) in self.requests.iter().enumerate() {
-            let suspect = matches!(
-                job.result,
+        for (number, request) in self.requests.iter().enumerate() {
+            let quarantined = matches!(
+                request.end,
                 Some((_, Ending::NotRun(RefusalReason::Quarantined)))
             );
-            if suspect && crashes(job.fingerprint) < 2 {
-                let text = format!("{number} crashed nothing twice and is held for a suspect");
+            if quarantined && crashes(request.fingerprint) < 2 {
+                let text = format!("request {number} is quarantined without two crashes");
                 self.violations.push(text);
             }
         }
     }
 
-    fn start_instance(&mut self, at: usize) -> Core {
+    fn start_instance(&mut self, index: usize) -> Core {
         let source = self.rng.random();
-        let mut core = Core::new(identity(&format!("i{at}"), source));
+        let mut core = Core::new(identity(&format!("i{index}"), source));
         let now = Millis(self.now);
         core.configure(
             now,
@@ -226,12 +245,12 @@
             let name = format!("i{other}");
             core.list(&name, place(&name, "a"));
         }
-        for machine in &self.endpoints {
-            if machine.down_until.is_none() {
-                core.registry().put(now, machine.endpoint.clone());
+        for simulated in &self.endpoints {
+            if simulated.down_until.is_none() {
+                core.registry().put(now, simulated.endpoint.clone());
             }
         }
-        self.seen_versions[at] = 0;
+        self.seen_versions[index] = 0;
         core
     }
 
@@ -253,7 +272,7 @@
             self.partitions.push((from, to, until));
         }
         if self.rng.random_bool(0.005) {
-            // Now and then the store shows an older one.
+            // The store sometimes returns an older version.
             let version = self
                 .latest_version
                 .saturating_sub(self.rng.random_range(0..3))
@@ -271,28 +290,30 @@
         self.rng.random_range(0..count)
     }
 
-    // Its connections close: callers see theirs break, and endpoints stop what it had sent.
-    fn restart_instance(&mut self, at: usize) {
-        for job in &mut self.requests {
-            if job.instance == at && job.result.is_none() {
-                job.result = Some((self.now, Ending::ConnectionLost));
+    // Its connections close: callers lose their requests, and endpoints abort the attempts.
+    fn restart_instance(&mut self, index: usize) {
+        for request in &mut self.requests {
+            if request.instance == index && request.end.is_none() {
+                request.end = Some((self.now, Ending::ConnectionLost));
             }
         }
-        self.tickets.retain(|key, _| key.0 != at);
-        let jobs = &self.requests;
-        for machine in &mut self.endpoints {
-            machine.running.retain(|it| jobs[it.0].instance != at);
+        self.tickets.retain(|key, _| key.0 != index);
+        let requests = &self.requests;
+        for simulated in &mut self.endpoints {
+            simulated
+                .running
+                .retain(|it| requests[it.0].instance != index);
         }
-        self.cores[at] = self.start_instance(at);
+        self.cores[index] = self.start_instance(index);
     }
 
-    fn crash_endpoint(&mut self, at: usize) {
-        if self.endpoints[at].down_until.is_some() {
+    fn crash_endpoint(&mut self, index: usize) {
+        if self.endpoints[index].down_until.is_some() {
             return;
         }
-        let back = self.now + self.rng.random_range(300..2_000);
-        self.endpoints[at].down_until = Some(back);
-        for (number, _, _) in std::mem::take(&mut self.endpoints[at].running) {
+        let down_until = self.now + self.rng.random_range(300..2_000);
+        self.endpoints[index].down_until = Some(down_until);
+        for (number, _, _) in std::mem::take(&mut self.endpoints[index].running) {
             self.requests[number].crash_count += 1;
             self.finish_attempt(number, Outcome::Broken);
         }
@@ -302,45 +323,45 @@
         if self.now + MAX_DEADLINE_MS + 1_000 > HISTORY_LENGTH_MS {
             return;
         }
-        // Eight places and some 220 ms of work: 0.36 in a step fill them.
-        let rate = if self.scenario == Scenario::Overload {
+        // Eight slots and a mean service time of 220 ms: 0.36 requests a step saturate them.
+        let arrivals_per_step = if self.scenario == Scenario::Overload {
             0.8
         } else {
             0.25
         };
-        if self.rng.random_bool(rate) {
-            let print = self.requests.len() as u64 + 1_000;
-            self.submit(print);
+        if self.rng.random_bool(arrivals_per_step) {
+            let fingerprint = self.requests.len() as u64 + 1_000;
+            self.submit(fingerprint);
         }
         if self.scenario == Scenario::PoisonRequest && self.rng.random_bool(0.01) {
             self.submit(POISON_FINGERPRINT);
         }
     }
 
-    fn submit(&mut self, print: u64) {
+    fn submit(&mut self, fingerprint: u64) {
         let path = ["/safe/", "/unsafe/", "/stream/"][self.random_index(3)];
         let instance = self.random_index(INSTANCE_COUNT);
         let now = Millis(self.now);
         let number = self.requests.len();
-        let wanted = IncomingRequest {
+        let incoming = IncomingRequest {
             deadline: Some(Millis(self.rng.random_range(500..=MAX_DEADLINE_MS))),
             ..request(path)
         };
         let core = &mut self.cores[instance];
         let pass = core
-            .route(now, wanted)
+            .route(now, incoming)
             .expect("the key and the route are known");
-        let admitted = core.admit(now, &pass, print);
+        let admitted = core.admit(now, &pass, fingerprint);
         self.requests.push(SimulatedRequest {
             path,
-            fingerprint: print,
+            fingerprint,
             instance,
             ticket: admitted.ok(),
             deadline: pass.until.0,
             has_run: false,
             run_count: 0,
             crash_count: 0,
-            result: admitted
+            end: admitted
                 .err()
                 .map(|it| (self.now, Ending::NotRun(it.reason))),
         });
@@ -349,33 +370,33 @@
         }
     }
 
-    // Endpoints finish what they run, and come back after a crash.
+    // Finishes due requests, and restarts crashed endpoints.
     fn run_endpoints(&mut self) {
         for at in 0..ENDPOINT_COUNT {
-            let machine = &mut self.endpoints[at];
-            if machine.down_until.is_some_and(|back| back <= self.now) {
-                machine.down_until = None;
-                machine.endpoint.born += 1;
+            let simulated = &mut self.endpoints[at];
+            if simulated.down_until.is_some_and(|until| until <= self.now) {
+                simulated.down_until = None;
+                simulated.endpoint.born += 1;
                 for core in &mut self.cores {
                     core.registry()
-                        .put(Millis(self.now), machine.endpoint.clone());
+                        .put(Millis(self.now), simulated.endpoint.clone());
                 }
             }
             let now = self.now;
-            let (over, running) = machine.running.iter().partition(|it| it.1 <= now);
-            machine.running = running;
-            for (number, _, good) in over {
+            let (finished, running) = simulated.running.iter().partition(|it| it.1 <= now);
+            simulated.running = running;
+            for (number, _, succeeds) in finished {
                 if self.requests[number].fingerprint == POISON_FINGERPRINT {
-                    self.endpoints[at].running.push((number, now, good));
+                    self.endpoints[at].running.push((number, now, succeeds));
                     self.poison_crashes.push(now);
                     self.crash_endpoint(at);
                     break;
                 }
                 let took = Millis(200);
-                let outcome = if good {
+                let outcome = if succeeds {
                     Outcome::Done {
                         first: took,
-                        took: took,
+                        took,
                         parts: 0,
                         pause: Millis::ZERO,
                     }
@@ -411,49 +432,51 @@
     }
 
     fn dispatch(&mut self, number: usize, endpoint: &Endpoint) {
-        let place = self
+        let position = self
             .endpoints
             .iter()
             .position(|it| it.endpoint.id == endpoint.id);
-        let at = place.expect("an endpoint of this world");
-        let machine = &mut self.endpoints[at];
-        if machine.down_until.is_some() {
+        let at = position.expect("an endpoint of this simulation");
+        let target = &mut self.endpoints[at];
+        if target.down_until.is_some() {
             return self.finish_attempt(number, Outcome::Unreached);
         }
-        if machine.endpoint.born != endpoint.born {
+        if target.endpoint.born != endpoint.born {
             return self.finish_attempt(number, Outcome::Moved);
         }
-        if machine.running.len() >= SLOTS_PER_ENDPOINT as usize {
+        if target.running.len() >= SLOTS_PER_ENDPOINT as usize {
             return self.finish_attempt(number, Outcome::Full);
         }
         if self.requests[number].fingerprint == POISON_FINGERPRINT {
             self.poison_sent.push(self.now);
         }
-        let span = self.rng.random_range(40..400);
-        let good = self.rng.random_bool(0.95);
-        machine.running.push((number, self.now + span, good));
+        let service_time = self.rng.random_range(40..400);
+        let succeeds = self.rng.random_bool(0.95);
+        target
+            .running
+            .push((number, self.now + service_time, succeeds));
         self.requests[number].has_run = true;
         self.requests[number].run_count += 1;
     }
 
     fn finish_attempt(&mut self, number: usize, outcome: Outcome) {
-        let job = &mut self.requests[number];
-        let (None, Some(ticket)) = (job.result, job.ticket) else {
+        let request = &mut self.requests[number];
+        let (None, Some(ticket)) = (request.end, request.ticket) else {
             return;
         };
-        let instance = job.instance;
+        let instance = request.instance;
         self.tickets.remove(&(instance, ticket));
         let done = matches!(outcome, Outcome::Done { .. });
-        let again = self.cores[instance].record_outcome(Millis(self.now), ticket, outcome, !done);
-        let job = &mut self.requests[number];
-        job.ticket = again;
-        match again {
+        let retry = self.cores[instance].record_outcome(Millis(self.now), ticket, outcome, !done);
+        let request = &mut self.requests[number];
+        request.ticket = retry;
+        match retry {
             Some(ticket) => {
                 self.tickets.insert((instance, ticket), number);
             }
-            None if done => job.result = Some((self.now, Ending::Completed)),
-            None if job.has_run => job.result = Some((self.now, Ending::MayHaveRun)),
-            None => job.result = Some((self.now, Ending::NotRun(RefusalReason::EndpointRejected))),
+            None if done => request.end = Some((self.now, Ending::Completed)),
+            None if request.has_run => request.end = Some((self.now, Ending::MayHaveRun)),
+            None => request.end = Some((self.now, Ending::NotRun(RefusalReason::EndpointRejected))),
         }
     }
 
@@ -462,24 +485,27 @@
         if reason == RefusalReason::Displaced {
             self.check_displaced(number);
         }
-        let job = &mut self.requests[number];
-        let end = if job.has_run {
+        let request = &mut self.requests[number];
+        let ending = if request.has_run {
             Ending::MayHaveRun
         } else {
             Ending::NotRun(reason)
         };
-        job.result = Some((self.now, end));
+        request.end = Some((self.now, ending));
         self.tickets
-            .retain(|key, held| key.0 != instance || *held != number);
+            .retain(|key, value| key.0 != instance || *value != number);
     }
 
-    // Only more urgent work may take a place in the queue; all has the same tier here, so that only
-    // work that can still be on time may push out what cannot.
+    // Only a more urgent request may displace a queued one. As all have the same priority here, only
+    // one that can still meet its deadline may displace one that cannot.
     fn check_displaced(&mut self, number: usize) {
-        let job = &self.requests[number];
-        let waiting = self.tickets.iter().filter(|(key, _)| key.0 == job.instance);
+        let request = &self.requests[number];
+        let waiting = self
+            .tickets
+            .iter()
+            .filter(|(key, _)| key.0 == request.instance);
         if waiting.count() == 0 {
-            let text = format!("{number} was pushed out of an empty queue");
+            let text = format!("request {number} was displaced from an empty queue");
             self.violations.push(text);
         }
     }
@@ -487,8 +513,8 @@
     fn exchange_reports(&mut self) {
         if self.now.is_multiple_of(50) {
             for from in 0..INSTANCE_COUNT {
-                let whole = self.now.is_multiple_of(200);
-                let report = self.cores[from].report(Millis(self.now), whole);
+                let full = self.now.is_multiple_of(200);
+                let report = self.cores[from].report(Millis(self.now), full);
                 for to in 0..INSTANCE_COUNT {
                     self.send_report(from, to, &report);
                 }
@@ -499,62 +525,71 @@
             .into_iter()
             .partition(|it| it.due_at <= now);
         self.in_flight = later;
-        for letter in due {
-            self.cores[letter.recipient].heard(Millis(now), letter.report);
+        for message in due {
+            self.cores[message.recipient].heard(Millis(now), message.report);
         }
-        self.partitions.retain(|cut| cut.2 > now);
+        self.partitions.retain(|partition| partition.2 > now);
     }
 
-    fn send_report(&mut self, from: usize, to: usize, report: &Report) {
-        let cut = self.partitions.iter().any(|it| (it.0, it.1) == (from, to));
+    fn send_report(&mut self, from: usize, recipient: usize, report: &Report) {
+        let partitioned = self
+            .partitions
+            .iter()
+            .any(|it| (it.0, it.1) == (from, recipient));
         let lost = self.scenario == Scenario::RandomFaults && self.rng.random_bool(0.1);
-        if from == to || cut || lost {
+        if from == recipient || partitioned || lost {
             return;
         }
-        let due = self.now + self.rng.random_range(1..30);
+        let due_at = self.now + self.rng.random_range(1..30);
         let report = report.clone();
         self.in_flight.push(InFlightReport {
-            due_at: due,
-            recipient: to,
+            due_at,
+            recipient,
             report,
         });
     }
 
     fn expire_requests(&mut self) {
         for number in 0..self.requests.len() {
-            let job = &mut self.requests[number];
-            if job.result.is_some() || job.deadline > self.now {
+            let request = &mut self.requests[number];
+            if request.end.is_some() || request.deadline > self.now {
                 continue;
             }
-            let (instance, ticket) = (job.instance, job.ticket);
-            let end = if job.has_run {
+            let (instance, ticket) = (request.instance, request.ticket);
+            let ending = if request.has_run {
                 Ending::MayHaveRun
             } else {
                 Ending::NotRun(RefusalReason::QueueTimeout)
             };
-            job.result = Some((self.now, end));
+            request.end = Some((self.now, ending));
             if let Some(ticket) = ticket {
                 self.tickets.remove(&(instance, ticket));
                 self.cores[instance].cancel(Millis(self.now), ticket);
-                for machine in &mut self.endpoints {
-                    machine.running.retain(|it| it.0 != number);
+                for simulated in &mut self.endpoints {
+                    simulated.running.retain(|it| it.0 != number);
                 }
             }
         }
     }
 
-    // What holds at every moment.
+    // Checks what must hold at every step.
     fn check_invariants(&mut self) {
         for (at, core) in self.cores.iter().enumerate() {
             let version = core.configuration_version();
             if version < self.seen_versions[at] {
-                let text = format!("i{at} went from {} to {version}", self.seen_versions[at]);
+                let text = format!(
+                    "instance i{at} went from version {} to {version}",
+                    self.seen_versions[at]
+                );
                 self.violations.push(text);
             }
             self.seen_versions[at] = version;
-            for busy in core.scheduler().endpoint_usage() {
-                if u32::from(busy.count) > SLOTS_PER_ENDPOINT {
-                    let text = format!("i{at} runs {} at {}", busy.count, busy.endpoint);
+            for usage in core.scheduler().endpoint_usage() {
+                if u32::from(usage.count) > SLOTS_PER_ENDPOINT {
+                    let text = format!(
+                        "instance i{at} runs {} requests at endpoint {}",
+                        usage.count, usage.endpoint
+                    );
                     self.violations.push(text);
                 }
             }
