--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -12,9 +12,9 @@
 use crate::Ticket;
 use crate::latency_model::LatencyModel;
 use crate::pending::QueueOrder;
-use crate::placing::Candidate;
-use crate::placing::Placing;
-use crate::placing::Query;
+use crate::placement::Candidate;
+use crate::placement::EndpointSelector;
+use crate::placement::PlacementQuery;
 use crate::queue::QueueKey;
 use crate::report::WaitingRow;
 use crate::report::short_hash;
@@ -47,16 +47,16 @@
     // Where that version has no slot, the standing one serves what was drawn for it.
     fn pick(
         &mut self,
-        placing: &Placing,
-        query: &Query<'_>,
+        placing: &EndpointSelector,
+        query: &PlacementQuery<'_>,
         usual: bool,
     ) -> Option<(&mut Candidate, bool)> {
         let canary = query.pending.canary;
-        let canary = canary.then(|| placing.best(query, &self.canaries, true));
+        let canary = canary.then(|| placing.select(query, &self.canaries, true));
         if let Some(at) = canary.flatten() {
             return Some((&mut self.canaries[at], true));
         }
-        let at = placing.best(query, &self.free, usual)?;
+        let at = placing.select(query, &self.free, usual)?;
         Some((&mut self.free[at], false))
     }
 
@@ -64,7 +64,7 @@
     fn has_private_slots(&self) -> bool {
         let free = self.free.iter();
         let mut own = free.filter(|it| it.slow || it.reserved);
-        own.any(|it| it.left > 0) || self.canaries.iter().any(|it| it.left > 0)
+        own.any(|it| it.free_slots > 0) || self.canaries.iter().any(|it| it.free_slots > 0)
     }
 }
 
@@ -91,10 +91,10 @@
             }
             let pending = &self.waiting[&ticket];
             let timeout = pending.arrived + wait::queue_timeout(pending, load);
-            let query = Query {
+            let query = PlacementQuery {
                 now,
                 pending,
-                load: &load,
+                latency_model: &load,
                 can_wait: !pending.late && now < timeout,
             };
             let Some((candidate, canary)) = open.pick(&self.placing, &query, usual) else {
@@ -102,8 +102,8 @@
             };
             let endpoint = candidate.endpoint.clone();
             let ahead = backlog(candidate, load);
-            candidate.left -= 1;
-            candidate.unread += pending.tokens.prompt;
+            candidate.free_slots -= 1;
+            candidate.unread_tokens += pending.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -116,8 +116,11 @@
         service: &str,
         waiting: usize,
     ) -> OpenEndpoints {
-        let mut free = self.candidates(view, view.registry.fit(service));
-        let slots: u32 = free.iter().map(|it| it.left.saturating_sub(it.extra)).sum();
+        let mut free = self.candidates(view, view.registry.eligible(service));
+        let slots: u32 = free
+            .iter()
+            .map(|it| it.free_slots.saturating_sub(it.queue_slots))
+            .sum();
         // As more requests wait than there are free slots, fast endpoints' queues take some of them.
         if waiting <= slots as usize {
             drop_queue_slots(&mut free);
@@ -129,7 +132,7 @@
 
     // The endpoints with free places, as far as all instances' reports tell.
     pub(super) fn free_endpoints(&self, view: &ClusterView<'_>, service: &str) -> Vec<Candidate> {
-        let mut free = self.candidates(view, view.registry.fit(service));
+        let mut free = self.candidates(view, view.registry.eligible(service));
         drop_queue_slots(&mut free);
         free
     }
@@ -141,7 +144,7 @@
             return Vec::new();
         }
         let running = view.peers.running_by_endpoint(view.now);
-        let all = awake.iter().map(|it| self.placing.pace(it.key()));
+        let all = awake.iter().map(|it| self.placing.speed_factor(it.key()));
         let fastest = all.fold(f64::INFINITY, f64::min);
         awake
             .into_iter()
@@ -158,12 +161,12 @@
                 let left = tokens.map_or(left, |tokens| left.min(tokens));
                 (left > 0).then(|| Candidate {
                     endpoint: endpoint.clone(),
-                    left,
-                    extra,
-                    unread: f64::from(ours) + f64::from(theirs),
-                    slow: self.placing.slow(key, fastest),
+                    free_slots: left,
+                    queue_slots: extra,
+                    unread_tokens: f64::from(ours) + f64::from(theirs),
+                    slow: self.placing.is_slow(key, fastest),
                     reserved: tokens.is_some(),
-                    fastest,
+                    fastest_factor: fastest,
                 })
             })
             .collect()
@@ -172,11 +175,11 @@
     // How many requests an endpoint is given at once, and how many more its queue may take.
     fn slot_limits(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
-        if self.placing.unknown(key) {
+        if self.placing.is_unobserved(key) {
             let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
             return (few.min(endpoint.slots), 0);
         }
-        let fast = self.placing.pace(key) <= MAX_FAST_SPEED_FACTOR
+        let fast = self.placing.speed_factor(key) <= MAX_FAST_SPEED_FACTOR
             && self.rate_limits.tokens(key).is_none();
         (endpoint.slots, u32::from(fast))
     }
@@ -189,7 +192,7 @@
     ) -> Vec<&'a Arc<Endpoint>> {
         let endpoints = endpoints.iter();
         endpoints
-            .filter(|it| !self.placing.resting(now, it.key()))
+            .filter(|it| !self.placing.in_backoff(now, it.key()))
             .collect()
     }
 
@@ -227,18 +230,18 @@
 // Leaves only slots.
 fn drop_queue_slots(candidates: &mut Vec<Candidate>) {
     for candidate in candidates.iter_mut() {
-        candidate.left = candidate.left.saturating_sub(candidate.extra);
-        candidate.extra = 0;
+        candidate.free_slots = candidate.free_slots.saturating_sub(candidate.queue_slots);
+        candidate.queue_slots = 0;
     }
-    candidates.retain(|it| it.left > 0);
+    candidates.retain(|it| it.free_slots > 0);
 }
 
 // What goes before a request that is sent to a candidate now.
 fn backlog(candidate: &Candidate, load: LatencyModel) -> Backlog {
-    let queued = candidate.left <= candidate.extra;
+    let queued = candidate.free_slots <= candidate.queue_slots;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
-        prefill_tokens: candidate.unread,
+        prefill_tokens: candidate.unread_tokens,
         slot_wait: Millis(if queued {
             load.mean_service_time().0 / slots
         } else {
@@ -250,7 +253,7 @@
 // Counts the free places of a usual pace that peers may use, too.
 pub(super) fn shared_slots(candidates: &[Candidate]) -> u32 {
     let usual = candidates.iter().filter(|it| !it.slow && !it.reserved);
-    usual.map(|candidate| candidate.left).sum()
+    usual.map(|candidate| candidate.free_slots).sum()
 }
 
 // Counts the peers' requests that the next free places are for, before one of ours.
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -243,7 +243,7 @@
         );
         for other in 0..INSTANCE_COUNT {
             let name = format!("i{other}");
-            core.list(&name, place(&name, "a"));
+            core.add_instance(&name, place(&name, "a"));
         }
         for simulated in &self.endpoints {
             if simulated.down_until.is_none() {
@@ -315,7 +315,7 @@
         self.endpoints[index].down_until = Some(down_until);
         for (number, _, _) in std::mem::take(&mut self.endpoints[index].running) {
             self.requests[number].crash_count += 1;
-            self.finish_attempt(number, Outcome::Broken);
+            self.finish_attempt(number, Outcome::ConnectionLost);
         }
     }
 
@@ -376,7 +376,7 @@
             let simulated = &mut self.endpoints[at];
             if simulated.down_until.is_some_and(|until| until <= self.now) {
                 simulated.down_until = None;
-                simulated.endpoint.born += 1;
+                simulated.endpoint.started_ms += 1;
                 for core in &mut self.cores {
                     core.registry()
                         .put(Millis(self.now), simulated.endpoint.clone());
@@ -394,11 +394,11 @@
                 }
                 let took = Millis(200);
                 let outcome = if succeeds {
-                    Outcome::Done {
-                        first: took,
-                        took,
+                    Outcome::Completed {
+                        to_first_part: took,
+                        total: took,
                         parts: 0,
-                        pause: Millis::ZERO,
+                        longest_pause: Millis::ZERO,
                     }
                 } else {
                     Outcome::Failed
@@ -439,10 +439,10 @@
         let at = position.expect("an endpoint of this simulation");
         let target = &mut self.endpoints[at];
         if target.down_until.is_some() {
-            return self.finish_attempt(number, Outcome::Unreached);
+            return self.finish_attempt(number, Outcome::ConnectFailed);
         }
-        if target.endpoint.born != endpoint.born {
-            return self.finish_attempt(number, Outcome::Moved);
+        if target.endpoint.started_ms != endpoint.started_ms {
+            return self.finish_attempt(number, Outcome::Misdirected);
         }
         if target.running.len() >= SLOTS_PER_ENDPOINT as usize {
             return self.finish_attempt(number, Outcome::Full);
@@ -466,15 +466,16 @@
         };
         let instance = request.instance;
         self.tickets.remove(&(instance, ticket));
-        let done = matches!(outcome, Outcome::Done { .. });
-        let retry = self.cores[instance].record_outcome(Millis(self.now), ticket, outcome, !done);
+        let completed = matches!(outcome, Outcome::Completed { .. });
+        let retry =
+            self.cores[instance].attempt_ended(Millis(self.now), ticket, outcome, !completed);
         let request = &mut self.requests[number];
         request.ticket = retry;
         match retry {
             Some(ticket) => {
                 self.tickets.insert((instance, ticket), number);
             }
-            None if done => request.end = Some((self.now, Ending::Completed)),
+            None if completed => request.end = Some((self.now, Ending::Completed)),
             None if request.has_run => request.end = Some((self.now, Ending::MayHaveRun)),
             None => request.end = Some((self.now, Ending::NotRun(RefusalReason::EndpointRejected))),
         }
@@ -526,7 +527,7 @@
             .partition(|it| it.due_at <= now);
         self.in_flight = later;
         for message in due {
-            self.cores[message.recipient].heard(Millis(now), message.report);
+            self.cores[message.recipient].receive_report(Millis(now), message.report);
         }
         self.partitions.retain(|partition| partition.2 > now);
     }
