--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -55,7 +55,7 @@
 
     pub(super) fn apply_info(&mut self, now: Millis, about: &InstanceInfo) {
         for key in &about.leaving_endpoints {
-            self.registry.left(now, *key);
+            self.registry.record_departure(now, *key);
         }
         for (print, endpoints) in &about.quarantine {
             for endpoint in endpoints {
@@ -65,7 +65,7 @@
     }
 
     /// Makes the next report to peers, with what seldom changes if `whole` is set.
-    pub fn report(&mut self, now: Millis, whole: bool) -> Report {
+    pub fn next_report(&mut self, now: Millis, whole: bool) -> Report {
         self.report_number += 1;
         let since = if whole {
             Millis::ZERO
