--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -107,7 +107,7 @@
     /// What is drawn for the new version.
     Canary,
     /// Nothing.
-    None,
+    Excluded,
 }
 
 /// The rollout of one service, as this instance sees it.
@@ -278,13 +278,13 @@
     pub fn role(&self, endpoint: &Endpoint) -> EndpointRole {
         let new = endpoint.version == self.order.version;
         if !new && self.excluded_versions.contains(&endpoint.version) {
-            return EndpointRole::None;
+            return EndpointRole::Excluded;
         }
         match (self.phase, new) {
             (Phase::Trial | Phase::Ramp, true) => EndpointRole::Canary,
-            (Phase::Moved | Phase::Completed, false) => EndpointRole::None,
+            (Phase::Moved | Phase::Completed, false) => EndpointRole::Excluded,
             // Where no other version may be used, the ordered one was standing before.
-            (Phase::RolledBack, true) if self.stable_seen => EndpointRole::None,
+            (Phase::RolledBack, true) if self.stable_seen => EndpointRole::Excluded,
             _ => EndpointRole::Serving,
         }
     }
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -77,11 +77,11 @@
     let mut rollout = begun("v2", &["v1", "v2"]);
     rollout.advance(Millis(9_000));
     assert_eq!(rollout.phase(), Phase::Moved);
-    assert_eq!(rollout.role(&of("v1")), EndpointRole::None);
+    assert_eq!(rollout.role(&of("v1")), EndpointRole::Excluded);
     rollout.withdraw();
     rollout.advance(Millis(9_001));
     assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
-    assert_eq!(rollout.role(&of("v2")), EndpointRole::None);
+    assert_eq!(rollout.role(&of("v2")), EndpointRole::Excluded);
     assert_eq!(rollout.due_state(Millis(9_001), 0), Some(State::RolledBack));
 }
 
@@ -98,7 +98,7 @@
         uses,
         [
             EndpointRole::Serving,
-            EndpointRole::None,
+            EndpointRole::Excluded,
             EndpointRole::Canary
         ]
     );
@@ -115,7 +115,7 @@
     rollout.withdraw();
     rollout.advance(Millis(12));
     let uses = endpoints.each_ref().map(|it| rollout.role(it));
-    assert_eq!(uses, [EndpointRole::Serving, EndpointRole::None]);
+    assert_eq!(uses, [EndpointRole::Serving, EndpointRole::Excluded]);
 }
 
 // A process starts after the outcome. In the store's order of keys a state may come before its order.
