--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -10,9 +10,9 @@
 use crate::core::routing::unit_fraction;
 use crate::latency_model::LatencyModel;
 use crate::report::short_hash;
+use crate::rollout::AnswerSample;
 use crate::rollout::Order;
 use crate::rollout::Phase;
-use crate::rollout::Sample;
 use crate::rollout::State;
 use crate::stable_hash;
 use siskinyoke_base::Millis;
@@ -117,7 +117,7 @@
         let Some(bad) = is_bad_answer(outcome, pending, load) else {
             return;
         };
-        let sample = Sample {
+        let sample = AnswerSample {
             route: short_hash(&pending.route.name),
             new,
             bad,
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -85,7 +85,7 @@
     /// How many of these are not slots, but places in its queue.
     pub queue_slots: u32,
     /// Prompt tokens that it has still to read.
-    pub unread_tokens: f64,
+    pub prefill_tokens: f64,
     /// Whether it takes much longer than the others.
     pub slow: bool,
     /// Whether the free places are this instance's alone, by its part of a rate limit.
@@ -262,7 +262,7 @@
                 ..Cost::default()
             };
         }
-        let unread = pending.tokens.with_backlog(candidate.unread_tokens);
+        let unread = pending.tokens.with_backlog(candidate.prefill_tokens);
         let first = latency_model.first_part_time(&unread);
         let delay = first.since(latency_model.first_part_time(&pending.tokens));
         let time = time
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -22,8 +22,8 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-pub use self::analysis::Sample;
-pub use self::analysis::Tally;
+pub use self::analysis::AnswerSample;
+pub use self::analysis::AnswerTally;
 pub use self::order::Order;
 pub use self::status::State;
 pub use self::status::Status;
@@ -131,7 +131,7 @@
     decided_at: Option<Millis>,
     // Requests that may go to the new version, with fractions.
     canary_credit: f64,
-    tally: Tally,
+    tally: AnswerTally,
     // What peers saw, and when they said so.
     peer_reports: Map<u64, (Millis, CanaryReport)>,
     phase: Phase,
@@ -162,7 +162,7 @@
             withdrawn: false,
             decided_at: None,
             canary_credit: draw,
-            tally: Tally::default(),
+            tally: AnswerTally::default(),
             peer_reports: Map::default(),
             phase: Phase::Trial,
         }
@@ -267,7 +267,7 @@
     }
 
     /// Takes note of an answer, good or bad, of a route.
-    pub fn record_answer(&mut self, now: Millis, sample: Sample) {
+    pub fn record_answer(&mut self, now: Millis, sample: AnswerSample) {
         if self.is_comparing() {
             self.tally.add(now, sample);
             self.evaluate(now);
--- a/crates/siskinyoke-dispatch/src/rollout/analysis.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/analysis.rs
@@ -40,7 +40,7 @@
 
 /// One answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Sample {
+pub struct AnswerSample {
     /// The hash of its route.
     pub route: u32,
     /// Whether an endpoint of the new version gave it.
@@ -53,7 +53,7 @@
 
 /// The answers of both versions by route, as this instance saw them lately.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct AnswerTally {
     routes: BTreeMap<u32, RouteTally>,
 }
 
@@ -71,9 +71,9 @@
     bad: f64,
 }
 
-impl Tally {
+impl AnswerTally {
     /// Counts an answer.
-    pub fn add(&mut self, now: Millis, sample: Sample) {
+    pub fn add(&mut self, now: Millis, sample: AnswerSample) {
         let route = self.routes.entry(sample.route).or_default();
         route.decay(now);
         let counts = if sample.new {
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -103,7 +103,7 @@
             let endpoint = candidate.endpoint.clone();
             let ahead = backlog(candidate, load);
             candidate.free_slots -= 1;
-            candidate.unread_tokens += pending.tokens.prompt;
+            candidate.prefill_tokens += pending.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -163,7 +163,7 @@
                     endpoint: endpoint.clone(),
                     free_slots: left,
                     queue_slots: extra,
-                    unread_tokens: f64::from(ours) + f64::from(theirs),
+                    prefill_tokens: f64::from(ours) + f64::from(theirs),
                     slow: self.placing.is_slow(key, fastest),
                     reserved: tokens.is_some(),
                     fastest_factor: fastest,
@@ -241,7 +241,7 @@
     let queued = candidate.free_slots <= candidate.queue_slots;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
-        prefill_tokens: candidate.unread_tokens,
+        prefill_tokens: candidate.prefill_tokens,
         slot_wait: Millis(if queued {
             load.mean_service_time().0 / slots
         } else {
