--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -22,8 +22,8 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-pub use self::analysis::Sample;
-pub use self::analysis::Tally;
+pub use self::analysis::AnswerSample;
+pub use self::analysis::AnswerTally;
 pub use self::order::Order;
 pub use self::status::State;
 pub use self::status::Status;
@@ -107,7 +107,7 @@
     /// What is drawn for the new version.
     Canary,
     /// Nothing.
-    None,
+    Excluded,
 }
 
 /// The rollout of one service, as this instance sees it.
@@ -131,7 +131,7 @@
     decided_at: Option<Millis>,
     // Requests that may go to the new version, with fractions.
     canary_credit: f64,
-    tally: Tally,
+    tally: AnswerTally,
     // What peers saw, and when they said so.
     peer_reports: Map<u64, (Millis, CanaryReport)>,
     phase: Phase,
@@ -162,7 +162,7 @@
             withdrawn: false,
             decided_at: None,
             canary_credit: draw,
-            tally: Tally::default(),
+            tally: AnswerTally::default(),
             peer_reports: Map::default(),
             phase: Phase::Trial,
         }
@@ -267,7 +267,7 @@
     }
 
     /// Takes note of an answer, good or bad, of a route.
-    pub fn record_answer(&mut self, now: Millis, sample: Sample) {
+    pub fn record_answer(&mut self, now: Millis, sample: AnswerSample) {
         if self.is_comparing() {
             self.tally.add(now, sample);
             self.evaluate(now);
@@ -278,13 +278,13 @@
     pub fn role(&self, endpoint: &Endpoint) -> EndpointRole {
         let new = endpoint.version == self.order.version;
         if !new && self.excluded_versions.contains(&endpoint.version) {
-            return EndpointRole::None;
+            return EndpointRole::Excluded;
         }
         match (self.phase, new) {
             (Phase::Trial | Phase::Ramp, true) => EndpointRole::Canary,
-            (Phase::Moved | Phase::Completed, false) => EndpointRole::None,
+            (Phase::Moved | Phase::Completed, false) => EndpointRole::Excluded,
             // Where no other version may be used, the ordered one was standing before.
-            (Phase::RolledBack, true) if self.stable_seen => EndpointRole::None,
+            (Phase::RolledBack, true) if self.stable_seen => EndpointRole::Excluded,
             _ => EndpointRole::Serving,
         }
     }
