--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -57,7 +57,7 @@
 // A request at an endpoint.
 #[derive(Debug)]
 struct RunningRequest {
-    pending: ScheduledRequest,
+    request: ScheduledRequest,
     endpoint: EndpointKey,
     sent_at: Millis,
     // What went before it at its endpoint when it was sent.
@@ -86,7 +86,7 @@
 /// The queues before the endpoints.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    placing: EndpointSelector,
+    selector: EndpointSelector,
     queues: BTreeMap<Arc<str>, Queue>,
     waiting: Map<Ticket, ScheduledRequest>,
     running: Map<Ticket, RunningRequest>,
@@ -109,7 +109,7 @@
     /// Makes empty queues for an instance of this name in a data centre.
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
-            placing: EndpointSelector::new(name, centre),
+            selector: EndpointSelector::new(name, centre),
             rate_limits: RateLimits::new(name),
             ..Self::default()
         }
@@ -196,21 +196,21 @@
         outcome: Outcome,
     ) -> Option<ScheduledRequest> {
         let RunningRequest {
-            mut pending,
+            mut request,
             endpoint,
             sent_at,
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.attempts += u32::from(outcome != Outcome::ConnectFailed);
+        request.attempts += u32::from(outcome != Outcome::ConnectFailed);
         if first_part_at.is_none() {
-            self.remove_prefill_tokens(endpoint, &pending);
+            self.remove_prefill_tokens(endpoint, &request);
         }
         if let Some(busy) = self.in_flight.get_mut(&endpoint) {
             busy.count = busy.count.saturating_sub(1);
         }
         self.in_flight.retain(|_, busy| busy.count > 0);
-        self.placing.record_outcome(now, endpoint, outcome);
+        self.selector.record_outcome(now, endpoint, outcome);
         if let Outcome::Completed {
             to_first_part,
             total,
@@ -219,19 +219,19 @@
         } = outcome
         {
             if first_part_at.is_none() {
-                self.record_first_part(endpoint, &pending, now.since(sent_at));
+                self.record_first_part(endpoint, &request, now.since(sent_at));
             }
             self.record_remaining_parts(
                 endpoint,
-                &pending,
+                &request,
                 total.since(to_first_part),
                 parts,
                 longest_pause,
             );
-            let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.tokens, to_first_part, total, parts);
+            let load = self.latencies.entry(request.service.clone()).or_default();
+            load.record_completion(&request.tokens, to_first_part, total, parts);
         }
-        Some(pending)
+        Some(request)
     }
 
     /// Takes note that the first part of a request's answer came.
@@ -241,7 +241,7 @@
         };
         running.first_part_at = Some(now);
         let (key, first) = (running.endpoint, now.since(running.sent_at));
-        let pending = running.pending.clone();
+        let pending = running.request.clone();
         self.remove_prefill_tokens(key, &pending);
         self.record_first_part(key, &pending, first);
     }
@@ -252,17 +252,17 @@
             return stall_timeout::STREAM_STALL_TIMEOUT;
         };
         let RunningRequest {
-            pending,
+            request,
             endpoint,
             backlog,
             ..
         } = running;
         let usual = self
-            .latency_model(&pending.service)
-            .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
+            .latency_model(&request.service)
+            .first_part_time(&request.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
-            millis_to_f64(usual) * self.placing.speed_factor(*endpoint),
+            millis_to_f64(usual) * self.selector.speed_factor(*endpoint),
         ))
     }
 
@@ -288,7 +288,7 @@
 
     /// Returns the request that runs under a ticket.
     pub fn running(&self, ticket: Ticket) -> Option<&ScheduledRequest> {
-        self.running.get(&ticket).map(|running| &running.pending)
+        self.running.get(&ticket).map(|running| &running.request)
     }
 
     /// Returns whether an endpoint that was not tried has a place for a request.
@@ -311,13 +311,13 @@
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn record_peer_usage(&mut self, rows: &[RunningRow]) {
-        self.placing.record_peer_speeds(rows);
+        self.selector.record_peer_speeds(rows);
     }
 
     /// Returns this instance's requests at each endpoint.
     pub fn endpoint_usage(&self) -> Vec<RunningRow> {
         let counts = self.in_flight.iter().map(|(key, busy)| RunningRow {
-            speed_factor: self.placing.reported_speed(*key),
+            speed_factor: self.selector.reported_speed(*key),
             ..*busy
         });
         counts.collect()
@@ -348,7 +348,7 @@
     /// Forgets endpoints that are gone.
     pub fn prune_endpoints(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
-        self.placing.retain_known(&known);
+        self.selector.retain_known(&known);
         self.rate_limits.retain_endpoints(&known);
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -127,7 +127,7 @@
         let guest = borrower_request(view.now, &service, need);
         let key = self.best_endpoint(view.now, &guest, &candidates)?;
         self.rate_limits.take_token(key);
-        let pace = self.placing.speed_factor(key);
+        let pace = self.selector.speed_factor(key);
         let stay = millis_from_f64(
             millis_to_f64(load.service_time_of(&guest.tokens)) * pace * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
@@ -223,7 +223,7 @@
             latency_model: &load,
             can_wait: true,
         };
-        let at = self.placing.select(&query, candidates, true)?;
+        let at = self.selector.select(&query, candidates, true)?;
         Some(candidates[at].endpoint.key())
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -19,7 +19,7 @@
         first: Millis,
     ) {
         let load = self.latencies.entry(pending.service.clone()).or_default();
-        self.placing
+        self.selector
             .record_speed(key, first, load.first_part_time(&pending.tokens));
         load.record_first_part(&pending.tokens, first);
     }
@@ -36,11 +36,11 @@
             return;
         }
         let load = self.latencies.entry(pending.service.clone()).or_default();
-        self.placing
+        self.selector
             .record_speed(key, rest, load.remaining_time(f64::from(parts)));
-        self.placing
+        self.selector
             .record_stall(key, pause > pending.route.gap_target);
-        load.record_pause(millis_to_f64(pause) / self.placing.speed_factor(key));
+        load.record_pause(millis_to_f64(pause) / self.selector.speed_factor(key));
     }
 
     // The prompt of a request at an endpoint is read, or no longer to be read.
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -92,7 +92,7 @@
     // The slots of an endpoint, each counted by its pace, of which a limit leaves as many as it keeps busy.
     pub(super) fn effective_slots(&self, endpoint: &Endpoint, load: &LatencyModel) -> f64 {
         let key = endpoint.key();
-        let slots = f64::from(endpoint.slots) / self.placing.speed_factor(key);
+        let slots = f64::from(endpoint.slots) / self.selector.speed_factor(key);
         let limit = self.rate_limits.shard_rate(key);
         limit.map_or(slots, |rate| {
             slots.min(rate * millis_to_f64(load.mean_service_time()) / MS_PER_SECOND)
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -97,7 +97,7 @@
                 latency_model: &load,
                 can_wait: !pending.late && now < timeout,
             };
-            let Some((candidate, canary)) = open.pick(&self.placing, &query, usual) else {
+            let Some((candidate, canary)) = open.pick(&self.selector, &query, usual) else {
                 continue;
             };
             let endpoint = candidate.endpoint.clone();
@@ -144,7 +144,7 @@
             return Vec::new();
         }
         let running = view.peers.running_by_endpoint(view.now);
-        let all = awake.iter().map(|it| self.placing.speed_factor(it.key()));
+        let all = awake.iter().map(|it| self.selector.speed_factor(it.key()));
         let fastest = all.fold(f64::INFINITY, f64::min);
         awake
             .into_iter()
@@ -164,7 +164,7 @@
                     free_slots: left,
                     queue_slots: extra,
                     prefill_tokens: f64::from(ours) + f64::from(theirs),
-                    slow: self.placing.is_slow(key, fastest),
+                    slow: self.selector.is_slow(key, fastest),
                     reserved: tokens.is_some(),
                     fastest_factor: fastest,
                 })
@@ -175,11 +175,11 @@
     // How many requests an endpoint is given at once, and how many more its queue may take.
     fn slot_limits(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
-        if self.placing.is_unobserved(key) {
+        if self.selector.is_unobserved(key) {
             let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
             return (few.min(endpoint.slots), 0);
         }
-        let fast = self.placing.speed_factor(key) <= MAX_FAST_SPEED_FACTOR
+        let fast = self.selector.speed_factor(key) <= MAX_FAST_SPEED_FACTOR
             && self.rate_limits.tokens(key).is_none();
         (endpoint.slots, u32::from(fast))
     }
@@ -192,7 +192,7 @@
     ) -> Vec<&'a Arc<Endpoint>> {
         let endpoints = endpoints.iter();
         endpoints
-            .filter(|it| !self.placing.in_backoff(now, it.key()))
+            .filter(|it| !self.selector.in_backoff(now, it.key()))
             .collect()
     }
 
@@ -217,7 +217,7 @@
         busy.count += 1;
         busy.prefill_tokens += pending.tokens.prompt_tokens();
         let running = RunningRequest {
-            pending,
+            request: pending,
             endpoint: key,
             sent_at: now,
             backlog: ahead,
