--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -5,11 +5,11 @@
 //! what cannot start waits in the order of its rank. Every instance decides alone, from the same
 //! reports, whose request the next free place is for: the most urgent, then the longest waiting.
 
+mod dispatch;
 mod expiry;
 mod lending;
 mod observations;
 mod rate_limits;
-mod starting;
 mod wait_estimate;
 
 use std::collections::BTreeMap;
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -10,7 +10,7 @@
 use super::Backlog;
 use super::ClusterView;
 use super::Scheduler;
-use super::starting::shared_slots;
+use super::dispatch::shared_slots;
 use crate::BorrowRequest;
 use crate::Endpoint;
 use crate::EndpointKey;
