--- a/crates/siskinyoke-dispatch/tests/load/engine.rs
+++ b/crates/siskinyoke-dispatch/tests/load/engine.rs
@@ -1,122 +1,127 @@
-//! A small model of a model engine.
+//! A simplified simulation of an inference engine.
 //!
-//! It runs a batch in steps. In each step every request whose prompt is read gets one token, and a chunk of
-//! the first prompt still to be read is read; so prompts are read in order of arrival, and the answers beside
-//! them pause. Parts of an answer hold several tokens. Not modelled: memory, kept prompts, a queue of its own.
+//! It runs a batch in steps. Each step generates one token for every request whose prompt is prefilled, and
+//! prefills a chunk of the first other prompt. Prompts are therefore prefilled in order of arrival, which
+//! slows down the responses that are generated meanwhile. A part of a response holds several tokens. Not
+//! simulated: memory, prefix caching, a queue of the engine's own.
 
-/// A step without a prompt, and how much each request adds to it, in ms.
-const STEP: f64 = 3.7;
-const EACH: f64 = 0.08;
+/// The duration of a step without prefill, and how much each running request adds to it.
+const STEP_MS: f64 = 3.7;
+const STEP_PER_REQUEST_MS: f64 = 0.08;
 
-/// Tokens of a prompt that are read in a ms, and in one step at most.
-const READ: f64 = 82.0;
-const CHUNK: f64 = 2_048.0;
+/// The prefill speed, and the largest number of prompt tokens that are prefilled in one step.
+const PREFILL_TOKENS_PER_MS: f64 = 82.0;
+const PREFILL_CHUNK_TOKENS: f64 = 2_048.0;
 
-/// Tokens in one part of an answer.
-const PART: u32 = 5;
+/// Tokens per part of a response.
+const TOKENS_PER_PART: u32 = 5;
 
-/// One request as the engine runs it.
+/// One request that an engine runs.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Its number among all requests.
-    pub number: usize,
-    /// Prompt tokens still to be read.
-    pub unread: f64,
-    /// Tokens still to be written.
-    pub unwritten: u32,
-    /// When it was sent, and when the first and the last part came, in ms.
+    /// The index of its job.
+    pub job: usize,
+    /// Prompt tokens that remain to be prefilled.
+    pub remaining_prefill: f64,
+    /// Output tokens that remain to be generated.
+    pub remaining_output: u32,
+    /// When it was sent, and when the first and the latest part were emitted, in ms.
     pub sent: f64,
-    pub first: Option<f64>,
-    pub last: f64,
-    /// The longest pause between two parts.
-    pub pause: f64,
-    /// Parts that came.
+    pub first_part: Option<f64>,
+    pub last_part: f64,
+    /// The longest pause between two parts, in ms.
+    pub longest_pause: f64,
+    /// The number of parts so far.
     pub parts: u32,
-    written: u32,
+    generated: u32,
 }
 
 impl Run {
-    /// A request that is sent now.
-    pub fn new(number: usize, now: f64, prompt: f64, output: u32) -> Self {
+    /// Makes a request that is sent now.
+    pub fn new(job: usize, now: f64, prompt: f64, output: u32) -> Self {
         Self {
-            number,
-            unread: prompt,
-            unwritten: output.max(1),
+            job,
+            remaining_prefill: prompt,
+            remaining_output: output.max(1),
             sent: now,
-            first: None,
-            last: now,
-            pause: 0.0,
+            first_part: None,
+            last_part: now,
+            longest_pause: 0.0,
             parts: 0,
-            written: 0,
+            generated: 0,
         }
     }
 
-    fn write(&mut self, now: f64) {
-        self.unwritten -= 1;
-        self.written += 1;
-        if self.written % PART != 1 && self.unwritten > 0 {
+    fn emit_token(&mut self, now: f64) {
+        self.remaining_output -= 1;
+        self.generated += 1;
+        if self.generated % TOKENS_PER_PART != 1 && self.remaining_output > 0 {
             return;
         }
-        if self.first.is_some() {
-            self.pause = self.pause.max(now - self.last);
+        if self.first_part.is_some() {
+            self.longest_pause = self.longest_pause.max(now - self.last_part);
         }
-        self.first.get_or_insert(now);
-        self.last = now;
+        self.first_part.get_or_insert(now);
+        self.last_part = now;
         self.parts += 1;
     }
 }
 
-/// A small model of a model engine.
+/// A simplified simulation of an inference engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// How long it takes for the same work, as a multiple of the fastest.
-    pub pace: f64,
-    /// Whether it is silent: it takes requests and does nothing.
-    pub dark: bool,
-    /// What it runs.
+    /// Its processing time for the same request as a multiple of the fastest engine's.
+    pub slowdown: f64,
+    /// Whether it accepts requests without processing them.
+    pub unresponsive: bool,
+    /// The requests that it runs.
     pub runs: Vec<Run>,
     clock: f64,
 }
 
 impl Engine {
-    /// An engine that runs nothing.
-    pub fn new(pace: f64) -> Self {
+    /// Makes an idle engine.
+    pub fn new(slowdown: f64) -> Self {
         Self {
-            pace,
-            dark: false,
+            slowdown,
+            unresponsive: false,
             runs: Vec::new(),
             clock: 0.0,
         }
     }
 
-    /// Runs until `now` and returns what ended.
+    /// Runs until `now` and returns the requests that completed.
     pub fn advance(&mut self, now: f64) -> Vec<Run> {
-        let mut over = Vec::new();
-        if self.runs.is_empty() || self.dark {
+        let mut completed = Vec::new();
+        if self.runs.is_empty() || self.unresponsive {
             self.clock = now;
-            return over;
+            return completed;
         }
         while self.clock < now {
             self.step();
-            let (ended, runs) = self.runs.drain(..).partition(|run| run.unwritten == 0);
+            let (done, runs) = self
+                .runs
+                .drain(..)
+                .partition(|run| run.remaining_output == 0);
             self.runs = runs;
-            over.extend::<Vec<Run>>(ended);
+            completed.extend::<Vec<Run>>(done);
         }
-        over
+        completed
     }
 
     fn step(&mut self) {
         let running = f64::from(u32::try_from(self.runs.len()).expect("a batch is small"));
-        let reading = self.runs.iter_mut().find(|run| run.unread > 0.0);
-        let chunk = reading.map_or(0.0, |run| {
-            let chunk = run.unread.min(CHUNK);
-            run.unread -= chunk;
+        let prefilling = self.runs.iter_mut().find(|run| run.remaining_prefill > 0.0);
+        let chunk = prefilling.map_or(0.0, |run| {
+            let chunk = run.remaining_prefill.min(PREFILL_CHUNK_TOKENS);
+            run.remaining_prefill -= chunk;
             chunk
         });
-        self.clock += (STEP + EACH * running + chunk / READ) * self.pace;
+        self.clock += (STEP_MS + STEP_PER_REQUEST_MS * running + chunk / PREFILL_TOKENS_PER_MS)
+            * self.slowdown;
         for run in &mut self.runs {
-            if run.unread <= 0.0 && run.unwritten > 0 {
-                run.write(self.clock);
+            if run.remaining_prefill <= 0.0 && run.remaining_output > 0 {
+                run.emit_token(self.clock);
             }
         }
     }
--- a/crates/siskinyoke-dispatch/tests/load/main.rs
+++ b/crates/siskinyoke-dispatch/tests/load/main.rs
@@ -1,13 +1,13 @@
-//! Loads played against a small model of an engine: what callers get.
+//! Service quality for callers, simulated with a simplified engine.
 //!
-//! The engines are unlike, a third of them four times as slow, and requests differ a hundredfold in prompt and
-//! output. Each bound is what callers were promised, and each figure was measured by the test itself.
+//! A third of the engines are over four times as slow as the others, and requests differ a hundredfold in
+//! prompt and output tokens. The bounds are those promised to callers.
 
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss,
-    reason = "small figures of a test"
+    reason = "the simulated values are small"
 )]
 
 #[path = "../common/mod.rs"]
@@ -15,23 +15,24 @@
 mod engine;
 mod world;
 
-use crate::world::Class;
-use crate::world::End;
 use crate::world::Job;
+use crate::world::JobOutcome;
+use crate::world::RequestClass;
 use crate::world::World;
 
-/// Six engines, two of them slow: 48 usual places and 24 slow ones.
-const PACES: [f64; 6] = [1.0, 1.0, 1.0, 1.0, 4.4, 4.4];
+/// Six engines, two of them slow: 48 slots of usual speed and 24 slow ones.
+const SLOWDOWNS: [f64; 6] = [1.0, 1.0, 1.0, 1.0, 4.4, 4.4];
 
-/// Drafts from long prompts, and short classifications behind them: some half of the places.
-const CLASSES: [Class; 2] = [
-    Class {
+/// Drafts from long prompts, and short classifications of lower priority; at the usual rate they occupy about
+/// half of the slots.
+const CLASSES: [RequestClass; 2] = [
+    RequestClass {
         priority: 0,
         rate: 6.0,
         prompt: (3_500.0, 1.2),
         output: (200.0, 1.0),
     },
-    Class {
+    RequestClass {
         priority: 1,
         rate: 9.0,
         prompt: (500.0, 0.8),
@@ -39,108 +40,114 @@
     },
 ];
 
-/// How often the usual rate comes in a peak: more than all places can serve.
-const PEAK: f64 = 3.5;
+/// The multiple of the usual request rate in a peak: more than all slots can serve.
+const PEAK_LOAD_FACTOR: f64 = 3.5;
 
 fn served(job: &Job) -> bool {
-    matches!(job.end, End::InTime | End::LateFirst | End::LatePause)
+    matches!(
+        job.outcome,
+        JobOutcome::InTime | JobOutcome::LateFirstPart | JobOutcome::LongPause
+    )
 }
 
-fn played(seed: u64, window: f64) -> World {
-    let mut world = World::new(seed, &CLASSES, &PACES);
-    world.play(5_000, 1.0);
-    world.play(15_000, window);
-    world.play(15_000, 0.0);
+fn simulated(seed: u64, load_factor: f64) -> World {
+    let mut world = World::new(seed, &CLASSES, &SLOWDOWNS);
+    world.simulate(5_000, 1.0);
+    world.simulate(15_000, load_factor);
+    world.simulate(15_000, 0.0);
     world
 }
 
-// A coordinator's draft comes late on a calm day, though engines idle: its long prompt went to a slow one, or
-// held up the answers beside it, or was given up while it was read.
-// In time before work was told apart by its tokens: 0.93 of the drafts; now 0.99.
+// Guards against late drafts at the usual load while engines idle: a long prompt went to a slow engine,
+// delayed the responses beside it, or was abandoned during prefill. Without regard to token counts 0.93 of
+// the drafts are in time, with it 0.99.
 #[test]
 fn a_calm_day_is_served_in_time() {
     for seed in 0..4 {
-        let world = played(seed, 1.0);
+        let world = simulated(seed, 1.0);
         for class in 0..CLASSES.len() {
-            let good = world.part(class, |job| job.end == End::InTime);
-            assert!(good >= 0.95, "kind {class}, seed {seed}: {good}");
+            let in_time = world.fraction(class, |job| job.outcome == JobOutcome::InTime);
+            assert!(in_time >= 0.95, "class {class}, seed {seed}: {in_time}");
         }
     }
 }
 
-// An engine that reads a long prompt says nothing for a while. Held against the mean of its service, it is
-// given up when half is read, and the next one begins anew.
+// An engine sends nothing while it prefills a long prompt. Guards against a stall timeout by the mean of the
+// service, which abandons the attempt halfway through and starts over at the next engine.
 #[test]
 fn no_sound_engine_is_given_up_while_it_reads() {
     for seed in 0..4 {
-        let world = played(seed, 1.0);
-        let given_up = world.jobs.iter().filter(|job| job.given_up > 0).count();
-        assert!(given_up * 200 <= world.jobs.len(), "{given_up}");
+        let world = simulated(seed, 1.0);
+        let abandoned = world.jobs.iter().filter(|job| job.abandoned > 0).count();
+        assert!(abandoned * 200 <= world.jobs.len(), "{abandoned}");
     }
 }
 
-// An engine takes requests and answers none. Its callers leave a stream that is silent for three seconds;
-// another engine needs a part of that.
+// An engine accepts requests without responding. Callers abandon a stream after three seconds without an
+// event, and another engine needs part of that time.
 #[test]
 fn a_dark_engine_is_left_in_time_for_another() {
-    let mut world = World::new(1, &CLASSES, &PACES);
-    world.play(5_000, 1.0);
-    world.engines[0].dark = true;
-    world.play(5_000, 1.0);
-    assert!(world.jobs.iter().any(|job| job.given_up > 0));
-    assert!(world.longest <= 2_000, "{} ms", world.longest);
+    let mut world = World::new(1, &CLASSES, &SLOWDOWNS);
+    world.simulate(5_000, 1.0);
+    world.engines[0].unresponsive = true;
+    world.simulate(5_000, 1.0);
+    assert!(world.jobs.iter().any(|job| job.abandoned > 0));
+    assert!(world.longest_stall <= 2_000, "{} ms", world.longest_stall);
 }
 
-// Many come at once. If drafts wait first come first served, each one served is late and makes the next one
-// late too, while the places serve the last tier between them.
+// Guards against first-come-first-served queueing of drafts in a peak: every draft that is served is late and
+// delays the next one, while slots that become free meanwhile go to the lowest tier.
 #[test]
 fn in_a_peak_the_top_tier_is_in_time_first() {
     for seed in 0..4 {
-        let world = played(seed, PEAK);
-        let good = world.part(0, |job| job.end == End::InTime);
-        let late = world.part(0, |job| job.end == End::LateFirst);
-        assert!(good >= 0.6, "seed {seed}: in time {good}");
-        assert!(late <= good / 2.0, "seed {seed}: late {late}");
-        let last = world.part(1, served);
-        assert!(last <= world.part(0, served), "seed {seed}: {last}");
+        let world = simulated(seed, PEAK_LOAD_FACTOR);
+        let in_time = world.fraction(0, |job| job.outcome == JobOutcome::InTime);
+        let late = world.fraction(0, |job| job.outcome == JobOutcome::LateFirstPart);
+        assert!(in_time >= 0.6, "seed {seed}: in time {in_time}");
+        assert!(late <= in_time / 2.0, "seed {seed}: late {late}");
+        let lowest_tier = world.fraction(1, served);
+        assert!(
+            lowest_tier <= world.fraction(0, served),
+            "seed {seed}: {lowest_tier}"
+        );
     }
 }
 
-// Short work first serves more callers; carried too far, nobody with a long draft is ever served in a peak.
+// Serving short requests first serves more callers. Guards against starving long drafts by it in a peak.
 #[test]
 fn long_work_is_not_starved_in_a_peak() {
     for seed in 0..4 {
-        let world = played(seed, PEAK);
+        let world = simulated(seed, PEAK_LOAD_FACTOR);
         let mut outputs: Vec<u32> = world.jobs.iter().map(|job| job.output).collect();
         outputs.sort_unstable();
         let long = outputs[outputs.len() * 9 / 10];
-        let all = world.part(0, served);
-        let theirs = world.part(0, |job| job.output >= long && served(job));
-        let share = world.part(0, |job| job.output >= long);
+        let all = world.fraction(0, served);
+        let served_long = world.fraction(0, |job| job.output >= long && served(job));
+        let long_fraction = world.fraction(0, |job| job.output >= long);
         assert!(
-            theirs / share >= all / 2.0,
+            served_long / long_fraction >= all / 2.0,
             "seed {seed}: {} of {all}",
-            theirs / share
+            served_long / long_fraction
         );
     }
 }
 
-// The last tier has no chance in a peak. Held for three seconds before it was told so, its callers lost the
-// time in which they could have tried elsewhere.
+// The lowest tier has no chance of being served in a peak. Guards against refusing it only after three
+// seconds, in which its callers could have tried elsewhere.
 #[test]
 fn what_has_no_chance_is_told_so_at_once() {
     for seed in 0..4 {
-        let world = played(seed, PEAK);
+        let world = simulated(seed, PEAK_LOAD_FACTOR);
         let refused: Vec<&Job> = world
             .jobs
             .iter()
-            .filter(|job| job.end == End::Refused)
+            .filter(|job| job.outcome == JobOutcome::Refused)
             .collect();
-        assert!(refused.len() > 20, "seed {seed}: no window");
-        let held = refused.iter().filter(|job| job.held > 800).count();
+        assert!(refused.len() > 20, "seed {seed}: no overload");
+        let queued = refused.iter().filter(|job| job.queued > 800).count();
         assert!(
-            held * 10 <= refused.len(),
-            "seed {seed}: {held} of {}",
+            queued * 10 <= refused.len(),
+            "seed {seed}: {queued} of {}",
             refused.len()
         );
     }
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -1,4 +1,4 @@
-//! Callers, two instances and engines in virtual time.
+//! Simulation of callers, two instances and several engines in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -28,60 +28,60 @@
 
 const INSTANCES: usize = 2;
 const SLOTS: u32 = 12;
-const STEP: u64 = 5;
+const STEP_MS: u64 = 5;
 
-/// How often instances tell each other how they stand, in ms.
-const REPORTS: u64 = 20;
+/// The interval at which instances exchange reports.
+const REPORT_INTERVAL_MS: u64 = 20;
 
-/// How long callers wait, in ms.
-const NEED: u64 = 15_000;
+/// How long callers wait for a response.
+const TIMEOUT_MS: u64 = 15_000;
 
-/// A kind of request.
+/// A class of requests.
 #[derive(Debug, Clone, Copy)]
-pub struct Class {
-    /// Its priority, which tells its route too.
+pub struct RequestClass {
+    /// The priority; each class has a route of its own.
     pub priority: u8,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Median tokens of prompt and of output, and how far they spread.
+    /// The median and the sigma of the log-normal distributions of prompt and output tokens.
     pub prompt: (f64, f64),
     pub output: (f64, f64),
 }
 
-/// How a request fared.
+/// The outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum JobOutcome {
     Open,
     InTime,
-    LateFirst,
-    LatePause,
+    LateFirstPart,
+    LongPause,
     Refused,
 }
 
-/// A request.
+/// One request of a caller.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub class: usize,
     pub prompt: f64,
     pub output: u32,
     pub arrived: u64,
-    /// How long it was held before it was refused.
-    pub held: u64,
-    pub end: End,
-    /// Endpoints given up for their silence.
-    pub given_up: usize,
+    /// How long it waited before it was refused, in ms.
+    pub queued: u64,
+    pub outcome: JobOutcome,
+    /// The number of attempts abandoned because the endpoint stalled.
+    pub abandoned: usize,
     instance: usize,
     ticket: Option<Ticket>,
-    begun: bool,
+    first_part_seen: bool,
 }
 
-/// Callers, instances and engines in virtual time.
+/// A simulation of callers, instances and engines.
 pub struct World {
     pub jobs: Vec<Job>,
     pub engines: Vec<Engine>,
-    /// The most a caller waited for a first part that never came from the endpoint it was at.
-    pub longest: u64,
-    classes: Vec<Class>,
+    /// The longest wait for a first part in an abandoned attempt, in ms.
+    pub longest_stall: u64,
+    classes: Vec<RequestClass>,
     cores: Vec<Core>,
     rng: ChaCha8Rng,
     now: u64,
@@ -89,13 +89,13 @@
 }
 
 impl World {
-    /// Starts instances before engines of these paces.
-    pub fn new(seed: u64, classes: &[Class], paces: &[f64]) -> Self {
+    /// Starts the instances, and an engine for each of these slowdowns.
+    pub fn new(seed: u64, classes: &[RequestClass], slowdowns: &[f64]) -> Self {
         let make = |at| {
             let name = format!("i{at}");
             let mut core = Core::new(identity(&name, at as u64 + 1));
             core.configure(Millis(0), configuration(classes));
-            for number in 0..paces.len() {
+            for number in 0..slowdowns.len() {
                 let mut it = endpoint(&format!("e{number}"), SLOTS);
                 it.service = "lm".into();
                 core.registry().put(Millis(0), it);
@@ -108,8 +108,11 @@
         };
         Self {
             jobs: Vec::new(),
-            engines: paces.iter().map(|pace| Engine::new(*pace)).collect(),
-            longest: 0,
+            engines: slowdowns
+                .iter()
+                .map(|slowdown| Engine::new(*slowdown))
+                .collect(),
+            longest_stall: 0,
             classes: classes.to_vec(),
             cores: (0..INSTANCES).map(make).collect(),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -118,68 +121,71 @@
         }
     }
 
-    /// Plays so many ms, with callers coming at so many times their usual rate.
-    pub fn play(&mut self, span: u64, crowd: f64) {
+    /// Simulates `span` ms with `load_factor` times the usual request rate.
+    pub fn simulate(&mut self, span: u64, load_factor: f64) {
         let end = self.now + span;
         while self.now < end {
-            self.now += STEP;
-            self.arrive(crowd);
-            self.run();
-            if self.now.is_multiple_of(REPORTS) {
-                self.tell();
+            self.now += STEP_MS;
+            self.generate_arrivals(load_factor);
+            self.advance_engines();
+            if self.now.is_multiple_of(REPORT_INTERVAL_MS) {
+                self.exchange_reports();
             }
             self.decide();
-            self.watch();
+            self.abandon_stalled();
         }
     }
 
-    /// Returns the part of the requests of a kind for which this holds.
-    pub fn part(&self, class: usize, holds: impl Fn(&Job) -> bool) -> f64 {
+    /// Returns the fraction of the decided jobs of a class that match.
+    pub fn fraction(&self, class: usize, matches: impl Fn(&Job) -> bool) -> f64 {
         let all = self.jobs.iter().filter(|job| job.class == class);
-        let all: Vec<&Job> = all.filter(|job| job.end != End::Open).collect();
-        let found = all.iter().filter(|job| holds(job)).count();
-        ratio(found, all.len())
+        let all: Vec<&Job> = all.filter(|job| job.outcome != JobOutcome::Open).collect();
+        let matching = all.iter().filter(|job| matches(job)).count();
+        ratio(matching, all.len())
     }
 
-    fn arrive(&mut self, crowd: f64) {
+    fn generate_arrivals(&mut self, load_factor: f64) {
         for class in 0..self.classes.len() {
-            let Class {
+            let RequestClass {
                 rate,
                 prompt,
                 output,
                 ..
             } = self.classes[class];
-            if !self.rng.random_bool(rate * crowd * STEP as f64 / 1_000.0) {
+            if !self
+                .rng
+                .random_bool(rate * load_factor * STEP_MS as f64 / 1_000.0)
+            {
                 continue;
             }
-            let draw = |rng: &mut ChaCha8Rng, (median, spread): (f64, f64)| {
-                let law = LogNormal::new(median.ln(), spread).expect("a spread");
-                law.sample(rng)
+            let draw = |rng: &mut ChaCha8Rng, (median, sigma): (f64, f64)| {
+                let distribution = LogNormal::new(median.ln(), sigma).expect("a valid sigma");
+                distribution.sample(rng)
             };
             let prompt = draw(&mut self.rng, prompt).clamp(50.0, 55_000.0);
             let output = draw(&mut self.rng, output).clamp(5.0, 1_900.0);
-            let guess = output * draw(&mut self.rng, (1.0, 0.5));
-            self.send(class, prompt.round(), output as u32, guess as u64);
+            let estimate = output * draw(&mut self.rng, (1.0, 0.5));
+            self.submit(class, prompt.round(), output as u32, estimate as u64);
         }
     }
 
-    fn send(&mut self, class: usize, prompt: f64, output: u32, guess: u64) {
+    fn submit(&mut self, class: usize, prompt: f64, output: u32, estimate: u64) {
         let number = self.jobs.len();
         let instance = number % INSTANCES;
         let path = format!("/{class}/");
-        let wanted = IncomingRequest {
+        let request = IncomingRequest {
             host: "host",
             path: &path,
             hold_time: Millis::ZERO,
             key: None,
-            deadline: Some(Millis(NEED)),
+            deadline: Some(Millis(TIMEOUT_MS)),
             tokens: Some((prompt as u64, 3_800)),
-            output_estimate: Some(guess),
+            output_estimate: Some(estimate),
             draw: 0,
         };
         let now = Millis(self.now);
         let core = &mut self.cores[instance];
-        let pass = core.route(now, wanted).expect("a route");
+        let pass = core.route(now, request).expect("a route");
         let ticket = core.admit(now, &pass, number as u64).ok();
         if let Some(ticket) = ticket {
             self.tickets.insert((instance, ticket), number);
@@ -189,70 +195,70 @@
             prompt,
             output,
             arrived: self.now,
-            held: 0,
-            end: if ticket.is_some() {
-                End::Open
+            queued: 0,
+            outcome: if ticket.is_some() {
+                JobOutcome::Open
             } else {
-                End::Refused
+                JobOutcome::Refused
             },
-            given_up: 0,
+            abandoned: 0,
             instance,
             ticket,
-            begun: false,
+            first_part_seen: false,
         });
     }
 
-    fn run(&mut self) {
+    fn advance_engines(&mut self) {
         for at in 0..self.engines.len() {
-            let over = self.engines[at].advance(self.now as f64);
-            for run in over {
-                self.finish(&run);
+            let completed = self.engines[at].advance(self.now as f64);
+            for run in completed {
+                self.complete(&run);
             }
-            let begun = self.engines[at].runs.iter();
-            let begun: Vec<usize> = begun
-                .filter(|run| run.first.is_some())
-                .map(|run| run.number)
+            let started = self.engines[at].runs.iter();
+            let started: Vec<usize> = started
+                .filter(|run| run.first_part.is_some())
+                .map(|run| run.job)
                 .collect();
-            for number in begun {
-                self.begin(number);
+            for number in started {
+                self.record_first_part(number);
             }
         }
     }
 
-    fn begin(&mut self, number: usize) {
+    fn record_first_part(&mut self, number: usize) {
         let job = &mut self.jobs[number];
-        if let (false, Some(ticket)) = (job.begun, job.ticket) {
-            job.begun = true;
+        if let (false, Some(ticket)) = (job.first_part_seen, job.ticket) {
+            job.first_part_seen = true;
             self.cores[job.instance].first_part_received(Millis(self.now), ticket);
         }
     }
 
-    fn finish(&mut self, run: &Run) {
-        self.begin(run.number);
-        let job = &mut self.jobs[run.number];
+    fn complete(&mut self, run: &Run) {
+        self.record_first_part(run.job);
+        let job = &mut self.jobs[run.job];
         let Some(ticket) = job.ticket.take() else {
             return;
         };
-        let first = run.first.unwrap_or(run.last);
-        let aim = route(Kind::Stream, 0);
-        job.end = if first - job.arrived as f64 > 800.0 {
-            End::LateFirst
-        } else if run.pause > aim.gap_target.0 as f64 {
-            End::LatePause
+        let first = run.first_part.unwrap_or(run.last_part);
+        let objectives = route(Kind::Stream, 0);
+        job.outcome = if first - job.arrived as f64 > 800.0 {
+            JobOutcome::LateFirstPart
+        } else if run.longest_pause > objectives.gap_target.0 as f64 {
+            JobOutcome::LongPause
         } else {
-            End::InTime
+            JobOutcome::InTime
         };
         let outcome = Outcome::Completed {
             to_first_part: Millis((first - run.sent) as u64),
-            total: Millis((run.last - run.sent) as u64),
+            total: Millis((run.last_part - run.sent) as u64),
             parts: run.parts,
-            longest_pause: Millis(run.pause as u64),
+            longest_pause: Millis(run.longest_pause as u64),
         };
         self.tickets.remove(&(job.instance, ticket));
         self.cores[job.instance].attempt_ended(Millis(self.now), ticket, outcome, false);
     }
 
-    fn tell(&mut self) {
+    fn exchange_reports(&mut self) {
         let now = Millis(self.now);
         for from in 0..INSTANCES {
             let report = self.cores[from].next_report(now, true);
@@ -271,13 +277,13 @@
                 match decision {
                     Decision::Start(_, endpoint) => {
                         let at = endpoint.id[1..].parse::<usize>().expect("a number");
-                        job.begun = false;
+                        job.first_part_seen = false;
                         let run = Run::new(number, self.now as f64, job.prompt, job.output);
                         self.engines[at].runs.push(run);
                     }
                     Decision::Refuse(ticket, _) => {
-                        job.end = End::Refused;
-                        job.held = self.now - job.arrived;
+                        job.outcome = JobOutcome::Refused;
+                        job.queued = self.now - job.arrived;
                         job.ticket = None;
                         self.tickets.remove(&(instance, ticket));
                     }
@@ -286,15 +292,15 @@
         }
     }
 
-    // Gives up endpoints that stay silent for too long, as the runtime does.
-    fn watch(&mut self) {
+    // Abandons attempts that have stalled for too long, as the gateway does.
+    fn abandon_stalled(&mut self) {
         for at in 0..self.engines.len() {
             let runs = self.engines[at].runs.iter();
-            let silent: Vec<(usize, f64)> = runs
-                .filter(|run| run.first.is_none())
-                .map(|run| (run.number, run.sent))
+            let waiting: Vec<(usize, f64)> = runs
+                .filter(|run| run.first_part.is_none())
+                .map(|run| (run.job, run.sent))
                 .collect();
-            for (number, sent) in silent {
+            for (number, sent) in waiting {
                 let job = &mut self.jobs[number];
                 let Some(ticket) = job.ticket else { continue };
                 let core = &mut self.cores[job.instance];
@@ -303,9 +309,9 @@
                 if silence < limit.0 || !core.try_abandon(Millis(self.now), ticket) {
                     continue;
                 }
-                job.given_up += 1;
-                self.longest = self.longest.max(silence);
-                self.engines[at].runs.retain(|run| run.number != number);
+                job.abandoned += 1;
+                self.longest_stall = self.longest_stall.max(silence);
+                self.engines[at].runs.retain(|run| run.job != number);
                 let next = core.attempt_ended(Millis(self.now), ticket, Outcome::Stalled, true);
                 self.tickets.remove(&(job.instance, ticket));
                 job.ticket = next;
@@ -313,30 +319,30 @@
                     Some(next) => {
                         self.tickets.insert((job.instance, next), number);
                     }
-                    None => job.end = End::Refused,
+                    None => job.outcome = JobOutcome::Refused,
                 }
             }
         }
     }
 }
 
-fn configuration(classes: &[Class]) -> Configuration {
+fn configuration(classes: &[RequestClass]) -> Configuration {
     let mut configuration = crate::common::configuration(1, organisation(0.0, 0.0));
     for (at, class) in classes.iter().enumerate() {
-        let model = pending(Kind::Stream, class.priority, 0).route;
+        let template = pending(Kind::Stream, class.priority, 0).route;
         let route = Route {
             name: format!("{at}").into(),
             prefix: format!("/{at}/").into(),
-            timeout: Millis(NEED),
+            timeout: Millis(TIMEOUT_MS),
             latency_target: Millis(800),
             auth_exempt: true,
-            ..(*model).clone()
+            ..(*template).clone()
         };
         configuration.add_route("host", route);
     }
     configuration
 }
 
-fn ratio(part: usize, whole: usize) -> f64 {
-    part as f64 / whole.max(1) as f64
+fn ratio(part: usize, total: usize) -> f64 {
+    part as f64 / total.max(1) as f64
 }
