--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -123,50 +123,54 @@
     pub fn admit(
         &mut self,
         now: Millis,
-        pending: ScheduledRequest,
+        request: ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> Result<Ticket, Refusal> {
-        let places = slot_count(&pending.service, registry);
+        let places = slot_count(&request.service, registry);
         if places == 0 {
             return Err(Refusal {
                 reason: RefusalReason::NoEndpoint,
                 retry_after: NO_ENDPOINT_RETRY_AFTER,
             });
         }
-        let load = self.latency_model(&pending.service);
-        let pending = ScheduledRequest {
-            virtual_arrival: wait::virtual_arrival(&pending, load),
-            ..pending
+        let latency = self.latency_model(&request.service);
+        let request = ScheduledRequest {
+            virtual_arrival: wait::virtual_arrival(&request, latency),
+            ..request
         };
-        let demand = self.demands.entry(pending.service.clone()).or_default();
-        demand.record(now, pending.priority, load.service_time_of(&pending.tokens));
+        let demand = self.demands.entry(request.service.clone()).or_default();
+        demand.record(
+            now,
+            request.priority,
+            latency.service_time_of(&request.tokens),
+        );
         let view = ClusterView {
             now,
             registry,
             peers,
         };
-        if self.expected_on_time(&view, &pending) {
-            return Ok(self.enqueue(pending));
+        if self.expected_on_time(&view, &request) {
+            return Ok(self.enqueue(request));
         }
         // Another shard may have a place: it is asked before the request is refused.
-        if registry.is_sharded() && !self.recently_declined(now, &pending.service) {
+        if registry.is_sharded() && !self.recently_declined(now, &request.service) {
             return Ok(self.enqueue(ScheduledRequest {
                 needs_loan: true,
-                ..pending
+                ..request
             }));
         }
-        let pending = self.admit_late(&view, pending)?;
-        Ok(self.enqueue(pending))
+        let request = self.admit_late(&view, request)?;
+        Ok(self.enqueue(request))
     }
 
     /// Lets a request wait for another endpoint after one did not serve it.
-    pub fn requeue(&mut self, pending: ScheduledRequest) -> Ticket {
+    pub fn requeue(&mut self, request: ScheduledRequest) -> Ticket {
         self.enqueue(ScheduledRequest {
             late: false,
             needs_loan: false,
             canary: false,
-            ..pending
+            ..request
         })
     }
 
@@ -206,10 +210,10 @@
         if first_part_at.is_none() {
             self.remove_prefill_tokens(endpoint, &request);
         }
-        if let Some(busy) = self.in_flight.get_mut(&endpoint) {
-            busy.count = busy.count.saturating_sub(1);
+        if let Some(row) = self.in_flight.get_mut(&endpoint) {
+            row.count = row.count.saturating_sub(1);
         }
-        self.in_flight.retain(|_, busy| busy.count > 0);
+        self.in_flight.retain(|_, row| row.count > 0);
         self.selector.record_outcome(now, endpoint, outcome);
         if let Outcome::Completed {
             to_first_part,
@@ -228,8 +232,8 @@
                 parts,
                 longest_pause,
             );
-            let load = self.latencies.entry(request.service.clone()).or_default();
-            load.record_completion(&request.tokens, to_first_part, total, parts);
+            let latency = self.latencies.entry(request.service.clone()).or_default();
+            latency.record_completion(&request.tokens, to_first_part, total, parts);
         }
         Some(request)
     }
@@ -241,9 +245,9 @@
         };
         running.first_part_at = Some(now);
         let (key, first) = (running.endpoint, now.since(running.sent_at));
-        let pending = running.request.clone();
-        self.remove_prefill_tokens(key, &pending);
-        self.record_first_part(key, &pending, first);
+        let request = running.request.clone();
+        self.remove_prefill_tokens(key, &request);
+        self.record_first_part(key, &request, first);
     }
 
     /// Returns how long the endpoint of a running request may stay silent.
@@ -268,11 +272,11 @@
 
     /// Takes a waiting request out, as its caller left.
     pub fn cancel(&mut self, ticket: Ticket) {
-        let Some(pending) = self.waiting.remove(&ticket) else {
+        let Some(request) = self.waiting.remove(&ticket) else {
             return;
         };
-        if let Some(queue) = self.queues.get_mut(&pending.service) {
-            queue.remove(queue_key(ticket, &pending));
+        if let Some(queue) = self.queues.get_mut(&request.service) {
+            queue.remove(queue_key(ticket, &request));
         }
     }
 
@@ -295,7 +299,7 @@
     pub fn has_alternative(
         &self,
         now: Millis,
-        pending: &ScheduledRequest,
+        request: &ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> bool {
@@ -304,9 +308,9 @@
             registry,
             peers,
         };
-        let free = self.free_endpoints(&view, &pending.service);
+        let free = self.free_endpoints(&view, &request.service);
         free.iter()
-            .any(|candidate| !pending.tried.contains(&candidate.endpoint.key()))
+            .any(|candidate| !request.tried.contains(&candidate.endpoint.key()))
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
@@ -316,9 +320,9 @@
 
     /// Returns this instance's requests at each endpoint.
     pub fn endpoint_usage(&self) -> Vec<RunningRow> {
-        let counts = self.in_flight.iter().map(|(key, busy)| RunningRow {
+        let counts = self.in_flight.iter().map(|(key, row)| RunningRow {
             speed_factor: self.selector.reported_speed(*key),
-            ..*busy
+            ..*row
         });
         counts.collect()
     }
@@ -328,8 +332,8 @@
         self.queues
             .iter()
             .flat_map(|(service, queue)| {
-                let load = self.latency_model(service);
-                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].tokens);
+                let latency = self.latency_model(service);
+                let stay = |ticket| latency.service_time_of(&self.waiting[&ticket].tokens);
                 queue.summary(now, short_hash(service), stay)
             })
             .collect()
@@ -362,12 +366,12 @@
         })
     }
 
-    fn enqueue(&mut self, pending: ScheduledRequest) -> Ticket {
+    fn enqueue(&mut self, request: ScheduledRequest) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
-        let queue = self.queues.entry(pending.service.clone()).or_default();
-        queue.push(queue_key(ticket, &pending));
-        self.waiting.insert(ticket, pending);
+        let queue = self.queues.entry(request.service.clone()).or_default();
+        queue.push(queue_key(ticket, &request));
+        self.waiting.insert(ticket, request);
         ticket
     }
 }
@@ -380,6 +384,6 @@
         .sum()
 }
 
-fn queue_key(ticket: Ticket, pending: &ScheduledRequest) -> QueueKey {
-    (pending.queue_order(), pending.virtual_arrival, ticket)
+fn queue_key(ticket: Ticket, request: &ScheduledRequest) -> QueueKey {
+    (request.queue_order(), request.virtual_arrival, ticket)
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -77,7 +77,7 @@
         decisions: &mut Vec<Decision>,
     ) {
         let now = view.now;
-        let load = self.latency_model(service);
+        let latency = self.latency_model(service);
         let rows: Vec<WaitingRow> = view.peers.waiting(now, short_hash(service)).collect();
         let waiting: Vec<QueueKey> = self.queues[service].iter().collect();
         let mut open = self.open_endpoints(view, service, waiting.len());
@@ -89,21 +89,21 @@
             if !usual && !open.has_private_slots() {
                 break;
             }
-            let pending = &self.waiting[&ticket];
-            let timeout = pending.arrived + wait::queue_timeout(pending, load);
+            let request = &self.waiting[&ticket];
+            let timeout = request.arrived + wait::queue_timeout(request, latency);
             let query = PlacementQuery {
                 now,
-                pending,
-                latency_model: &load,
-                can_wait: !pending.late && now < timeout,
+                pending: request,
+                latency_model: &latency,
+                can_wait: !request.late && now < timeout,
             };
             let Some((candidate, canary)) = open.pick(&self.selector, &query, usual) else {
                 continue;
             };
             let endpoint = candidate.endpoint.clone();
-            let ahead = backlog(candidate, load);
+            let ahead = backlog(candidate, latency);
             candidate.free_slots -= 1;
-            candidate.prefill_tokens += pending.tokens.prompt;
+            candidate.prefill_tokens += request.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -154,7 +154,7 @@
                 let (count, ours) = self
                     .in_flight
                     .get(&key)
-                    .map_or((0, 0), |busy| (u32::from(busy.count), busy.prefill_tokens));
+                    .map_or((0, 0), |row| (u32::from(row.count), row.prefill_tokens));
                 let (places, extra) = self.slot_limits(endpoint);
                 let left = (places + extra).saturating_sub(count + others);
                 let tokens = self.rate_limits.tokens(key);
@@ -204,20 +204,20 @@
         ahead: Backlog,
         canary: bool,
     ) {
-        let Some(mut pending) = self.waiting.remove(&ticket) else {
+        let Some(mut request) = self.waiting.remove(&ticket) else {
             return;
         };
-        if let Some(queue) = self.queues.get_mut(&pending.service) {
-            queue.remove(queue_key(ticket, &pending));
+        if let Some(queue) = self.queues.get_mut(&request.service) {
+            queue.remove(queue_key(ticket, &request));
         }
         let key = endpoint.key();
-        pending.tried.push(key);
-        pending.canary = canary;
-        let busy = self.usage_mut(key);
-        busy.count += 1;
-        busy.prefill_tokens += pending.tokens.prompt_tokens();
+        request.tried.push(key);
+        request.canary = canary;
+        let row = self.usage_mut(key);
+        row.count += 1;
+        row.prefill_tokens += request.tokens.prompt_tokens();
         let running = RunningRequest {
-            request: pending,
+            request,
             endpoint: key,
             sent_at: now,
             backlog: ahead,
@@ -237,13 +237,13 @@
 }
 
 // What goes before a request that is sent to a candidate now.
-fn backlog(candidate: &Candidate, load: LatencyModel) -> Backlog {
+fn backlog(candidate: &Candidate, latency: LatencyModel) -> Backlog {
     let queued = candidate.free_slots <= candidate.queue_slots;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
         prefill_tokens: candidate.prefill_tokens,
         slot_wait: Millis(if queued {
-            load.mean_service_time().0 / slots
+            latency.mean_service_time().0 / slots
         } else {
             0
         }),
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -31,29 +31,29 @@
 
     // Finds out whether a request has waited enough; one that can still be of use late is put off.
     fn check_expired(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
-        let pending = &self.waiting[&ticket];
-        let load = self.latency_model(&pending.service);
-        if wait::all_tried(pending, view.registry.eligible(&pending.service)) {
+        let request = &self.waiting[&ticket];
+        let latency = self.latency_model(&request.service);
+        if wait::all_tried(request, view.registry.eligible(&request.service)) {
             return Some(Refusal {
                 reason: RefusalReason::NoEndpoint,
-                retry_after: load.mean_service_time(),
+                retry_after: latency.mean_service_time(),
             });
         }
-        let waited = view.now.since(pending.arrived);
-        if pending.needs_loan && self.recently_declined(view.now, &pending.service) {
+        let waited = view.now.since(request.arrived);
+        if request.needs_loan && self.recently_declined(view.now, &request.service) {
             return self.resolve_declined(view, ticket);
         }
-        if !pending.late && waited < wait::queue_timeout(pending, load) {
+        if !request.late && waited < wait::queue_timeout(request, latency) {
             return None;
         }
-        let bearable = wait::late_timeout(pending, load);
-        let settled = pending.late || wait::is_retry(pending);
+        let bearable = wait::late_timeout(request, latency);
+        let settled = request.late || wait::is_retry(request);
         if settled && waited < bearable {
             return None;
         }
         let late = ScheduledRequest {
             late: true,
-            ..pending.clone()
+            ..request.clone()
         };
         let wait = self.expected_wait(view, &late);
         if !settled && waited + wait <= bearable {
@@ -68,13 +68,13 @@
 
     // What becomes of a request for which only another shard might have had a place, and none had.
     fn resolve_declined(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
-        let pending = self.waiting.get_mut(&ticket)?;
-        pending.needs_loan = false;
-        let pending = pending.clone();
-        if self.expected_on_time(view, &pending) {
+        let request = self.waiting.get_mut(&ticket)?;
+        request.needs_loan = false;
+        let request = request.clone();
+        if self.expected_on_time(view, &request) {
             return None;
         }
-        if let Err(refusal) = self.admit_late(view, pending) {
+        if let Err(refusal) = self.admit_late(view, request) {
             return Some(refusal);
         }
         self.mark_late(ticket);
@@ -83,14 +83,14 @@
 
     // Moves a request behind what can still be on time.
     fn mark_late(&mut self, ticket: Ticket) {
-        let Some(pending) = self.waiting.get_mut(&ticket) else {
+        let Some(request) = self.waiting.get_mut(&ticket) else {
             return;
         };
-        let Some(queue) = self.queues.get_mut(&pending.service) else {
+        let Some(queue) = self.queues.get_mut(&request.service) else {
             return;
         };
-        queue.remove(queue_key(ticket, pending));
-        pending.late = true;
-        queue.push(queue_key(ticket, pending));
+        queue.remove(queue_key(ticket, request));
+        request.late = true;
+        queue.push(queue_key(ticket, request));
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -110,11 +110,17 @@
         &mut self,
         view: &ClusterView<'_>,
         id: u64,
-        need: &SlotRequest,
+        request: &SlotRequest,
     ) -> Option<EndpointKey> {
-        let service = view.registry.find_service(need.service)?;
+        let service = view.registry.find_service(request.service)?;
         let waits = self.queues.get(&service).is_some_and(|it| !it.is_empty());
-        if waits || view.peers.waiting(view.now, need.service).next().is_some() {
+        if waits
+            || view
+                .peers
+                .waiting(view.now, request.service)
+                .next()
+                .is_some()
+        {
             return None;
         }
         let candidates = self.free_endpoints(view, &service);
@@ -123,26 +129,28 @@
         if shared_slots(&candidates) <= all / RESERVED_SLOTS_DIVISOR + 1 {
             return None;
         }
-        let load = self.latency_model(&service);
-        let guest = borrower_request(view.now, &service, need);
-        let key = self.best_endpoint(view.now, &guest, &candidates)?;
+        let latency = self.latency_model(&service);
+        let borrower = borrower_request(view.now, &service, request);
+        let key = self.best_endpoint(view.now, &borrower, &candidates)?;
         self.rate_limits.take_token(key);
         let pace = self.selector.speed_factor(key);
         let stay = millis_from_f64(
-            millis_to_f64(load.service_time_of(&guest.tokens)) * pace * LOAN_DURATION_RATIO,
+            millis_to_f64(latency.service_time_of(&borrower.tokens)) * pace * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
         let given = LentSlot {
             endpoint: key,
-            prefill_tokens: guest.tokens.prompt_tokens(),
+            prefill_tokens: borrower.tokens.prompt_tokens(),
             prefill_end: Some(
                 view.now
-                    + millis_from_f64(millis_to_f64(load.first_part_time(&guest.tokens)) * pace),
+                    + millis_from_f64(
+                        millis_to_f64(latency.first_part_time(&borrower.tokens)) * pace,
+                    ),
             ),
-            expires_at: view.now + stay.min(Millis(u64::from(need.remaining_wait))),
+            expires_at: view.now + stay.min(Millis(u64::from(request.remaining_wait))),
         };
-        let busy = self.usage_mut(key);
-        busy.count += 1;
-        busy.prefill_tokens += given.prefill_tokens;
+        let row = self.usage_mut(key);
+        row.count += 1;
+        row.prefill_tokens += given.prefill_tokens;
         self.lent_slots.insert(id, given);
         Some(key)
     }
@@ -152,12 +160,12 @@
         let Some(loan) = self.lent_slots.remove(&id) else {
             return;
         };
-        let busy = self.usage_mut(loan.endpoint);
-        busy.count = busy.count.saturating_sub(1);
+        let row = self.usage_mut(loan.endpoint);
+        row.count = row.count.saturating_sub(1);
         if loan.prefill_end.is_some() {
-            busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
+            row.prefill_tokens = row.prefill_tokens.saturating_sub(loan.prefill_tokens);
         }
-        self.in_flight.retain(|_, busy| busy.count > 0);
+        self.in_flight.retain(|_, row| row.count > 0);
     }
 
     /// Takes back what was not returned in time, and counts prompts as read that should be.
@@ -169,9 +177,9 @@
         }
         for loan in self.lent_slots.values_mut() {
             if loan.prefill_end.take_if(|at| *at <= now).is_some()
-                && let Some(busy) = self.in_flight.get_mut(&loan.endpoint)
+                && let Some(row) = self.in_flight.get_mut(&loan.endpoint)
             {
-                busy.prefill_tokens = busy.prefill_tokens.saturating_sub(loan.prefill_tokens);
+                row.prefill_tokens = row.prefill_tokens.saturating_sub(loan.prefill_tokens);
             }
         }
     }
@@ -183,29 +191,29 @@
         ticket: Ticket,
         endpoint: &Arc<Endpoint>,
     ) -> bool {
-        let Some(pending) = self.waiting.get(&ticket) else {
+        let Some(request) = self.waiting.get(&ticket) else {
             return false;
         };
-        if pending.service != endpoint.service || pending.tried.contains(&endpoint.key()) {
+        if request.service != endpoint.service || request.tried.contains(&endpoint.key()) {
             return false;
         }
         let found = LastReply {
             received_at: now,
             granted: true,
         };
-        self.last_replies.insert(pending.service.clone(), found);
+        self.last_replies.insert(request.service.clone(), found);
         self.send_to(now, ticket, endpoint, Backlog::default(), false);
         true
     }
 
     /// Takes note that the shards that were asked had no place for a request.
     pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
-        if let Some(pending) = self.waiting.get(&ticket) {
+        if let Some(request) = self.waiting.get(&ticket) {
             let nothing = LastReply {
                 received_at: now,
                 granted: false,
             };
-            self.last_replies.insert(pending.service.clone(), nothing);
+            self.last_replies.insert(request.service.clone(), nothing);
         }
     }
 
@@ -213,14 +221,14 @@
     pub(super) fn best_endpoint(
         &self,
         now: Millis,
-        guest: &ScheduledRequest,
+        borrower: &ScheduledRequest,
         candidates: &[Candidate],
     ) -> Option<EndpointKey> {
-        let load = self.latency_model(&guest.service);
+        let latency = self.latency_model(&borrower.service);
         let query = PlacementQuery {
             now,
-            pending: guest,
-            latency_model: &load,
+            pending: borrower,
+            latency_model: &latency,
             can_wait: true,
         };
         let at = self.selector.select(&query, candidates, true)?;
@@ -229,10 +237,10 @@
 
     // Whether others are to be asked for a place for a request now.
     fn borrow_due(&self, now: Millis, ticket: Ticket) -> bool {
-        let pending = &self.waiting[&ticket];
+        let request = &self.waiting[&ticket];
         let asked = self.last_queries.get(&ticket);
         let again = asked.is_none_or(|at| now.since(*at) >= BORROW_INTERVAL);
-        again && (pending.needs_loan || now.since(pending.arrived) >= BORROW_DELAY)
+        again && (request.needs_loan || now.since(request.arrived) >= BORROW_DELAY)
     }
 
     // Whether other shards are taken to have no place.
@@ -242,17 +250,17 @@
     }
 }
 
-fn slot_request(now: Millis, pending: &ScheduledRequest) -> SlotRequest {
+fn slot_request(now: Millis, request: &ScheduledRequest) -> SlotRequest {
     let small = |span: Millis| u32::try_from(span.0).unwrap_or(u32::MAX);
     SlotRequest {
-        service: short_hash(&pending.service),
-        stream: pending.route.kind == Kind::Stream,
-        prompt_tokens: pending.tokens.prompt_tokens(),
-        output_tokens: pending.tokens.output_tokens(),
-        latency_target: small(pending.route.latency_target),
-        gap_target: small(pending.route.gap_target),
-        waited: small(now.since(pending.arrived)),
-        remaining_wait: small(pending.deadline.since(now)),
+        service: short_hash(&request.service),
+        stream: request.route.kind == Kind::Stream,
+        prompt_tokens: request.tokens.prompt_tokens(),
+        output_tokens: request.tokens.output_tokens(),
+        latency_target: small(request.route.latency_target),
+        gap_target: small(request.route.gap_target),
+        waited: small(now.since(request.arrived)),
+        remaining_wait: small(request.deadline.since(now)),
     }
 }
 
@@ -260,22 +268,22 @@
 pub(super) fn borrower_request(
     now: Millis,
     service: &Arc<str>,
-    need: &SlotRequest,
+    request: &SlotRequest,
 ) -> ScheduledRequest {
     let span = |ms: u32| Millis(u64::from(ms));
-    let arrived = now.since(span(need.waited));
-    let until = now + span(need.remaining_wait);
+    let arrived = now.since(span(request.waited));
+    let until = now + span(request.remaining_wait);
     let route = Route {
         name: service.clone(),
         prefix: Box::default(),
-        kind: if need.stream {
+        kind: if request.stream {
             Kind::Stream
         } else {
             Kind::Safe
         },
         timeout: until.since(arrived),
-        latency_target: span(need.latency_target),
-        gap_target: span(need.gap_target),
+        latency_target: span(request.latency_target),
+        gap_target: span(request.gap_target),
         priority: 0,
         targets: Vec::new(),
         max_attempts: 1,
@@ -290,8 +298,8 @@
         virtual_arrival: arrived,
         deadline: until,
         tokens: TokenCounts {
-            prompt: f64::from(need.prompt_tokens),
-            output: f64::from(need.output_tokens),
+            prompt: f64::from(request.prompt_tokens),
+            output: f64::from(request.output_tokens),
         },
         fingerprint: 0,
         tried: Vec::new(),
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -15,19 +15,19 @@
     pub(super) fn record_first_part(
         &mut self,
         key: EndpointKey,
-        pending: &ScheduledRequest,
+        request: &ScheduledRequest,
         first: Millis,
     ) {
-        let load = self.latencies.entry(pending.service.clone()).or_default();
+        let latency = self.latencies.entry(request.service.clone()).or_default();
         self.selector
-            .record_speed(key, first, load.first_part_time(&pending.tokens));
-        load.record_first_part(&pending.tokens, first);
+            .record_speed(key, first, latency.first_part_time(&request.tokens));
+        latency.record_first_part(&request.tokens, first);
     }
 
     pub(super) fn record_remaining_parts(
         &mut self,
         key: EndpointKey,
-        pending: &ScheduledRequest,
+        request: &ScheduledRequest,
         rest: Millis,
         parts: u32,
         pause: Millis,
@@ -35,20 +35,20 @@
         if parts <= MIN_PARTS_FOR_SPEED {
             return;
         }
-        let load = self.latencies.entry(pending.service.clone()).or_default();
+        let latency = self.latencies.entry(request.service.clone()).or_default();
         self.selector
-            .record_speed(key, rest, load.remaining_time(f64::from(parts)));
+            .record_speed(key, rest, latency.remaining_time(f64::from(parts)));
         self.selector
-            .record_stall(key, pause > pending.route.gap_target);
-        load.record_pause(millis_to_f64(pause) / self.selector.speed_factor(key));
+            .record_stall(key, pause > request.route.gap_target);
+        latency.record_pause(millis_to_f64(pause) / self.selector.speed_factor(key));
     }
 
     // The prompt of a request at an endpoint is read, or no longer to be read.
-    pub(super) fn remove_prefill_tokens(&mut self, key: EndpointKey, pending: &ScheduledRequest) {
-        if let Some(busy) = self.in_flight.get_mut(&key) {
-            busy.prefill_tokens = busy
+    pub(super) fn remove_prefill_tokens(&mut self, key: EndpointKey, request: &ScheduledRequest) {
+        if let Some(row) = self.in_flight.get_mut(&key) {
+            row.prefill_tokens = row
                 .prefill_tokens
-                .saturating_sub(pending.tokens.prompt_tokens());
+                .saturating_sub(request.tokens.prompt_tokens());
         }
     }
 }
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -46,17 +46,17 @@
     pub(crate) fn lend_token(
         &mut self,
         view: &ClusterView<'_>,
-        need: &SlotRequest,
+        request: &SlotRequest,
     ) -> Option<EndpointKey> {
-        let service = view.registry.find_service(need.service)?;
+        let service = view.registry.find_service(request.service)?;
         if self.queues.get(&service).is_some_and(|it| !it.is_empty()) {
             return None;
         }
         self.rate_limits.update_rates(view);
         let mut candidates = self.free_endpoints(view, &service);
         candidates.retain(|it| it.reserved);
-        let guest = borrower_request(view.now, &service, need);
-        let key = self.best_endpoint(view.now, &guest, &candidates)?;
+        let borrower = borrower_request(view.now, &service, request);
+        let key = self.best_endpoint(view.now, &borrower, &candidates)?;
         self.rate_limits.take_token(key);
         Some(key)
     }
@@ -76,8 +76,8 @@
 
     /// Takes note that the holders that were asked had no token for a request.
     pub fn token_declined(&mut self, now: Millis, ticket: Ticket) {
-        if let Some(pending) = self.waiting.get(&ticket) {
-            self.token_refusals.insert(pending.service.clone(), now);
+        if let Some(request) = self.waiting.get(&ticket) {
+            self.token_refusals.insert(request.service.clone(), now);
         }
     }
 
@@ -89,13 +89,13 @@
         !refused && endpoints.any(|it| self.rate_limits.tokens(it.key()).is_some())
     }
 
-    // The slots of an endpoint, each counted by its pace, of which a limit leaves as many as it keeps busy.
-    pub(super) fn effective_slots(&self, endpoint: &Endpoint, load: &LatencyModel) -> f64 {
+    // The slots of an endpoint, each counted by its pace, of which a limit leaves as many as it keeps row.
+    pub(super) fn effective_slots(&self, endpoint: &Endpoint, latency: &LatencyModel) -> f64 {
         let key = endpoint.key();
         let slots = f64::from(endpoint.slots) / self.selector.speed_factor(key);
         let limit = self.rate_limits.shard_rate(key);
         limit.map_or(slots, |rate| {
-            slots.min(rate * millis_to_f64(load.mean_service_time()) / MS_PER_SECOND)
+            slots.min(rate * millis_to_f64(latency.mean_service_time()) / MS_PER_SECOND)
         })
     }
 }
