--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -1,10 +1,10 @@
-//! Cells that lend each other units of quotas and places at endpoints.
+//! Shards that lend each other quota units and endpoint slots.
 
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss,
-    reason = "small figures of a test"
+    reason = "small numbers of a test"
 )]
 
 mod common;
@@ -43,20 +43,24 @@
 /// A quota of some twenty requests a second, which eight shards share.
 const QUOTA_UNITS_PER_SECOND: f64 = 45_000.0;
 
-/// As in the gateway: how many instances are asked at once.
+/// Number of instances that are asked for quota units at once, as in the gateway.
 const UNIT_LENDER_COUNT: usize = 5;
+
+/// Number of instances that are asked for a slot at once, as in the gateway.
 const SLOT_LENDER_COUNT: usize = 2;
 
-/// How long every request runs, and how often instances report.
+/// Service time of every request.
 const SERVICE_TIME_MS: u64 = 200;
+
+/// Interval between the reports of an instance.
 const REPORT_INTERVAL_MS: u64 = 10;
 
 struct SimulatedRequest {
     arrived_ms: u64,
-    /// When it was sent to an endpoint, or refused.
+    /// When it was sent to an endpoint.
     started_ms: Option<u64>,
     rejected: bool,
-    /// How long it was held before it was refused.
+    /// How long it was queued before it was rejected.
     queued_ms: u64,
 }
 
@@ -65,33 +69,34 @@
     ticket: Ticket,
     endpoint: Endpoint,
     ends_ms: u64,
-    /// Who lent the place, in answer to which question.
+    /// Instance that lent the slot, and the id of the borrow request.
     lender: Option<(usize, u64)>,
 }
 
-/// A fleet of shards, all well and all heard in their shard.
+/// A fleet of shards without faults, whose instances receive all reports of their shard.
 struct Fleet {
     rng: ChaCha8Rng,
     now: u64,
     cores: Vec<Core>,
-    /// The other instances of each one's shard.
+    /// The shard peers of each instance.
     shard_peers: Vec<Vec<usize>>,
     /// Whether shards lend to each other.
     lending: bool,
+    /// Time and units of each grant.
     granted_units: Vec<(u64, f64)>,
     rejected_units: f64,
     unfinished: BTreeMap<(usize, Ticket), SimulatedRequest>,
     running: Vec<Attempt>,
-    /// The most that one endpoint ran at once.
+    /// Peak number of requests that ran at one endpoint at once.
     peak_running: usize,
     finished: Vec<SimulatedRequest>,
 }
 
 impl Fleet {
-    fn new(seed: u64, size: usize, endpoints: usize, lends: bool) -> Self {
+    fn new(seed: u64, size: usize, endpoints: usize, lending: bool) -> Self {
         let names: Vec<String> = (0..size).map(|at| format!("i{at}")).collect();
-        let make = |at: usize| {
-            let mut core = Core::new(identity(&names[at], at as u64 + 1));
+        let start = |index: usize| {
+            let mut core = Core::new(identity(&names[index], index as u64 + 1));
             core.configure(
                 Millis(0),
                 configuration(
@@ -99,25 +104,25 @@
                     organisation(QUOTA_UNITS_PER_SECOND, QUOTA_UNITS_PER_SECOND),
                 ),
             );
-            let fleet = names
+            let instances = names
                 .iter()
                 .map(|it| StoreUpdate::Instance(it.clone(), location(it, "a")));
             let endpoints =
                 (0..endpoints).map(|at| StoreUpdate::Endpoint(endpoint(&format!("e{at}"), 4)));
-            core.apply_updates(Millis(0), 1, fleet.chain(endpoints).collect());
+            core.apply_updates(Millis(0), 1, instances.chain(endpoints).collect());
             core
         };
-        let cores: Vec<Core> = (0..size).map(make).collect();
-        let members = cores.iter().map(|core| {
+        let cores: Vec<Core> = (0..size).map(start).collect();
+        let shard_peers = cores.iter().map(|core| {
             let members = core.other_instances().filter(|row| row.1);
             members.map(|row| instance_number(row.0)).collect()
         });
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
-            shard_peers: members.collect(),
+            shard_peers: shard_peers.collect(),
             cores,
-            lending: lends,
+            lending,
             granted_units: Vec::new(),
             rejected_units: 0.0,
             unfinished: BTreeMap::new(),
@@ -133,51 +138,51 @@
         for core in &mut self.cores {
             reports.push(core.next_report(now, true));
         }
-        for (at, core) in self.cores.iter_mut().enumerate() {
-            for in_shard in &self.shard_peers[at] {
-                core.receive_report(now, reports[*in_shard].clone());
+        for (index, core) in self.cores.iter_mut().enumerate() {
+            for peer in &self.shard_peers[index] {
+                core.receive_report(now, reports[*peer].clone());
             }
         }
     }
 
-    fn choose_lenders(&mut self, at: usize, count: usize) -> Vec<usize> {
-        let shards = self.cores[at].instances_by_other_shard();
-        let some: Vec<_> = shards.choose_multiple(&mut self.rng, count).collect();
-        let places = some
+    fn choose_lenders(&mut self, index: usize, count: usize) -> Vec<usize> {
+        let shards = self.cores[index].instances_by_other_shard();
+        let chosen: Vec<_> = shards.choose_multiple(&mut self.rng, count).collect();
+        let lenders = chosen
             .into_iter()
             .filter_map(|shard| shard.choose(&mut self.rng));
-        places.map(|it| instance_number(it)).collect()
+        lenders.map(|it| instance_number(it)).collect()
     }
 
-    // Asks for a quota, as the gateway does: the own shard first, then some instances of others.
-    fn request_quota(&mut self, at: usize, units: u64) {
+    // Requests quota units as the gateway does: first here, then from instances of other shards.
+    fn request_quota(&mut self, index: usize, units: u64) {
         let now = Millis(self.now);
-        let wanted = IncomingRequest {
+        let incoming = IncomingRequest {
             tokens: Some((units, 0)),
             draw: self.rng.random(),
             ..request("/stream/x")
         };
-        let mut passed = self.cores[at].route(now, wanted);
+        let mut result = self.cores[index].route(now, incoming);
         if self.lending
-            && passed.is_err()
-            && let Some(need) = self.cores[at].missing_quota(now, wanted)
+            && result.is_err()
+            && let Some(need) = self.cores[index].missing_quota(now, incoming)
         {
-            let part = UnitsRequest {
+            let share = UnitsRequest {
                 units: need.units.div_ceil(2),
                 ..need
             };
-            let need = BorrowRequest::Units(part);
-            let mut sum = 0;
-            for other in self.choose_lenders(at, UNIT_LENDER_COUNT) {
-                if let Grant::Units(given) = self.cores[other].lend(now, 0, need) {
-                    sum += given;
+            let query = BorrowRequest::Units(share);
+            let mut borrowed = 0;
+            for lender in self.choose_lenders(index, UNIT_LENDER_COUNT) {
+                if let Grant::Units(lent) = self.cores[lender].lend(now, 0, query) {
+                    borrowed += lent;
                 }
             }
-            if sum > 0 {
-                passed = self.cores[at].route_with_borrowed_quota(now, wanted, sum);
+            if borrowed > 0 {
+                result = self.cores[index].route_with_borrowed_quota(now, incoming, borrowed);
             }
         }
-        match passed {
+        match result {
             Ok(_) => self.granted_units.push((self.now, units as f64)),
             Err(refusal) => {
                 assert_eq!(refusal.reason, RefusalReason::QuotaExceeded);
@@ -186,22 +191,23 @@
         }
     }
 
-    // Plays requests for so many seconds that come evenly to all instances and want `part` of the quota.
-    fn generate_quota_load(&mut self, seconds: u64, part: f64) {
-        const MEAN: f64 = 2_200.0;
-        let spread: f64 = 0.9;
-        let law = LogNormal::new(MEAN.ln() - spread * spread / 2.0, spread).expect("a spread");
-        let chance = part * QUOTA_UNITS_PER_SECOND / MEAN / 1_000.0;
+    // Sends requests to all instances evenly for `seconds`, which use `quota_share` of the quota.
+    fn generate_quota_load(&mut self, seconds: u64, quota_share: f64) {
+        const MEAN_UNITS: f64 = 2_200.0;
+        let sigma: f64 = 0.9;
+        let distribution = LogNormal::new(MEAN_UNITS.ln() - sigma * sigma / 2.0, sigma)
+            .expect("a valid distribution");
+        let per_step = quota_share * QUOTA_UNITS_PER_SECOND / MEAN_UNITS / 1_000.0;
         for _ in 0..seconds * 1_000 {
             self.now += 1;
             if self.now.is_multiple_of(REPORT_INTERVAL_MS) {
                 self.exchange_reports();
             }
-            let mut due = chance;
+            let mut due = per_step;
             while due > 0.0 && self.rng.random_bool(due.min(1.0)) {
-                let at = self.rng.random_range(0..self.cores.len());
-                let units = law.sample(&mut self.rng).clamp(50.0, 30_000.0);
-                self.request_quota(at, units as u64);
+                let index = self.rng.random_range(0..self.cores.len());
+                let units = distribution.sample(&mut self.rng).clamp(50.0, 30_000.0);
+                self.request_quota(index, units as u64);
                 due -= 1.0;
             }
         }
@@ -220,9 +226,9 @@
         starts.map(|it| sum(it.0)).fold(0.0, f64::max)
     }
 
-    // Plays requests for so many ms that come to these instances, `rate` a second.
-    fn generate_load(&mut self, length: u64, at: &[usize], rate: f64) {
-        let end = self.now + length;
+    // Sends `rate` requests a second to the given instances for `duration_ms`.
+    fn generate_load(&mut self, duration_ms: u64, instances: &[usize], rate: f64) {
+        let end = self.now + duration_ms;
         while self.now < end {
             self.now += 5;
             if self.now.is_multiple_of(REPORT_INTERVAL_MS) {
@@ -236,17 +242,17 @@
             self.finish_requests();
             for _ in 0..5 {
                 if self.rng.random_bool(rate / 1_000.0) {
-                    let at = *at.choose(&mut self.rng).expect("an instance");
-                    self.submit(at);
+                    let index = *instances.choose(&mut self.rng).expect("an instance");
+                    self.submit(index);
                 }
             }
-            for at in 0..self.cores.len() {
-                self.decide(at);
+            for index in 0..self.cores.len() {
+                self.decide(index);
             }
         }
     }
 
-    // A calm time, in which instances get to know how long work takes.
+    // Runs at low load until the instances have learned the service time.
     fn warm_up(&mut self) {
         let all: Vec<usize> = (0..self.cores.len()).collect();
         self.generate_load(3_000, &all, 150.0);
@@ -254,42 +260,47 @@
         self.finished.clear();
     }
 
-    fn submit(&mut self, at: usize) {
+    fn submit(&mut self, index: usize) {
         let now = Millis(self.now);
-        let wanted = IncomingRequest {
+        let incoming = IncomingRequest {
             tokens: Some((1, 1)),
             ..request("/safe/x")
         };
-        let pass = self.cores[at].route(now, wanted).expect("it may");
-        let print = self.rng.random();
-        let job = SimulatedRequest {
+        let pass = self.cores[index]
+            .route(now, incoming)
+            .expect("within the quota");
+        let fingerprint = self.rng.random();
+        let request = SimulatedRequest {
             arrived_ms: self.now,
             started_ms: None,
             rejected: false,
             queued_ms: 0,
         };
-        match self.cores[at].admit(now, &pass, print) {
+        match self.cores[index].admit(now, &pass, fingerprint) {
             Ok(ticket) => {
-                self.unfinished.insert((at, ticket), job);
+                self.unfinished.insert((index, ticket), request);
             }
             Err(_) => self.finished.push(SimulatedRequest {
                 rejected: true,
-                ..job
+                ..request
             }),
         }
     }
 
-    fn decide(&mut self, at: usize) {
+    fn decide(&mut self, index: usize) {
         let now = Millis(self.now);
-        for decision in self.cores[at].decide(now) {
+        for decision in self.cores[index].decide(now) {
             match decision {
-                Decision::Start(ticket, endpoint) => self.start(at, ticket, &endpoint, None),
+                Decision::Start(ticket, endpoint) => self.start(index, ticket, &endpoint, None),
                 Decision::Refuse(ticket, _) => {
-                    let job = self.unfinished.remove(&(at, ticket)).expect("it waited");
+                    let request = self
+                        .unfinished
+                        .remove(&(index, ticket))
+                        .expect("it was queued");
                     self.finished.push(SimulatedRequest {
                         rejected: true,
-                        queued_ms: self.now - job.arrived_ms,
-                        ..job
+                        queued_ms: self.now - request.arrived_ms,
+                        ..request
                     });
                 }
             }
@@ -297,43 +308,46 @@
         if !self.lending {
             return;
         }
-        for (ticket, need) in self.cores[at].borrow_requests(now) {
-            let mut found = false;
-            for other in self.choose_lenders(at, SLOT_LENDER_COUNT) {
+        for (ticket, need) in self.cores[index].borrow_requests(now) {
+            let mut borrowed = false;
+            for lender in self.choose_lenders(index, SLOT_LENDER_COUNT) {
                 let id = self.rng.random();
-                let Grant::Slot(key) = self.cores[other].lend(now, id, need) else {
+                let Grant::Slot(key) = self.cores[lender].lend(now, id, need) else {
                     continue;
                 };
-                match self.cores[at].slot_granted(now, ticket, key) {
+                match self.cores[index].slot_granted(now, ticket, key) {
                     Some(endpoint) => {
-                        found = true;
-                        self.start(at, ticket, &endpoint, Some((other, id)));
+                        borrowed = true;
+                        self.start(index, ticket, &endpoint, Some((lender, id)));
                     }
-                    None => self.cores[other].reclaim_slot(id),
+                    None => self.cores[lender].reclaim_slot(id),
                 }
             }
-            if !found {
-                self.cores[at].slot_declined(now, ticket);
+            if !borrowed {
+                self.cores[index].slot_declined(now, ticket);
             }
         }
     }
 
     fn start(
         &mut self,
-        at: usize,
+        index: usize,
         ticket: Ticket,
         endpoint: &Endpoint,
-        lent: Option<(usize, u64)>,
+        lender: Option<(usize, u64)>,
     ) {
-        let job = self.unfinished.get_mut(&(at, ticket)).expect("it waited");
-        job.started_ms = Some(self.now);
-        let until = self.now + SERVICE_TIME_MS;
+        let request = self
+            .unfinished
+            .get_mut(&(index, ticket))
+            .expect("it was queued");
+        request.started_ms = Some(self.now);
+        let ends_ms = self.now + SERVICE_TIME_MS;
         self.running.push(Attempt {
-            instance: at,
+            instance: index,
             ticket,
             endpoint: endpoint.clone(),
-            ends_ms: until,
-            lender: lent,
+            ends_ms,
+            lender,
         });
         let same = self
             .running
@@ -344,58 +358,62 @@
 
     fn finish_requests(&mut self) {
         let now = self.now;
-        let (over, running) = std::mem::take(&mut self.running)
+        let (finished, running) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|it| it.ends_ms <= now);
         self.running = running;
-        for run in over {
+        for attempt in finished {
             let Attempt {
                 instance,
                 ticket,
                 lender,
                 ..
-            } = run;
+            } = attempt;
             self.cores[instance].attempt_ended(Millis(now), ticket, completed(), false);
             if let Some((lender, id)) = lender {
                 self.cores[lender].reclaim_slot(id);
             }
-            let job = self.unfinished.remove(&(instance, ticket)).expect("it ran");
-            self.finished.push(job);
+            let request = self
+                .unfinished
+                .remove(&(instance, ticket))
+                .expect("it was running");
+            self.finished.push(request);
         }
     }
 
-    // The part of the requests that were sent to an endpoint within so many ms.
+    // Returns the share of requests that were sent to an endpoint within `limit` ms.
     fn share_started_within(&self, limit: u64) -> f64 {
-        let good = |job: &&SimulatedRequest| {
-            job.started_ms
-                .is_some_and(|at| at - job.arrived_ms <= limit)
-        };
-        let good = self.finished.iter().filter(good).count();
-        good as f64 / self.finished.len() as f64
+        let in_time =
+            |it: &&SimulatedRequest| it.started_ms.is_some_and(|at| at - it.arrived_ms <= limit);
+        let in_time = self.finished.iter().filter(in_time).count();
+        in_time as f64 / self.finished.len() as f64
     }
 
-    // The instances of the shard of the first one.
+    // Returns the instances of the first instance's shard.
     fn first_shard(&self) -> Vec<usize> {
         self.shard_peers[0].iter().copied().chain([0]).collect()
     }
 }
 
-// An organisation uses six tenths of its quota, evenly over a fleet of many shards. Each shard fills a small part
-// of the bucket; by chance, or after one large request, it is empty, and requests are refused that the organisation
-// has a right to. Refused without lending: 0.044 of the units.
+// An organisation uses 60 % of its quota, evenly over a fleet of many shards. Each shard refills a
+// small share of the bucket, which is empty at times by chance or after one large request. Without
+// lending, 0.044 of the units are then rejected although the organisation is within its quota.
 #[test]
 fn a_partly_used_quota_rejects_almost_nothing() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed, 64, 16, true);
         fleet.generate_quota_load(20, 0.6);
         let granted: f64 = fleet.granted_units.iter().map(|it| it.1).sum();
-        let part = fleet.rejected_units / (granted + fleet.rejected_units);
-        assert!(part <= 0.01, "seed {seed}: {part} refused");
+        let rejected = fleet.rejected_units / (granted + fleet.rejected_units);
+        assert!(
+            rejected <= 0.01,
+            "seed {seed}: {rejected} of the units rejected"
+        );
     }
 }
 
-// Every instance asks for far more than the organisation may use, and all shards for each other's units. Units that
-// two shards granted would go beyond what the operators allow.
+// The organisation requests far more than its quota at every instance, and all shards borrow from
+// each other. If two shards granted the same units, usage would exceed the operators' limit.
 #[test]
 fn what_is_lent_is_not_granted_twice() {
     let mut fleet = Fleet::new(1, 64, 16, true);
@@ -404,48 +422,64 @@
         * (1.0 + QUOTA_POLICY.overage)
         + QUOTA_POLICY.slack;
     let most = fleet.max_granted_in_window();
-    assert!(most <= allowed, "{most} of {allowed}");
-    assert!(most >= allowed * 0.7, "{most} of {allowed}");
+    assert!(most <= allowed, "{most} units granted of {allowed} allowed");
+    assert!(
+        most >= allowed * 0.7,
+        "{most} units granted of {allowed} allowed"
+    );
 }
 
-// Callers happen to come to one shard, which has too few places for them; the other shards are idle. Without lending
-// 0.47 of these requests start within a fifth of a second.
+// All callers use one shard, which has too few slots for them, while the other shards are idle.
+// Without lending, 0.47 of these requests start within 200 ms.
 #[test]
 fn one_full_shard_uses_the_places_of_idle_ones() {
-    let played = |lends| {
-        let mut fleet = Fleet::new(1, 24, 20, lends);
+    let simulate = |lending| {
+        let mut fleet = Fleet::new(1, 24, 20, lending);
         let full = fleet.first_shard();
         fleet.warm_up();
         fleet.generate_load(10_000, &full, 220.0);
         (fleet.share_started_within(200), fleet.peak_running)
     };
-    let (alone, alone_most) = played(false);
-    let (lending, lending_most) = played(true);
-    assert!(lending >= 0.97 && alone < 0.7, "{lending}, alone {alone}");
-    assert!(lending_most <= alone_most, "{lending_most} at one endpoint");
+    let (without, peak_without) = simulate(false);
+    let (with, peak_with) = simulate(true);
+    assert!(
+        with >= 0.97 && without < 0.7,
+        "{with} with lending, {without} without"
+    );
+    assert!(
+        peak_with <= peak_without,
+        "{peak_with} requests at one endpoint"
+    );
 }
 
-// All shards are full. Places that one lends are wanted there too, and requests that no shard has a place for must
-// not be held in vain.
+// All shards are full. The lenders need lent slots themselves, and requests for which no shard has a
+// slot must not be queued in vain.
 #[test]
 fn where_all_shards_are_full_lending_serves_no_fewer_and_holds_nobody() {
-    let played = |lends| {
-        let mut fleet = Fleet::new(1, 24, 20, lends);
+    let simulate = |lending| {
+        let mut fleet = Fleet::new(1, 24, 20, lending);
         let all: Vec<usize> = (0..24).collect();
         fleet.warm_up();
         fleet.generate_load(5_000, &all, 900.0);
         fleet
     };
-    let (alone, lending) = (played(false), played(true));
-    let served = |fleet: &Fleet| fleet.finished.iter().filter(|job| !job.rejected).count();
-    assert!(served(&alone) * 5 < alone.finished.len() * 4, "no window");
-    assert!(served(&lending) * 100 >= served(&alone) * 97);
-    let held = |fleet: &Fleet| fleet.finished.iter().map(|job| job.queued_ms).max();
-    assert!(held(&lending) <= held(&alone), "{:?}", held(&lending));
+    let (without, with) = (simulate(false), simulate(true));
+    let served = |fleet: &Fleet| fleet.finished.iter().filter(|it| !it.rejected).count();
+    assert!(
+        served(&without) * 5 < without.finished.len() * 4,
+        "no overload"
+    );
+    assert!(served(&with) * 100 >= served(&without) * 97);
+    let max_queued = |fleet: &Fleet| fleet.finished.iter().map(|it| it.queued_ms).max();
+    assert!(
+        max_queued(&with) <= max_queued(&without),
+        "{:?}",
+        max_queued(&with)
+    );
 }
 
-// An instance that was lent a place is killed, or the word that returns it is lost. If it counted for ever, the
-// lender's endpoints would seem full until it is restarted.
+// A borrower is killed, or the message that returns the slot is lost. If the slot stayed lent, the
+// lender's endpoints would seem full until the lender is restarted.
 #[test]
 fn a_place_that_is_not_returned_is_taken_back() {
     let mut fleet = Fleet::new(1, 24, 20, true);
@@ -460,8 +494,8 @@
         waited: 20,
         remaining_wait: 4_000,
     };
-    let given = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Slot(need));
-    assert!(matches!(given, Grant::Slot(_)), "{given:?}");
+    let grant = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Slot(need));
+    assert!(matches!(grant, Grant::Slot(_)), "{grant:?}");
     let count = |core: &Core| -> u16 {
         core.scheduler()
             .endpoint_usage()
@@ -472,7 +506,7 @@
     assert_eq!(count(&fleet.cores[0]), 1);
     fleet.cores[0].sweep(Millis(4_100));
     assert_eq!(count(&fleet.cores[0]), 0);
-    // The word comes all the same.
+    // The message arrives late.
     fleet.cores[0].reclaim_slot(7);
     assert_eq!(count(&fleet.cores[0]), 0);
 }
