--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -1,9 +1,10 @@
-//! The queues before the endpoints: who waits, who goes where, who is refused.
+//! Scheduling of requests: which ones wait, where they run, and which ones are refused.
 //!
-//! Endpoints run what arrives in order of arrival and know no priorities, so order exists only
-//! here. An endpoint is never given more than it runs at once, counted over all instances, and
-//! what cannot start waits in the order of its rank. Every instance decides alone, from the same
-//! reports, whose request the next free place is for: the most urgent, then the longest waiting.
+//! Endpoints run requests in order of arrival and know no priorities, so priorities are enforced
+//! only here. No endpoint is sent more requests than it has slots, counted over all instances; other
+//! requests wait in a queue by priority. The instances decide independently, from the same reports,
+//! whose request gets the next free slot: the one of the highest priority, then the one that has
+//! waited longest.
 
 mod dispatch;
 mod expiry;
@@ -42,40 +43,40 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// When a caller should come back whose service has no endpoint: new ones are known within that.
+/// The retry delay for services without endpoints: new endpoints become known within that time.
 const NO_ENDPOINT_RETRY_AFTER: Millis = Millis(500);
 
-/// What was decided of a waiting request.
+/// A decision on a waiting request.
 #[derive(Debug, Clone)]
 pub enum Decision {
-    /// It goes to this endpoint now.
+    /// The request is sent to this endpoint.
     Start(Ticket, Arc<Endpoint>),
-    /// It is turned away unrun.
+    /// The request is refused without having run.
     Refuse(Ticket, Refusal),
 }
 
-// A request at an endpoint.
+// A request that was sent to an endpoint.
 #[derive(Debug)]
 struct RunningRequest {
     request: ScheduledRequest,
     endpoint: EndpointKey,
     sent_at: Millis,
-    // What went before it at its endpoint when it was sent.
+    // The work ahead of it at the endpoint when it was sent.
     backlog: Backlog,
-    // When the first part of its answer came.
+    // When the first part of its response arrived.
     first_part_at: Option<Millis>,
 }
 
-// What goes before a request at its endpoint.
+// The work ahead of a request at its endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Backlog {
-    // Prompt tokens of others that are still to be read.
+    // Unprocessed prompt tokens of other requests.
     prefill_tokens: f64,
-    // How long it is expected to wait there for a slot.
+    // The expected wait for a slot.
     slot_wait: Millis,
 }
 
-// What the decisions of one moment look at.
+// The time and the state of the cluster that decisions are based on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClusterView<'a> {
     pub(crate) now: Millis,
@@ -83,7 +84,7 @@
     pub(crate) peers: &'a Peers,
 }
 
-/// The queues before the endpoints.
+/// The scheduler of one instance.
 #[derive(Debug, Default)]
 pub struct Scheduler {
     selector: EndpointSelector,
@@ -95,18 +96,19 @@
     demands: Map<Arc<str>, Demand>,
     overloads: Map<(Arc<str>, Priority), OverloadWindow>,
     rate_limits: RateLimits,
-    // Places given to other shards, by the question that asked for each.
+    // Slots lent to other shards, by the id of the borrow request.
     lent_slots: Map<u64, lending::LentSlot>,
-    // When other shards were last asked for a place, by request, and what they said, by service.
+    // When a slot was last requested from other shards, by waiting request.
     last_queries: Map<Ticket, Millis>,
+    // The last reply to such a request, by service.
     last_replies: Map<Arc<str>, lending::LastReply>,
-    // When holders of rate limits last had no token, by service.
+    // When holders of rate limits last declined to lend a token, by service.
     token_refusals: Map<Arc<str>, Millis>,
     last_ticket: u64,
 }
 
 impl Scheduler {
-    /// Makes empty queues for an instance of this name in a data centre.
+    /// Creates the scheduler of an instance.
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
             selector: EndpointSelector::new(name, centre),
@@ -115,11 +117,11 @@
         }
     }
 
-    /// Lets a request wait, or refuses it at once if it would wait too long.
+    /// Queues a request, or refuses it if it would wait too long.
     ///
     /// # Errors
     ///
-    /// The refusal; nothing is kept of the request.
+    /// Returns the refusal; the request is not queued.
     pub fn admit(
         &mut self,
         now: Millis,
@@ -127,8 +129,8 @@
         registry: &Registry,
         peers: &Peers,
     ) -> Result<Ticket, Refusal> {
-        let places = slot_count(&request.service, registry);
-        if places == 0 {
+        let slots = slot_count(&request.service, registry);
+        if slots == 0 {
             return Err(Refusal {
                 reason: RefusalReason::NoEndpoint,
                 retry_after: NO_ENDPOINT_RETRY_AFTER,
@@ -153,7 +155,7 @@
         if self.expected_on_time(&view, &request) {
             return Ok(self.enqueue(request));
         }
-        // Another shard may have a place: it is asked before the request is refused.
+        // Another shard may lend a slot; the request waits for its reply before it is refused.
         if registry.is_sharded() && !self.recently_declined(now, &request.service) {
             return Ok(self.enqueue(ScheduledRequest {
                 needs_loan: true,
@@ -164,7 +166,7 @@
         Ok(self.enqueue(request))
     }
 
-    /// Lets a request wait for another endpoint after one did not serve it.
+    /// Queues a request again after an attempt that failed.
     pub fn requeue(&mut self, request: ScheduledRequest) -> Ticket {
         self.enqueue(ScheduledRequest {
             late: false,
@@ -174,7 +176,7 @@
         })
     }
 
-    /// Decides what can be decided now.
+    /// Starts and refuses waiting requests as far as possible now.
     pub fn decide(&mut self, now: Millis, registry: &Registry, peers: &Peers) -> Vec<Decision> {
         let view = ClusterView {
             now,
@@ -192,7 +194,7 @@
         decisions
     }
 
-    /// Takes note that a request's stay at its endpoint ended, and returns the request.
+    /// Records the outcome of a request's attempt at its endpoint, and returns the request.
     pub fn attempt_ended(
         &mut self,
         now: Millis,
@@ -238,19 +240,19 @@
         Some(request)
     }
 
-    /// Takes note that the first part of a request's answer came.
+    /// Records that the first part of a request's response arrived.
     pub fn first_part_received(&mut self, now: Millis, ticket: Ticket) {
         let Some(running) = self.running.get_mut(&ticket) else {
             return;
         };
         running.first_part_at = Some(now);
-        let (key, first) = (running.endpoint, now.since(running.sent_at));
+        let (endpoint, to_first_part) = (running.endpoint, now.since(running.sent_at));
         let request = running.request.clone();
-        self.remove_prefill_tokens(key, &request);
-        self.record_first_part(key, &request, first);
+        self.remove_prefill_tokens(endpoint, &request);
+        self.record_first_part(endpoint, &request, to_first_part);
     }
 
-    /// Returns how long the endpoint of a running request may stay silent.
+    /// Returns how long to wait for the first part of a running request's response.
     pub fn stall_timeout(&self, ticket: Ticket) -> Millis {
         let Some(running) = self.running.get(&ticket) else {
             return stall_timeout::STREAM_STALL_TIMEOUT;
@@ -261,16 +263,16 @@
             backlog,
             ..
         } = running;
-        let usual = self
+        let expected = self
             .latency_model(&request.service)
             .first_part_time(&request.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
-            millis_to_f64(usual) * self.selector.speed_factor(*endpoint),
+            millis_to_f64(expected) * self.selector.speed_factor(*endpoint),
         ))
     }
 
-    /// Takes a waiting request out, as its caller left.
+    /// Removes a waiting request.
     pub fn cancel(&mut self, ticket: Ticket) {
         let Some(request) = self.waiting.remove(&ticket) else {
             return;
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Takes out waiting requests that must not run any more.
+    /// Removes all matching waiting requests and returns their tickets.
     pub fn cancel_matching(&mut self, matches: impl Fn(&ScheduledRequest) -> bool) -> Vec<Ticket> {
         let found = self.waiting.iter().filter(|row| matches(row.1));
         let tickets: Vec<Ticket> = found.map(|row| *row.0).collect();
@@ -290,12 +292,12 @@
         tickets
     }
 
-    /// Returns the request that runs under a ticket.
+    /// Returns the running request with a ticket.
     pub fn running(&self, ticket: Ticket) -> Option<&ScheduledRequest> {
         self.running.get(&ticket).map(|running| &running.request)
     }
 
-    /// Returns whether an endpoint that was not tried has a place for a request.
+    /// Returns whether an endpoint that the request was not sent to has a free slot.
     pub fn has_alternative(
         &self,
         now: Millis,
@@ -313,12 +315,12 @@
             .any(|candidate| !request.tried.contains(&candidate.endpoint.key()))
     }
 
-    /// Takes in what a peer says of the endpoints that it uses.
+    /// Records the speed factors that a peer reports for endpoints.
     pub fn record_peer_usage(&mut self, rows: &[RunningRow]) {
         self.selector.record_peer_speeds(rows);
     }
 
-    /// Returns this instance's requests at each endpoint.
+    /// Returns the requests that this instance runs at each endpoint, for its report.
     pub fn endpoint_usage(&self) -> Vec<RunningRow> {
         let counts = self.in_flight.iter().map(|(key, row)| RunningRow {
             speed_factor: self.selector.reported_speed(*key),
@@ -327,36 +329,36 @@
         counts.collect()
     }
 
-    /// Sums up what waits here.
+    /// Returns a summary of the waiting requests, for this instance's report.
     pub fn queue_summary(&self, now: Millis) -> Vec<WaitingRow> {
         self.queues
             .iter()
             .flat_map(|(service, queue)| {
                 let latency = self.latency_model(service);
-                let stay = |ticket| latency.service_time_of(&self.waiting[&ticket].tokens);
-                queue.summary(now, short_hash(service), stay)
+                let service_time = |ticket| latency.service_time_of(&self.waiting[&ticket].tokens);
+                queue.summary(now, short_hash(service), service_time)
             })
             .collect()
     }
 
-    /// Returns how many requests wait and how many run.
+    /// Returns the number of waiting and of running requests.
     pub fn request_counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.running.len())
     }
 
-    /// Returns how a service's requests fared lately.
+    /// Returns the latency model of a service.
     pub fn latency_model(&self, service: &str) -> LatencyModel {
         self.latencies.get(service).copied().unwrap_or_default()
     }
 
-    /// Forgets endpoints that are gone.
+    /// Drops the state of endpoints that are no longer registered.
     pub fn prune_endpoints(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
         self.selector.retain_known(&known);
         self.rate_limits.retain_endpoints(&known);
     }
 
-    // What runs at an endpoint by this instance's count.
+    // Returns the requests that this instance runs at an endpoint.
     fn usage_mut(&mut self, key: EndpointKey) -> &mut RunningRow {
         self.in_flight.entry(key).or_insert(RunningRow {
             endpoint: key.short(),
@@ -376,6 +378,7 @@
     }
 }
 
+// Returns the number of slots at the eligible endpoints of a service.
 fn slot_count(service: &str, registry: &Registry) -> u32 {
     registry
         .eligible(service)
