--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -77,7 +77,7 @@
         decisions: &mut Vec<Decision>,
     ) {
         let now = view.now;
-        let load = self.latency_model(service);
+        let latency = self.latency_model(service);
         let rows: Vec<WaitingRow> = view.peers.waiting(now, short_hash(service)).collect();
         let waiting: Vec<QueueKey> = self.queues[service].iter().collect();
         let mut open = self.open_endpoints(view, service, waiting.len());
@@ -89,21 +89,21 @@
             if !usual && !open.has_private_slots() {
                 break;
             }
-            let pending = &self.waiting[&ticket];
-            let timeout = pending.arrived + wait::queue_timeout(pending, load);
+            let request = &self.waiting[&ticket];
+            let timeout = request.arrived + wait::queue_timeout(request, latency);
             let query = PlacementQuery {
                 now,
-                pending,
-                latency_model: &load,
-                can_wait: !pending.late && now < timeout,
+                pending: request,
+                latency_model: &latency,
+                can_wait: !request.late && now < timeout,
             };
-            let Some((candidate, canary)) = open.pick(&self.placing, &query, usual) else {
+            let Some((candidate, canary)) = open.pick(&self.selector, &query, usual) else {
                 continue;
             };
             let endpoint = candidate.endpoint.clone();
-            let ahead = backlog(candidate, load);
+            let ahead = backlog(candidate, latency);
             candidate.free_slots -= 1;
-            candidate.prefill_tokens += pending.tokens.prompt;
+            candidate.prefill_tokens += request.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
             self.send_to(now, ticket, &endpoint, ahead, canary);
             decisions.push(Decision::Start(ticket, endpoint));
@@ -144,7 +144,7 @@
             return Vec::new();
         }
         let running = view.peers.running_by_endpoint(view.now);
-        let all = awake.iter().map(|it| self.placing.speed_factor(it.key()));
+        let all = awake.iter().map(|it| self.selector.speed_factor(it.key()));
         let fastest = all.fold(f64::INFINITY, f64::min);
         awake
             .into_iter()
@@ -154,7 +154,7 @@
                 let (count, ours) = self
                     .in_flight
                     .get(&key)
-                    .map_or((0, 0), |busy| (u32::from(busy.count), busy.prefill_tokens));
+                    .map_or((0, 0), |row| (u32::from(row.count), row.prefill_tokens));
                 let (places, extra) = self.slot_limits(endpoint);
                 let left = (places + extra).saturating_sub(count + others);
                 let tokens = self.rate_limits.tokens(key);
@@ -164,7 +164,7 @@
                     free_slots: left,
                     queue_slots: extra,
                     prefill_tokens: f64::from(ours) + f64::from(theirs),
-                    slow: self.placing.is_slow(key, fastest),
+                    slow: self.selector.is_slow(key, fastest),
                     reserved: tokens.is_some(),
                     fastest_factor: fastest,
                 })
@@ -175,11 +175,11 @@
     // How many requests an endpoint is given at once, and how many more its queue may take.
     fn slot_limits(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
-        if self.placing.is_unobserved(key) {
+        if self.selector.is_unobserved(key) {
             let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
             return (few.min(endpoint.slots), 0);
         }
-        let fast = self.placing.speed_factor(key) <= MAX_FAST_SPEED_FACTOR
+        let fast = self.selector.speed_factor(key) <= MAX_FAST_SPEED_FACTOR
             && self.rate_limits.tokens(key).is_none();
         (endpoint.slots, u32::from(fast))
     }
@@ -192,7 +192,7 @@
     ) -> Vec<&'a Arc<Endpoint>> {
         let endpoints = endpoints.iter();
         endpoints
-            .filter(|it| !self.placing.in_backoff(now, it.key()))
+            .filter(|it| !self.selector.in_backoff(now, it.key()))
             .collect()
     }
 
@@ -204,20 +204,20 @@
         ahead: Backlog,
         canary: bool,
     ) {
-        let Some(mut pending) = self.waiting.remove(&ticket) else {
+        let Some(mut request) = self.waiting.remove(&ticket) else {
             return;
         };
-        if let Some(queue) = self.queues.get_mut(&pending.service) {
-            queue.remove(queue_key(ticket, &pending));
+        if let Some(queue) = self.queues.get_mut(&request.service) {
+            queue.remove(queue_key(ticket, &request));
         }
         let key = endpoint.key();
-        pending.tried.push(key);
-        pending.canary = canary;
-        let busy = self.usage_mut(key);
-        busy.count += 1;
-        busy.prefill_tokens += pending.tokens.prompt_tokens();
+        request.tried.push(key);
+        request.canary = canary;
+        let row = self.usage_mut(key);
+        row.count += 1;
+        row.prefill_tokens += request.tokens.prompt_tokens();
         let running = RunningRequest {
-            pending,
+            request,
             endpoint: key,
             sent_at: now,
             backlog: ahead,
@@ -237,13 +237,13 @@
 }
 
 // What goes before a request that is sent to a candidate now.
-fn backlog(candidate: &Candidate, load: LatencyModel) -> Backlog {
+fn backlog(candidate: &Candidate, latency: LatencyModel) -> Backlog {
     let queued = candidate.free_slots <= candidate.queue_slots;
     let slots = u64::from(candidate.endpoint.slots.max(1));
     Backlog {
         prefill_tokens: candidate.prefill_tokens,
         slot_wait: Millis(if queued {
-            load.mean_service_time().0 / slots
+            latency.mean_service_time().0 / slots
         } else {
             0
         }),
