--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -37,7 +37,7 @@
             return false;
         }
         let spent = report.quota_used.clone();
-        self.scheduler.record_peer_usage(&report.running);
+        self.scheduler.record_peer_speeds(&report.running);
         let young = Millis(report.age) <= self.age(now) + START_SKEW;
         match self.peers.receive(now, report) {
             Received::Ignored => return false,
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -316,7 +316,7 @@
     }
 
     /// Records the speed factors that a peer reports for endpoints.
-    pub fn record_peer_usage(&mut self, rows: &[RunningRow]) {
+    pub fn record_peer_speeds(&mut self, rows: &[RunningRow]) {
         self.selector.record_peer_speeds(rows);
     }
 
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -52,7 +52,7 @@
                 speed_factor: *pace,
                 ..running_row(id, 0)
             };
-            world.scheduler.record_peer_usage(&[told]);
+            world.scheduler.record_peer_speeds(&[told]);
         }
         world
     }
@@ -190,7 +190,7 @@
             ..endpoint(id, 12)
         };
         world.registry.put(Millis(0), far);
-        world.scheduler.record_peer_usage(&[RunningRow {
+        world.scheduler.record_peer_speeds(&[RunningRow {
             speed_factor: USUAL,
             ..running_row(id, 0)
         }]);
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -71,7 +71,7 @@
     let mut told = report("peer", 1);
     told.running = vec![running_row("e", 3)];
     let mut scheduler = Scheduler::new("me", "a");
-    scheduler.record_peer_usage(&told.running);
+    scheduler.record_peer_speeds(&told.running);
     peers.receive(Millis(0), told);
     for at in 0..3 {
         scheduler
@@ -331,7 +331,7 @@
     );
     // A pace that a peer saw counts as well.
     let mut other = Scheduler::new("me", "a");
-    other.record_peer_usage(&[running_row("e", 1)]);
+    other.record_peer_speeds(&[running_row("e", 1)]);
     for at in 0..12 {
         let pending = pending(Kind::Safe, 0, at);
         other.admit(Millis(at), pending, &registry, &peers).unwrap();
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -82,7 +82,7 @@
     for (id, pace) in [("fast", 4), ("usual", 8)] {
         let mut row = running_row(id, 0);
         row.speed_factor = pace;
-        scheduler.record_peer_usage(&[row]);
+        scheduler.record_peer_speeds(&[row]);
     }
     let peers = Peers::default();
     let mut engines = [
