--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -10,9 +10,9 @@
 use crate::core::routing::unit_fraction;
 use crate::latency_model::LatencyModel;
 use crate::report::short_hash;
-use crate::rollout::AnswerSample;
 use crate::rollout::Order;
 use crate::rollout::Phase;
+use crate::rollout::ResponseSample;
 use crate::rollout::State;
 use crate::stable_hash;
 use siskinyoke_base::Millis;
@@ -95,7 +95,7 @@
             let mut rollouts = self.registry.rollouts_mut();
             let rollout = rollouts.find(|it| short_hash(&it.order().service) == canary.service);
             if let Some(rollout) = rollout {
-                rollout.record_peer(now, report.source, canary, shard);
+                rollout.record_report(now, report.source, canary, shard);
             }
         }
     }
@@ -117,14 +117,14 @@
         let Some(bad) = is_bad_answer(outcome, pending, load) else {
             return;
         };
-        let sample = AnswerSample {
+        let sample = ResponseSample {
             route: short_hash(&pending.route.name),
             new,
             bad,
             endpoint: key.short(),
         };
         if let Some(rollout) = self.registry.rollout(&pending.service) {
-            rollout.record_answer(now, sample);
+            rollout.record_response(now, sample);
         }
     }
 
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -22,8 +22,8 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-pub use self::analysis::AnswerSample;
-pub use self::analysis::AnswerTally;
+pub use self::analysis::ResponseSample;
+pub use self::analysis::ResponseTally;
 pub use self::order::Order;
 pub use self::status::State;
 pub use self::status::Status;
@@ -131,7 +131,7 @@
     decided_at: Option<Millis>,
     // Requests that may go to the new version, with fractions.
     canary_credit: f64,
-    tally: AnswerTally,
+    tally: ResponseTally,
     // What peers saw, and when they said so.
     peer_reports: Map<u64, (Millis, CanaryReport)>,
     phase: Phase,
@@ -162,7 +162,7 @@
             withdrawn: false,
             decided_at: None,
             canary_credit: draw,
-            tally: AnswerTally::default(),
+            tally: ResponseTally::default(),
             peer_reports: Map::default(),
             phase: Phase::Trial,
         }
@@ -217,7 +217,7 @@
     }
 
     /// Takes in what a peer says of its own answers; those of another `shard` are not counted here.
-    pub fn record_peer(&mut self, now: Millis, source: u64, canary: &CanaryReport, shard: bool) {
+    pub fn record_report(&mut self, now: Millis, source: u64, canary: &CanaryReport, shard: bool) {
         if canary.order != self.order.revision {
             return;
         }
@@ -267,7 +267,7 @@
     }
 
     /// Takes note of an answer, good or bad, of a route.
-    pub fn record_answer(&mut self, now: Millis, sample: AnswerSample) {
+    pub fn record_response(&mut self, now: Millis, sample: ResponseSample) {
         if self.is_comparing() {
             self.tally.add(now, sample);
             self.evaluate(now);
--- a/crates/siskinyoke-dispatch/src/rollout/analysis.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/analysis.rs
@@ -40,7 +40,7 @@
 
 /// One answer.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerSample {
+pub struct ResponseSample {
     /// The hash of its route.
     pub route: u32,
     /// Whether an endpoint of the new version gave it.
@@ -53,7 +53,7 @@
 
 /// The answers of both versions by route, as this instance saw them lately.
 #[derive(Debug, Default)]
-pub struct AnswerTally {
+pub struct ResponseTally {
     routes: BTreeMap<u32, RouteTally>,
 }
 
@@ -71,9 +71,9 @@
     bad: f64,
 }
 
-impl AnswerTally {
+impl ResponseTally {
     /// Counts an answer.
-    pub fn add(&mut self, now: Millis, sample: AnswerSample) {
+    pub fn add(&mut self, now: Millis, sample: ResponseSample) {
         let route = self.routes.entry(sample.route).or_default();
         route.decay(now);
         let counts = if sample.new {
