--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -48,8 +48,8 @@
 /// It exceeds the variation between equal endpoints, so that waiting for another one pays off.
 const SLOW_RATIO: f64 = 1.3;
 
-/// The number of its own observations from which on an instance prefers these to its peers': one or
-/// two may have been delayed by a long prompt.
+/// The number of own observations from which on an instance ignores the speed factors of peers: one
+/// or two requests may have been delayed by a long prompt.
 const MIN_OBSERVATIONS: f64 = 3.0;
 
 /// Steps per unit of a reported speed factor. A byte then holds factors up to 32, in steps finer
@@ -62,7 +62,7 @@
 const STALL_THRESHOLD_RATIO: f64 = 0.3;
 
 /// The number of parts up to which a response is seldom hit by such a stall.
-const SHORT_ANSWER_PARTS: f64 = 8.0;
+const SHORT_RESPONSE_PARTS: f64 = 8.0;
 
 /// A request for which an endpoint is to be selected.
 #[derive(Debug, Clone, Copy)]
@@ -195,9 +195,10 @@
 
     /// Selects the best endpoint with free slots that the request has not been sent to before.
     ///
-    /// Endpoints that are neither slow nor reserved are considered only if `usual` is set. No slow endpoint is selected if the request would miss its deadline or stall other
-    /// streams there, or would be late although it can wait. A request that can wait is also not
-    /// sent where it would miss its deadline if the fastest endpoint would meet it.
+    /// Endpoints that are neither slow nor reserved are considered only if `usual` is set. No slow
+    /// endpoint is selected if the request would miss its deadline or stall other streams there, or
+    /// would be late although it can wait. A request that can wait is also not sent where it would
+    /// miss its deadline if the fastest endpoint would meet it.
     pub fn select(
         &self,
         query: &PlacementQuery<'_>,
@@ -221,8 +222,8 @@
     ///
     /// If even the fastest endpoint is slower than usual, the others are compared with it: there is
     /// nothing better to wait for.
-    pub fn is_slow(&self, key: EndpointKey, fastest: f64) -> bool {
-        self.speed_factor(key) > SLOW_RATIO * fastest.max(1.0)
+    pub fn is_slow(&self, key: EndpointKey, fastest_factor: f64) -> bool {
+        self.speed_factor(key) > SLOW_RATIO * fastest_factor.max(1.0)
     }
 
     /// Drops the observations of all endpoints that are not in `known`.
@@ -279,7 +280,7 @@
         let first_part_at =
             millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * speed_factor;
         let stall_ratio = health.map_or(0.0, Health::stall_ratio);
-        let likely_stall = latency_model.expected_parts(&pending.tokens) > SHORT_ANSWER_PARTS
+        let likely_stall = latency_model.expected_parts(&pending.tokens) > SHORT_RESPONSE_PARTS
             && stall_ratio > STALL_THRESHOLD_RATIO;
         let stalls_others = latency_model.expected_pause(tokens.prompt) * speed_factor
             > millis_to_f64(pending.route.gap_target);
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are known, and which of them may get new work from here.
+//! Registry of the known endpoints and of those that this instance may use.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,17 +17,19 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// How many endpoints known to have left are told to peers; the latest are enough, as the store
-/// tells the same within seconds.
+/// The maximum number of leaving or removed endpoints reported to peers. The latest ones suffice,
+/// as the store delivers the same information within seconds.
 const MAX_REPORTED_DEPARTURES: usize = 16;
 
-/// How long a start that left is remembered: no entry of it comes that late.
+/// How long an endpoint start that left is remembered. Updates of its entry are never delayed for
+/// that long.
 const DEPARTURE_RETENTION: Millis = Millis::from_secs(600);
 
-/// The endpoints that each shard needs of a service, so that a failed request has another to go to.
+/// The minimum number of endpoints per shard and service, so that a failed request can be retried
+/// on another one.
 const MIN_SHARD_ENDPOINTS: usize = 2;
 
-/// The endpoints that are known, by the key they have in the store.
+/// The known endpoints, by their key in the store.
 #[derive(Debug, Default)]
 pub struct Registry {
     entries: LeasedEntries<Arc<Endpoint>>,
@@ -35,27 +37,28 @@
     shard: usize,
     // The number of instances in each shard.
     shard_sizes: Vec<usize>,
-    // The endpoints that may get new work from here, by service.
+    // The endpoints that this instance may use, by service.
     eligible: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
-    // Those that get what is drawn for the version on trial.
+    // The endpoints that get the canary share of the requests, by service.
     canaries: BTreeMap<Arc<str>, Vec<Arc<Endpoint>>>,
     rollouts: BTreeMap<Arc<str>, Rollout>,
-    // The shards that use an endpoint of this one's, by its shortened key: several where they share it.
+    // The shards that use each endpoint of this shard, by the endpoint's short key; more than one
+    // if the shards share it.
     sharing_shards: Map<u32, Vec<usize>>,
 }
 
 impl Registry {
-    /// Takes note that the store could not be reached.
+    /// Records that the store cannot be reached.
     pub fn store_unreachable(&mut self) {
         self.entries.store_unreachable();
     }
 
-    /// Takes note that the store answers again.
+    /// Records that the store can be reached again.
     pub fn store_reachable(&mut self, now: Millis) {
         self.entries.store_reachable(now);
     }
 
-    /// Takes note of this instance's shard, and of the number of instances in each.
+    /// Sets this instance's shard and the number of instances in each shard.
     pub fn set_shards(&mut self, shard: usize, sizes: Vec<usize>) {
         if self.shard != shard || self.shard_sizes != sizes {
             self.shard = shard;
@@ -64,16 +67,16 @@
         }
     }
 
-    /// Adds an endpoint or replaces what it said of itself.
+    /// Adds an endpoint or replaces its entry.
     pub fn put(&mut self, now: Millis, endpoint: Endpoint) {
         self.add(now, endpoint);
         self.update_eligible();
     }
 
-    /// Takes in changes of endpoints' entries, all at once.
-    pub fn apply_updates(&mut self, now: Millis, news: Vec<StoreUpdate>) {
-        for item in news {
-            match item {
+    /// Applies several changes of endpoints' entries at once.
+    pub fn apply_updates(&mut self, now: Millis, updates: Vec<StoreUpdate>) {
+        for update in updates {
+            match update {
                 StoreUpdate::Endpoint(endpoint) => self.add(now, endpoint),
                 StoreUpdate::EndpointRemoved(id) => self.entries.remove(now, &id),
                 StoreUpdate::Instance(..)
@@ -86,20 +89,20 @@
         self.update_eligible();
     }
 
-    /// Takes note that an endpoint's entry is gone.
+    /// Removes an endpoint whose entry is gone from the store.
     pub fn remove(&mut self, now: Millis, id: &str) {
         self.entries.remove(now, id);
         self.update_eligible();
     }
 
-    /// Takes over from a peer that an endpoint is leaving or gone.
+    /// Records that an endpoint is leaving or gone, as reported by a peer.
     pub fn record_departure(&mut self, now: Millis, key: EndpointKey) {
         if self.departures.insert(key, now).is_none() {
             self.update_eligible();
         }
     }
 
-    /// Drops entries whose time is over.
+    /// Removes expired entries.
     pub fn remove_expired(&mut self, now: Millis) {
         self.departures
             .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
@@ -108,30 +111,31 @@
         }
     }
 
-    /// Returns the endpoints of a service that may get new work from here, in a fixed order.
+    /// Returns the endpoints of a service that this instance may use, in a fixed order.
     pub fn eligible(&self, service: &str) -> &[Arc<Endpoint>] {
         self.eligible.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the endpoints that get what is drawn for the version on trial.
+    /// Returns the endpoints that get the canary share of a service's requests.
     pub fn canaries(&self, service: &str) -> &[Arc<Endpoint>] {
         self.canaries.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in an order to move a service's traffic; `draw` is an even number from 0 to 1.
+    /// Starts the rollout of an order, unless it is older than the known one; `draw` is a uniformly
+    /// distributed number between 0 and 1.
     pub fn apply_order(&mut self, now: Millis, order: Order, draw: f64) {
-        let known = self.rollouts.get(&order.service);
-        if known.is_some_and(|it| it.order().revision >= order.revision) {
+        let current = self.rollouts.get(&order.service);
+        if current.is_some_and(|it| it.order().revision >= order.revision) {
             return;
         }
         let service = order.service.clone();
-        let before = self.rollouts.remove(&service);
-        let rollout = Rollout::begin(now, order, before, draw);
+        let previous = self.rollouts.remove(&service);
+        let rollout = Rollout::begin(now, order, previous, draw);
         self.rollouts.insert(service, rollout);
         self.update_eligible();
     }
 
-    /// Takes in how far the order for a service has come.
+    /// Applies the status of a service's rollout.
     pub fn apply_status(&mut self, service: &str, status: Status) {
         if let Some(rollout) = self.rollouts.get_mut(service) {
             rollout.set_status(status);
@@ -143,7 +147,7 @@
         self.rollouts.get_mut(service)
     }
 
-    /// Returns all rollouts, to be told of what was seen.
+    /// Returns all rollouts for updates.
     pub fn rollouts_mut(&mut self) -> impl Iterator<Item = &mut Rollout> {
         self.rollouts.values_mut()
     }
@@ -153,7 +157,7 @@
         self.rollouts.values()
     }
 
-    /// Lets the time act on rollouts, and returns the services whose traffic goes elsewhere now.
+    /// Advances all rollouts to the current time and returns the services whose traffic shifts.
     pub fn advance_rollouts(&mut self, now: Millis) -> Vec<Arc<str>> {
         let rollouts = self.rollouts.iter_mut();
         let changed = rollouts.filter_map(|row| row.1.advance(now).then(|| row.0.clone()));
@@ -164,46 +168,48 @@
         changed
     }
 
-    /// Returns whether the fleet is divided into shards with endpoints of their own.
+    /// Returns whether the fleet is divided into shards that have their own endpoints.
     pub fn is_sharded(&self) -> bool {
         self.shard_sizes.len() > 1
     }
 
-    /// Returns the service of a hashed name that has endpoints here.
+    /// Returns the service with a hashed name if it has endpoints here.
     pub fn find_service(&self, name: u32) -> Option<Arc<str>> {
         let known = self.eligible.keys().find(|it| short_hash(it) == name);
         known.cloned()
     }
 
-    /// Returns an endpoint of any shard that may get new work.
+    /// Returns an endpoint of any shard that accepts new requests.
     pub fn find_eligible(&self, key: EndpointKey) -> Option<&Arc<Endpoint>> {
         let found = self.all().find(|it| it.key() == key);
         found.filter(|it| !self.is_leaving(it))
     }
 
-    /// Returns the part of a limit that is this instance's shard's, of a limit that has so many holders.
+    /// Returns this shard's share of an endpoint's rate limit.
     ///
-    /// An endpoint that several shards share has no more of them hold its limit than there are holders. Nothing of
-    /// it is this shard's where the endpoint is another's.
+    /// At most `holders` of the shards that share the endpoint hold a part of its limit. The share
+    /// is 0 if the endpoint belongs to other shards.
     pub(crate) fn limit_share(&self, endpoint: u32, holders: usize) -> f64 {
         let Some(shards) = self.sharing_shards.get(&endpoint) else {
             return 0.0;
         };
-        let rank = |shard: &usize| stable_hash(&(endpoint, shard));
-        let before = shards.iter().filter(|it| rank(it) < rank(&self.shard));
+        let shard_hash = |shard: &usize| stable_hash(&(endpoint, shard));
+        let preceding = shards
+            .iter()
+            .filter(|it| shard_hash(it) < shard_hash(&self.shard));
         let holders = holders.min(shards.len());
-        if before.count() >= holders {
+        if preceding.count() >= holders {
             return 0.0;
         }
         1.0 / f64::from(u32::try_from(holders).unwrap_or(u32::MAX))
     }
 
-    /// Returns all endpoints that are known.
+    /// Returns all known endpoints.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         self.entries.iter().map(|row| row.1)
     }
 
-    /// Returns the endpoints known to be leaving or gone that peers should hear of.
+    /// Returns the latest endpoints known to be leaving or gone, which are reported to peers.
     pub fn recent_departures(&self) -> Vec<EndpointKey> {
         let mut all: Vec<_> = self
             .departures
@@ -265,7 +271,7 @@
         self.sharing_shards = sharing_shards;
     }
 
-    // The endpoints of a service that belong to this instance's shard.
+    // Returns the endpoints of a service that belong to this instance's shard.
     fn own_endpoints(
         &self,
         endpoints: &[Arc<Endpoint>],
@@ -279,12 +285,13 @@
         }
         let rows: Vec<_> = endpoints.iter().map(|it| (&*it.centre, &*it.id)).collect();
         let assigned = shards::assign(&rows, &self.shard_sizes);
-        let mine = |it: &&Arc<Endpoint>| assigned.get(&*it.id) == Some(&self.shard);
-        endpoints.iter().filter(mine).cloned().collect()
+        let is_own = |it: &&Arc<Endpoint>| assigned.get(&*it.id) == Some(&self.shard);
+        endpoints.iter().filter(is_own).cloned().collect()
     }
 
-    // Too few endpoints for each shard to have its own: shards share them. Each takes half as much
-    // again as its even part, as the shards' overloads seldom meet.
+    // Returns this shard's endpoints if there are too few for each shard to have its own. Each
+    // shard uses half as many slots again as its even share, because shards are seldom overloaded
+    // at the same time.
     fn shared_endpoints(
         &self,
         endpoints: &[Arc<Endpoint>],
@@ -302,22 +309,23 @@
                 let users: Vec<usize> = (0..shards).filter(|it| all[*it].contains(&at)).collect();
                 let count = u32::try_from(users.len()).unwrap_or(u32::MAX);
                 sharing_shards.insert(endpoint.key().short(), users);
-                let part = (endpoint.slots * 3).div_ceil(count * 2).max(2);
+                let slots = (endpoint.slots * 3).div_ceil(count * 2).max(2);
                 Arc::new(Endpoint {
-                    slots: part.min(endpoint.slots),
+                    slots: slots.min(endpoint.slots),
                     ..(**endpoint).clone()
                 })
             })
             .collect()
     }
 
-    // A start that once said it was leaving stays leaving, whatever an older entry says later.
+    // A start that was once marked as draining remains so, even if an older entry arrives later.
     fn is_leaving(&self, endpoint: &Endpoint) -> bool {
         endpoint.draining || self.departures.contains_key(&endpoint.key())
     }
 }
 
-// The places of a shard's endpoints among a few: each one in some shard, and for each shard two.
+// Returns the indices of a shard's endpoints if shards share `count` of them: every endpoint
+// belongs to some shard, and each shard has at least two if there are as many.
 fn shared_indices(shard: usize, shards: usize, count: usize) -> Vec<usize> {
     let mut indices: Vec<usize> = (shard..count).step_by(shards).collect();
     let first = indices.first().copied().unwrap_or(shard % count);
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -1,12 +1,15 @@
-//! Moves a service's traffic to endpoints of another version, and back if that version is bad.
+//! Canary rollout of a new version of a service's endpoints, with automatic rollback.
 //!
-//! The load: new endpoints start beside the old ones and would get their even part of the traffic at once. If
-//! their version fails or is slow, a large part of all requests is lost before anybody notices.
+//! New endpoints start beside the old ones and would immediately get an even share of the traffic.
+//! If their version failed or were slow, a large share of all requests would be lost before anybody
+//! noticed.
 //!
-//! Every instance decides by the same rules from what the store says: which version is on trial, and what the
-//! outcome is. A canary share of the requests goes to the version on trial; its answers are compared with those
-//! of the standing version at the same time. There is no coordinator: whoever sees enough evidence writes the
-//! outcome under a condition on the status and the order that it knows, so that no two outcomes can stand.
+//! Every instance applies the same rules to the state in the store, which tells which version is
+//! being rolled out and what the outcome is. A canary share of the requests is sent to the new
+//! version, and its responses are compared with those of the stable version in the same period.
+//! There is no coordinator: the instance that has enough evidence writes the outcome, on the
+//! condition that the status and the order in the store are still those that it knows. At most one
+//! outcome can therefore be written.
 
 mod analysis;
 mod order;
@@ -28,65 +31,71 @@
 pub use self::status::State;
 pub use self::status::Status;
 
-/// The part of the operators' bound on exposure that the canary share takes.
-const EXPOSURE_RATIO: f64 = 0.5;
+/// The canary share, relative to the operators' limit on the exposure of a version under
+/// evaluation.
+const CANARY_EXPOSURE_RATIO: f64 = 0.5;
 
-/// The part of an order's time after which traffic begins to move to the new version, unless that is bad.
+/// The point in an order's duration at which traffic starts to shift to the new version, unless
+/// that has failed the evaluation.
 const RAMP_START_RATIO: f64 = 0.55;
 
-/// The part of an order's time after which all traffic has moved.
+/// The point in an order's duration at which all traffic has shifted.
 ///
-/// It moves by and by, as some versions are bad under load only.
+/// Traffic shifts gradually because some versions are bad only under load.
 const RAMP_END_RATIO: f64 = 0.75;
 
-/// The part of the requests that is drawn for the new version at the most.
+/// The maximum share of the requests that are sent to the new version during the ramp.
 ///
-/// The others go to the standing version, whose answers of the same time the new ones are compared with.
-const MAX_NEW_RATIO: f64 = 0.8;
+/// The others go to the stable version, to keep its responses for comparison.
+const MAX_RAMP_RATIO: f64 = 0.8;
 
-/// The part of an order's time after which the new version is in force.
+/// The point in an order's duration at which the rollout completes.
 ///
-/// Old endpoints stop without draining then; until then what they run can end.
+/// Old endpoints then stop without draining, so the requests that they still run need the time
+/// until this point to finish.
 const COMPLETION_RATIO: f64 = 0.93;
 
-/// Endpoints to which an instance sends the canary share.
+/// The number of endpoints to which an instance sends the canary share.
 ///
-/// Few, so that they are loaded as they will be; more than one, so that one that fails does not condemn all.
+/// They are few, so that their load is as high as after the rollout, but more than one, so that a
+/// single faulty endpoint does not fail the version.
 const CANARY_ENDPOINTS: usize = 2;
 
-/// The part of the standing endpoints' slots that those of the new version must have for traffic to move.
+/// The minimum ratio of the new version's slots to the stable version's slots for traffic to shift.
 const MIN_SLOTS_RATIO: f64 = 0.5;
 
-/// How long old endpoints are left out after the new version is in force.
+/// How long old endpoints are excluded after the rollout has completed.
 ///
-/// By then their entries are gone. Endpoints of any version that start later are of the operators' choice.
+/// Their entries are gone by then. Endpoints of any version that start later do so because the
+/// operators chose to start them.
 const SETTLE_TIME: Millis = Millis::from_secs(20);
 
-/// How long what a peer saw counts after its report; it fades at the peer, and only while that is heard.
+/// How long a peer's counts are used after its last report. They decay at the peer, which shows
+/// only as long as its reports arrive.
 const PEER_REPORT_TTL: Millis = Millis(1_000);
 
-/// How long an instance waits for the one whose turn it is to write, by its own position in turn.
+/// The delay between the instances that may write a state, by their position.
 const WRITE_STAGGER: Millis = Millis(250);
 
-/// Where the traffic of a service goes.
+/// Which versions a service's traffic goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// To the standing version, and a canary share to a few endpoints of the new one.
+    /// To the stable version, with a canary share to a few endpoints of the new one.
     Trial,
-    /// To both, by and by more to the new one.
+    /// To both versions, with an increasing share to the new one.
     Ramp,
-    /// To the new version, which is not yet in force.
+    /// To the new version; the rollout has not completed yet.
     Moved,
-    /// To the new version alone.
+    /// To the new version only; the rollout has completed.
     Completed,
-    /// To all versions but the new one.
+    /// To all versions except the new one.
     RolledBack,
-    /// To whatever there is: the new version has been in force for long.
+    /// To all endpoints: the rollout completed some time ago.
     Settled,
 }
 
 impl Phase {
-    /// Returns the word for log lines.
+    /// Returns the name used in log events.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Trial => "trial",
@@ -99,55 +108,57 @@
     }
 }
 
-/// What an endpoint may get of its service's requests.
+/// Which of its service's requests an endpoint gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointRole {
-    /// All that comes.
+    /// All requests.
     Serving,
-    /// What is drawn for the new version.
+    /// The requests that are selected for the new version.
     Canary,
-    /// Nothing.
+    /// None.
     Excluded,
 }
 
-/// The rollout of one service, as this instance sees it.
+/// The rollout of one service, as seen by this instance.
 #[derive(Debug)]
 pub struct Rollout {
     order: Order,
     status: Option<Status>,
-    // When the order was placed, as far as this instance and its peers know.
+    // When the order was placed, by the estimates of this instance and its peers.
     started: Millis,
-    // Versions that were ordered before and never came into force.
+    // Versions of earlier orders whose rollout never completed.
     excluded_versions: Vec<Arc<str>>,
-    // Whether endpoints of another version were there while the order stood.
+    // Whether endpoints of another version were present during this rollout.
     stable_seen: bool,
-    // Slots of the endpoints of the new version and of the others.
+    // The slots of the new version's endpoints and those of the others.
     slots: [u32; 2],
-    // Whether this instance or one of its peers found the new version to be bad, or the order was withdrawn.
+    // Whether the new version failed the evaluation here or at a peer, or the order was withdrawn.
     failed: bool,
-    // Whether the operators took the order away.
+    // Whether the operators withdrew the order.
     withdrawn: bool,
-    // When the outcome was first known here.
+    // When this instance learned the outcome.
     decided_at: Option<Millis>,
-    // Requests that may go to the new version, with fractions.
+    // Requests that may be sent to the new version, including fractions.
     canary_credit: f64,
     tally: ResponseTally,
-    // What peers saw, and when they said so.
+    // Latest report of each peer process, and when it arrived.
     peer_reports: Map<u64, (Millis, CanaryReport)>,
     phase: Phase,
 }
 
 impl Rollout {
-    /// Begins a rollout; `before` is the one that it replaces, and `draw` an even number from 0 to 1.
+    /// Starts a rollout that replaces `previous`; `draw` is a uniformly distributed number between
+    /// 0 and 1.
     ///
-    /// Each instance counts the canary share of its own requests, beginning with a random fraction: over all
-    /// instances the share holds, whatever the size of the fleet and however often they restart.
-    pub fn begin(now: Millis, order: Order, before: Option<Self>, draw: f64) -> Self {
+    /// Each instance applies the canary share to its own requests and starts with a random fraction
+    /// of a request. Over all instances the share is therefore kept, whatever the size of the fleet
+    /// and however often instances restart.
+    pub fn begin(now: Millis, order: Order, previous: Option<Self>, draw: f64) -> Self {
         let mut excluded_versions = Vec::new();
-        if let Some(before) = before {
-            excluded_versions = before.excluded_versions;
-            if !matches!(before.phase, Phase::Completed | Phase::Settled) {
-                excluded_versions.push(before.order.version);
+        if let Some(previous) = previous {
+            excluded_versions = previous.excluded_versions;
+            if !matches!(previous.phase, Phase::Completed | Phase::Settled) {
+                excluded_versions.push(previous.order.version);
             }
         }
         excluded_versions.retain(|it| *it != order.version);
@@ -173,17 +184,17 @@
         &self.order
     }
 
-    /// Returns where the traffic goes.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Returns the revision of the status that is known, 0 for none.
+    /// Returns the store revision of the known status, 0 if there is none.
     pub fn status_revision(&self) -> u64 {
         self.status.as_ref().map_or(0, |it| it.revision)
     }
 
-    /// Returns the revision that the order has in the store, 0 once it was withdrawn.
+    /// Returns the store revision of the order, 0 if it was withdrawn.
     pub fn order_revision(&self) -> u64 {
         if self.withdrawn {
             0
@@ -192,12 +203,13 @@
         }
     }
 
-    /// Takes in the status that the store holds; one of an earlier order says nothing of this one.
+    /// Sets the status that the store holds. A status of an earlier order has no effect on this
+    /// one.
     pub fn set_status(&mut self, status: Status) {
         self.status = Some(status);
     }
 
-    /// Takes note of the service's endpoints.
+    /// Updates the slots of both versions from the service's endpoints.
     pub fn update_slots<'a>(&mut self, endpoints: impl Iterator<Item = &'a Endpoint>) {
         self.slots = [0, 0];
         for endpoint in endpoints {
@@ -210,27 +222,33 @@
         }
     }
 
-    /// Takes note that the operators withdrew the order: the new version gets nothing more.
+    /// Withdraws the order: the new version gets no more requests.
     pub fn withdraw(&mut self) {
         self.failed = true;
         self.withdrawn = true;
     }
 
-    /// Takes in what a peer says of its own answers; those of another `shard` are not counted here.
-    pub fn record_report(&mut self, now: Millis, source: u64, canary: &CanaryReport, shard: bool) {
-        if canary.order != self.order.revision {
+    /// Records a peer's report; its response counts are used only if it is of the same shard.
+    pub fn record_report(
+        &mut self,
+        now: Millis,
+        incarnation: u64,
+        report: &CanaryReport,
+        same_shard: bool,
+    ) {
+        if report.order != self.order.revision {
             return;
         }
-        // The peer that has known the order for longest is nearest to the truth.
-        self.started = self.started.min(now.since(Millis(canary.age)));
-        self.failed |= canary.failed;
-        if shard {
-            self.peer_reports.insert(source, (now, canary.clone()));
+        // The peer that has known the order for the longest time is closest to when it was placed.
+        self.started = self.started.min(now.since(Millis(report.age)));
+        self.failed |= report.failed;
+        if same_shard {
+            self.peer_reports.insert(incarnation, (now, report.clone()));
             self.evaluate(now);
         }
     }
 
-    /// Returns what peers are told.
+    /// Returns the report for peers.
     pub fn canary_report(&self, now: Millis) -> CanaryReport {
         CanaryReport {
             service: short_hash(&self.order.service),
@@ -241,19 +259,20 @@
         }
     }
 
-    /// Returns whether peers have something to hear.
+    /// Returns whether there is anything to report to peers.
     pub fn has_report(&self) -> bool {
         self.is_comparing() || (self.failed && !self.is_decided())
     }
 
-    /// Counts a request, and returns whether it is for the new version; `bound` is the largest part of
-    /// requests that one on trial may get.
-    pub fn select_canary(&mut self, now: Millis, bound: f64) -> bool {
+    /// Counts a request and returns whether it is sent to the new version; `max_exposure` is the
+    /// maximum share of requests that a version under evaluation may get.
+    pub fn select_canary(&mut self, now: Millis, max_exposure: f64) -> bool {
         if !matches!(self.phase, Phase::Trial | Phase::Ramp) || self.slots[0] == 0 {
             return false;
         }
-        self.canary_credit =
-            (self.canary_credit + self.new_version_share(now, bound * EXPOSURE_RATIO)).min(2.0);
+        self.canary_credit = (self.canary_credit
+            + self.new_version_share(now, max_exposure * CANARY_EXPOSURE_RATIO))
+        .min(2.0);
         if self.canary_credit < 1.0 {
             return false;
         }
@@ -261,12 +280,12 @@
         true
     }
 
-    /// Returns whether answers are compared: while both versions answer.
+    /// Returns whether responses are compared, which is the case while both versions get requests.
     pub fn is_comparing(&self) -> bool {
         matches!(self.phase, Phase::Trial | Phase::Ramp)
     }
 
-    /// Takes note of an answer, good or bad, of a route.
+    /// Records a response.
     pub fn record_response(&mut self, now: Millis, sample: ResponseSample) {
         if self.is_comparing() {
             self.tally.add(now, sample);
@@ -274,7 +293,7 @@
         }
     }
 
-    /// Returns what an endpoint may get.
+    /// Returns which requests an endpoint gets.
     pub fn role(&self, endpoint: &Endpoint) -> EndpointRole {
         let new = endpoint.version == self.order.version;
         if !new && self.excluded_versions.contains(&endpoint.version) {
@@ -283,13 +302,13 @@
         match (self.phase, new) {
             (Phase::Trial | Phase::Ramp, true) => EndpointRole::Canary,
             (Phase::Moved | Phase::Completed, false) => EndpointRole::Excluded,
-            // Where no other version may be used, the ordered one was standing before.
+            // If no other version was seen, the ordered version is the stable one.
             (Phase::RolledBack, true) if self.stable_seen => EndpointRole::Excluded,
             _ => EndpointRole::Serving,
         }
     }
 
-    /// Returns how many endpoints of the new version share what is drawn for it.
+    /// Returns the maximum number of the new version's endpoints that get requests.
     pub fn max_canaries(&self) -> usize {
         if self.phase == Phase::Trial {
             CANARY_ENDPOINTS
@@ -298,7 +317,7 @@
         }
     }
 
-    /// Works out where the traffic goes now, and returns whether that changed.
+    /// Updates the phase and returns whether it changed.
     pub fn advance(&mut self, now: Millis) -> bool {
         let phase = self.next_phase(now);
         if matches!(phase, Phase::Completed | Phase::RolledBack) {
@@ -309,7 +328,7 @@
         changed
     }
 
-    /// Returns the state that is to be written, by an instance of this position in turn.
+    /// Returns the state that an instance with this position should write to the store.
     pub fn due_state(&self, now: Millis, position: usize) -> Option<State> {
         if self.is_decided() {
             return None;
@@ -322,7 +341,7 @@
         if self.phase == Phase::Moved && age >= self.part_of_duration(COMPLETION_RATIO) {
             return Some(State::Completed);
         }
-        // Its endpoints never came, or too few of them.
+        // The endpoints of the new version never started, or too few of them did.
         if self.phase != Phase::Moved && age >= self.order.duration {
             return Some(State::RolledBack);
         }
@@ -340,7 +359,7 @@
         if self.failed {
             return Phase::RolledBack;
         }
-        // An order for the version that is in force changes nothing.
+        // An order for the version that is already in use changes nothing.
         if !self.stable_seen {
             return Phase::Moved;
         }
@@ -367,18 +386,18 @@
         }
     }
 
-    // The part of the requests that is drawn for the new version.
-    fn new_version_share(&self, now: Millis, canary: f64) -> f64 {
+    // Returns the share of the requests that is sent to the new version.
+    fn new_version_share(&self, now: Millis, canary_share: f64) -> f64 {
         if self.phase == Phase::Trial {
-            return canary;
+            return canary_share;
         }
         let [begin, end] =
             [RAMP_START_RATIO, RAMP_END_RATIO].map(|it| millis_to_f64(self.part_of_duration(it)));
         let age = millis_to_f64(now.since(self.started));
-        ((age - begin) / (end - begin)).clamp(canary, MAX_NEW_RATIO)
+        ((age - begin) / (end - begin)).clamp(canary_share, MAX_RAMP_RATIO)
     }
 
-    // The state of this order, as far as the store tells.
+    // Returns the state of this order in the store, as far as known.
     fn current_state(&self) -> Option<State> {
         let status = self.status.as_ref()?;
         let ours = status.revision > self.order.revision && status.version == self.order.version;
--- a/crates/siskinyoke-dispatch/src/rollout/analysis.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/analysis.rs
@@ -1,8 +1,8 @@
-//! Whether a version on trial is worse than the standing one.
+//! Canary analysis: whether the new version is worse than the stable one.
 //!
-//! A sequential likelihood-ratio test compares the share of bad answers of the new version with that of the
-//! standing one, over the same seconds and the same route, so that faults, slow data centres and long prompts that
-//! meet both versions condemn neither.
+//! A sequential likelihood-ratio test compares the ratios of bad responses of both versions, over
+//! the same seconds and the same route. Faults, slow data centres and long prompts that affect both
+//! versions therefore do not fail the new one.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,47 +11,49 @@
 use crate::report::CanaryRow;
 use siskinyoke_base::Millis;
 
-/// How long an answer counts, of either version.
+/// The time constant with which counts of either version decay.
 ///
-/// Of what slows all endpoints down, both versions' answers tell alike only as far as they are of the same time.
+/// A general slowdown affects both versions alike only in responses of the same time.
 const DECAY_TIME: Millis = Millis::from_secs(6);
 
-/// By how much more of its answers, among those that would be good, a bad version spoils at least.
+/// The minimum share of its otherwise good responses that a bad version turns bad.
 const MIN_EXCESS_RATIO: f64 = 0.15;
 
-/// The share of bad answers of a standing version that is taken at least.
+/// The minimum ratio of bad responses that is assumed for the stable version.
 const MIN_STABLE_BAD_RATIO: f64 = 0.02;
 
-/// The logarithm of the odds at which a version is condemned: ten thousand to one.
+/// The logarithm of the odds at which a version fails: ten thousand to one.
 ///
-/// Each shard of a large fleet judges by itself, again with each answer.
+/// The odds are high because every shard of a large fleet evaluates the version by itself, again
+/// with every response.
 const LOG_ODDS_THRESHOLD: f64 = 9.2;
 
-/// Endpoints of the new version that must have given bad answers.
+/// The minimum number of the new version's endpoints that must have given bad responses.
 ///
-/// One that crashed or lies in a cut data centre says nothing of its version.
+/// A single endpoint that crashed or is in an unreachable data centre is no evidence against its
+/// version.
 const MIN_BAD_ENDPOINTS: usize = 2;
 
-/// Endpoints with bad answers that are named to peers.
+/// The maximum number of endpoints with bad responses that are reported to peers.
 const MAX_NAMED_ENDPOINTS: usize = 4;
 
-/// Fractions of an answer in which faded counts are told.
+/// Steps per response in reported counts, which decay to fractions.
 const COUNT_STEPS_PER_UNIT: f64 = 16.0;
 
-/// One answer.
+/// A response.
 #[derive(Debug, Clone, Copy)]
 pub struct ResponseSample {
-    /// The hash of its route.
+    /// The hash of the route's name.
     pub route: u32,
-    /// Whether an endpoint of the new version gave it.
+    /// Whether it came from an endpoint of the new version.
     pub new: bool,
-    /// Whether it failed, or took several times as long as is usual.
+    /// Whether it failed or took several times as long as usual.
     pub bad: bool,
-    /// The endpoint's shortened key.
+    /// The endpoint's short key.
     pub endpoint: u32,
 }
 
-/// The answers of both versions by route, as this instance saw them lately.
+/// Recent responses of both versions by route, as seen by this instance.
 #[derive(Debug, Default)]
 pub struct ResponseTally {
     routes: BTreeMap<u32, RouteTally>,
@@ -72,7 +74,7 @@
 }
 
 impl ResponseTally {
-    /// Counts an answer.
+    /// Counts a response.
     pub fn add(&mut self, now: Millis, sample: ResponseSample) {
         let route = self.routes.entry(sample.route).or_default();
         route.decay(now);
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Returns the counts as peers are told them.
+    /// Returns the counts as reported to peers.
     pub fn rows(&self, now: Millis) -> Vec<CanaryRow> {
         let rows = self.routes.iter().map(|(route, counts)| {
             let factor = decay_factor(now.since(counts.updated));
@@ -128,7 +130,8 @@
     }
 }
 
-/// Returns whether the answers of several instances condemn the new version, on one route or over all.
+/// Returns whether the new version fails by the counts of several instances, on one route or over
+/// all.
 pub fn is_worse<'a>(rows: impl Iterator<Item = &'a CanaryRow>) -> bool {
     let mut routes: BTreeMap<u32, Evidence> = BTreeMap::new();
     let mut all = Evidence::default();
@@ -157,7 +160,7 @@
         self.bad_endpoints.len() >= MIN_BAD_ENDPOINTS && self.log_odds() >= LOG_ODDS_THRESHOLD
     }
 
-    // The logarithm of the odds that the new version is worse, by its answers.
+    // Returns the logarithm of the odds that the new version is worse.
     fn log_odds(&self) -> f64 {
         let stable = self.stable_bad_ratio();
         let worse = stable + MIN_EXCESS_RATIO * (1.0 - stable);
@@ -166,7 +169,7 @@
         self.new.bad * bad + (self.new.total - self.new.bad).max(0.0) * good
     }
 
-    // The share of bad answers of the standing version, with one standard error.
+    // Returns the ratio of bad responses of the stable version, plus one standard error.
     fn stable_bad_ratio(&self) -> f64 {
         let total = self.stable.total + 1.0;
         let share = (self.stable.bad + 0.5) / total;
@@ -175,7 +178,7 @@
     }
 }
 
-// What is left of an answer that came so long ago.
+// Returns the remaining weight of a response of this age.
 fn decay_factor(age: Millis) -> f64 {
     (-millis_to_f64(age) / millis_to_f64(DECAY_TIME)).exp()
 }
@@ -183,7 +186,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "held to what the field holds"
+    reason = "clamped to the range of the field"
 )]
 fn to_steps(count: f64) -> u16 {
     (count * COUNT_STEPS_PER_UNIT).clamp(0.0, f64::from(u16::MAX)) as u16
--- a/crates/siskinyoke-dispatch/src/rollout/order.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/order.rs
@@ -1,18 +1,19 @@
-//! An operator's order.
+//! Rollout orders.
 
 use std::sync::Arc;
 
 use siskinyoke_base::Millis;
 
-/// An operator's order to move a service's traffic to another version of its endpoints.
+/// An operator's order to shift a service's traffic to another version of its endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The service.
     pub service: Arc<str>,
-    /// The version that its traffic is to move to.
+    /// The version that the traffic is shifted to.
     pub version: Arc<str>,
-    /// How long the move may take.
+    /// How long the rollout may take.
     pub duration: Millis,
-    /// The store's revision of the order, which tells it from others for the same version.
+    /// The store revision of the order, which distinguishes it from other orders for the same
+    /// version.
     pub revision: u64,
 }
--- a/crates/siskinyoke-dispatch/src/rollout/status.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/status.rs
@@ -1,20 +1,20 @@
-//! How far an order has come, as the store holds it.
+//! Status of a rollout, as held by the store.
 
 use std::sync::Arc;
 
-/// The state of an order.
+/// The state of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// The new version is on trial, or traffic is moving to it.
+    /// The new version is under evaluation, or traffic is shifting to it.
     Running,
-    /// The new version is in force; the old endpoints stop at once.
+    /// All traffic goes to the new version, and the old endpoints stop at once.
     Completed,
-    /// The new version gets nothing more.
+    /// The new version gets no more requests.
     RolledBack,
 }
 
 impl State {
-    /// Returns the word for log lines.
+    /// Returns the name used in log events.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Running => "running",
@@ -24,13 +24,13 @@
     }
 }
 
-/// How far an order has come, as the store holds it.
+/// Status of a rollout, as held by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
     /// The state.
     pub state: State,
-    /// The version that was ordered.
+    /// The version of the order.
     pub version: Arc<str>,
-    /// The store's revision of this status.
+    /// The store revision of this status.
     pub revision: u64,
 }
