--- a/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which waiting requests go to which endpoints now.
+//! Assignment of waiting requests to endpoints.
 
 use std::sync::Arc;
 
@@ -21,55 +21,58 @@
 use crate::wait;
 use siskinyoke_base::Millis;
 
-/// The part of its places that an endpoint is given of whose pace nothing is known, and the fewest places.
+/// The share of its slots that an endpoint of unknown speed is used with, as a divisor, and the
+/// smallest number of slots.
 ///
-/// One that starts has all its places free; every instance sends its next requests there, and if it is a slow
-/// one, they wait there for seconds. Its first answer, some tenth of a second later, tells its pace.
+/// An endpoint that has just started has all its slots free. Without this limit every instance sends
+/// its next requests there, and if the endpoint is slow, they wait there for seconds. Its first
+/// response, about a tenth of a second later, shows its speed.
 const UNKNOWN_SPEED_DIVISOR: u32 = 4;
 const MIN_UNKNOWN_SPEED_SLOTS: u32 = 2;
 
-/// The pace up to which an endpoint is given one request more than it runs at once.
+/// The speed factor up to which an endpoint is sent one request more than it has slots.
 ///
-/// Its slots come free most often, and each stands idle until the end of an answer is known here and the next
-/// request has arrived there. At slower endpoints the request would wait for longer than that.
+/// The slots of fast endpoints become free most often, and each would be idle until the end of the
+/// response is known here and the next request arrives there. At slower endpoints the extra request
+/// would wait longer than that for a slot.
 const MAX_FAST_SPEED_FACTOR: f64 = 0.8;
 
-// The endpoints that may take requests of a service now.
+// The endpoints of a service that can be sent requests now.
 struct OpenEndpoints {
     free: Vec<Candidate>,
-    // Those of the version on trial.
+    // Endpoints of the canary version.
     canaries: Vec<Candidate>,
 }
 
 impl OpenEndpoints {
-    // Finds the best endpoint for a request, and says whether it is of the version on trial.
+    // Selects the best endpoint for a request, and returns whether it runs the canary version.
     //
-    // Where that version has no slot, the standing one serves what was drawn for it.
+    // A canary request goes to the stable version if the canary version has no free slot.
     fn pick(
         &mut self,
-        placing: &EndpointSelector,
+        selector: &EndpointSelector,
         query: &PlacementQuery<'_>,
-        usual: bool,
+        use_shared: bool,
     ) -> Option<(&mut Candidate, bool)> {
         let canary = query.pending.canary;
-        let canary = canary.then(|| placing.select(query, &self.canaries, true));
+        let canary = canary.then(|| selector.select(query, &self.canaries, true));
         if let Some(at) = canary.flatten() {
             return Some((&mut self.canaries[at], true));
         }
-        let at = placing.select(query, &self.free, usual)?;
+        let at = selector.select(query, &self.free, use_shared)?;
         Some((&mut self.free[at], false))
     }
 
-    // Whether there are free places that are not left to peers' more urgent requests.
+    // Returns whether there are free slots that peers' requests do not compete for.
     fn has_private_slots(&self) -> bool {
         let free = self.free.iter();
-        let mut own = free.filter(|it| it.slow || it.reserved);
-        own.any(|it| it.free_slots > 0) || self.canaries.iter().any(|it| it.free_slots > 0)
+        let mut private = free.filter(|it| it.slow || it.reserved);
+        private.any(|it| it.free_slots > 0) || self.canaries.iter().any(|it| it.free_slots > 0)
     }
 }
 
 impl Scheduler {
-    // Gives free places to waiting requests, in their order.
+    // Assigns free slots to the waiting requests of a service, in queue order.
     pub(super) fn start_waiting(
         &mut self,
         view: &ClusterView<'_>,
@@ -81,12 +84,12 @@
         let rows: Vec<WaitingRow> = view.peers.waiting(now, short_hash(service)).collect();
         let waiting: Vec<QueueKey> = self.queues[service].iter().collect();
         let mut open = self.open_endpoints(view, service, waiting.len());
-        for (order, position, ticket) in waiting {
-            // Peers' more urgent requests wait for endpoints of a usual pace, so slow ones are not left to
-            // them.
-            let usual =
-                shared_slots(&open.free) > claimed_by_peers(&rows, order, now.since(position));
-            if !usual && !open.has_private_slots() {
+        for (order, virtual_arrival, ticket) in waiting {
+            // Peers' requests that go first wait for endpoints that are not slow, so no slots of slow
+            // endpoints are left to them.
+            let use_shared = shared_slots(&open.free)
+                > claimed_by_peers(&rows, order, now.since(virtual_arrival));
+            if !use_shared && !open.has_private_slots() {
                 break;
             }
             let request = &self.waiting[&ticket];
@@ -97,15 +100,15 @@
                 latency_model: &latency,
                 can_wait: !request.late && now < timeout,
             };
-            let Some((candidate, canary)) = open.pick(&self.selector, &query, usual) else {
+            let Some((candidate, canary)) = open.pick(&self.selector, &query, use_shared) else {
                 continue;
             };
             let endpoint = candidate.endpoint.clone();
-            let ahead = backlog(candidate, latency);
+            let backlog = backlog(candidate, latency);
             candidate.free_slots -= 1;
             candidate.prefill_tokens += request.tokens.prompt;
             self.rate_limits.take_token(endpoint.key());
-            self.send_to(now, ticket, &endpoint, ahead, canary);
+            self.send_to(now, ticket, &endpoint, backlog, canary);
             decisions.push(Decision::Start(ticket, endpoint));
         }
     }
@@ -121,7 +124,7 @@
             .iter()
             .map(|it| it.free_slots.saturating_sub(it.queue_slots))
             .sum();
-        // As more requests wait than there are free slots, fast endpoints' queues take some of them.
+        // The queues of fast endpoints are used only if more requests wait than there are free slots.
         if waiting <= slots as usize {
             drop_queue_slots(&mut free);
         }
@@ -130,40 +133,43 @@
         OpenEndpoints { free, canaries }
     }
 
-    // The endpoints with free places, as far as all instances' reports tell.
+    // Returns the endpoints with free slots, according to the reports of all instances.
     pub(super) fn free_endpoints(&self, view: &ClusterView<'_>, service: &str) -> Vec<Candidate> {
         let mut free = self.candidates(view, view.registry.eligible(service));
         drop_queue_slots(&mut free);
         free
     }
 
-    // Those of some endpoints that have free slots, or a place in the queue of a fast one.
+    // Returns the endpoints that have free slots or, if they are fast, room in their queues.
     fn candidates(&self, view: &ClusterView<'_>, endpoints: &[Arc<Endpoint>]) -> Vec<Candidate> {
-        let awake = self.available(view.now, endpoints);
-        if awake.is_empty() {
+        let available = self.available(view.now, endpoints);
+        if available.is_empty() {
             return Vec::new();
         }
         let running = view.peers.running_by_endpoint(view.now);
-        let all = awake.iter().map(|it| self.selector.speed_factor(it.key()));
-        let fastest = all.fold(f64::INFINITY, f64::min);
-        awake
+        let factors = available
+            .iter()
+            .map(|it| self.selector.speed_factor(it.key()));
+        let fastest = factors.fold(f64::INFINITY, f64::min);
+        available
             .into_iter()
             .filter_map(|endpoint| {
                 let key = endpoint.key();
-                let (others, theirs) = running.get(&key.short()).copied().unwrap_or_default();
-                let (count, ours) = self
+                let (peer_count, peer_tokens) =
+                    running.get(&key.short()).copied().unwrap_or_default();
+                let (count, own_tokens) = self
                     .in_flight
                     .get(&key)
                     .map_or((0, 0), |row| (u32::from(row.count), row.prefill_tokens));
-                let (places, extra) = self.slot_limits(endpoint);
-                let left = (places + extra).saturating_sub(count + others);
+                let (slots, queue_slots) = self.slot_limits(endpoint);
+                let free_slots = (slots + queue_slots).saturating_sub(count + peer_count);
                 let tokens = self.rate_limits.tokens(key);
-                let left = tokens.map_or(left, |tokens| left.min(tokens));
-                (left > 0).then(|| Candidate {
+                let free_slots = tokens.map_or(free_slots, |tokens| free_slots.min(tokens));
+                (free_slots > 0).then(|| Candidate {
                     endpoint: endpoint.clone(),
-                    free_slots: left,
-                    queue_slots: extra,
-                    prefill_tokens: f64::from(ours) + f64::from(theirs),
+                    free_slots,
+                    queue_slots,
+                    prefill_tokens: f64::from(own_tokens) + f64::from(peer_tokens),
                     slow: self.selector.is_slow(key, fastest),
                     reserved: tokens.is_some(),
                     fastest_factor: fastest,
@@ -172,19 +178,19 @@
             .collect()
     }
 
-    // How many requests an endpoint is given at once, and how many more its queue may take.
+    // Returns how many slots of an endpoint may be used, and how many more requests may queue there.
     fn slot_limits(&self, endpoint: &Endpoint) -> (u32, u32) {
         let key = endpoint.key();
         if self.selector.is_unobserved(key) {
-            let few = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
-            return (few.min(endpoint.slots), 0);
+            let limit = (endpoint.slots / UNKNOWN_SPEED_DIVISOR).max(MIN_UNKNOWN_SPEED_SLOTS);
+            return (limit.min(endpoint.slots), 0);
         }
         let fast = self.selector.speed_factor(key) <= MAX_FAST_SPEED_FACTOR
             && self.rate_limits.tokens(key).is_none();
         (endpoint.slots, u32::from(fast))
     }
 
-    // Those of some endpoints that do not rest.
+    // Returns the endpoints that are not backing off after failures.
     pub(super) fn available<'a>(
         &self,
         now: Millis,
@@ -196,12 +202,13 @@
             .collect()
     }
 
+    // Moves a waiting request to an endpoint.
     pub(super) fn send_to(
         &mut self,
         now: Millis,
         ticket: Ticket,
         endpoint: &Arc<Endpoint>,
-        ahead: Backlog,
+        backlog: Backlog,
         canary: bool,
     ) {
         let Some(mut request) = self.waiting.remove(&ticket) else {
@@ -220,14 +227,14 @@
             request,
             endpoint: key,
             sent_at: now,
-            backlog: ahead,
+            backlog,
             first_part_at: None,
         };
         self.running.insert(ticket, running);
     }
 }
 
-// Leaves only slots.
+// Drops room in the queues of endpoints, so that only free slots are left.
 fn drop_queue_slots(candidates: &mut Vec<Candidate>) {
     for candidate in candidates.iter_mut() {
         candidate.free_slots = candidate.free_slots.saturating_sub(candidate.queue_slots);
@@ -236,7 +243,7 @@
     candidates.retain(|it| it.free_slots > 0);
 }
 
-// What goes before a request that is sent to a candidate now.
+// Returns the work ahead of a request that is sent to a candidate now.
 fn backlog(candidate: &Candidate, latency: LatencyModel) -> Backlog {
     let queued = candidate.free_slots <= candidate.queue_slots;
     let slots = u64::from(candidate.endpoint.slots.max(1));
@@ -250,13 +257,13 @@
     }
 }
 
-// Counts the free places of a usual pace that peers may use, too.
+// Counts the free slots that peers use as well: not those of slow endpoints or under a rate limit.
 pub(super) fn shared_slots(candidates: &[Candidate]) -> u32 {
-    let usual = candidates.iter().filter(|it| !it.slow && !it.reserved);
-    usual.map(|candidate| candidate.free_slots).sum()
+    let shared = candidates.iter().filter(|it| !it.slow && !it.reserved);
+    shared.map(|candidate| candidate.free_slots).sum()
 }
 
-// Counts the peers' requests that the next free places are for, before one of ours.
+// Counts the peers' waiting requests that go before a request of this instance.
 fn claimed_by_peers(rows: &[WaitingRow], order: QueueOrder, waited: Millis) -> u32 {
     rows.iter()
         .map(|row| {
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests that have waited for as long as they can use.
+//! Expiry of waiting requests.
 
 use std::sync::Arc;
 
@@ -14,6 +14,7 @@
 use crate::wait;
 
 impl Scheduler {
+    // Refuses the waiting requests of a service that have waited too long.
     pub(super) fn refuse_expired(
         &mut self,
         view: &ClusterView<'_>,
@@ -29,7 +30,8 @@
         }
     }
 
-    // Finds out whether a request has waited enough; one that can still be of use late is put off.
+    // Returns the refusal of a request that has waited too long. A request that would be late but can
+    // still be served before its caller leaves is marked late instead.
     fn check_expired(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let request = &self.waiting[&ticket];
         let latency = self.latency_model(&request.service);
@@ -46,9 +48,9 @@
         if !request.late && waited < wait::queue_timeout(request, latency) {
             return None;
         }
-        let bearable = wait::late_timeout(request, latency);
-        let settled = request.late || wait::is_retry(request);
-        if settled && waited < bearable {
+        let late_timeout = wait::late_timeout(request, latency);
+        let final_timeout = request.late || wait::is_retry(request);
+        if final_timeout && waited < late_timeout {
             return None;
         }
         let late = ScheduledRequest {
@@ -56,7 +58,7 @@
             ..request.clone()
         };
         let wait = self.expected_wait(view, &late);
-        if !settled && waited + wait <= bearable {
+        if !final_timeout && waited + wait <= late_timeout {
             self.mark_late(ticket);
             return None;
         }
@@ -66,7 +68,8 @@
         })
     }
 
-    // What becomes of a request for which only another shard might have had a place, and none had.
+    // Handles a request that needed a slot of another shard after those shards declined: it waits here
+    // if it can be served in time, and is refused otherwise.
     fn resolve_declined(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let request = self.waiting.get_mut(&ticket)?;
         request.needs_loan = false;
@@ -81,7 +84,7 @@
         None
     }
 
-    // Moves a request behind what can still be on time.
+    // Moves a request behind those that can still be on time.
     fn mark_late(&mut self, ticket: Ticket) {
         let Some(request) = self.waiting.get_mut(&ticket) else {
             return;
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -1,9 +1,10 @@
-//! Places that shards lend to each other.
+//! Lending of slots between shards.
 //!
-//! The load: a large fleet is cut into shards of some twenty places each. By chance one is full while
-//! others are idle; its requests would wait, be late or be refused with places free elsewhere. So an
-//! instance whose request cannot start asks instances of other shards for a place. Whoever gives one
-//! counts it as taken until it is returned, so that no endpoint is given more than it runs at once.
+//! A large fleet is divided into shards of some twenty slots each. By chance one shard is full while
+//! others are idle: its requests would wait, be late or be refused although there are free slots in
+//! other shards. An instance whose request cannot start therefore asks instances of other shards for
+//! a slot. The lender counts the slot as taken until it is returned, so that no endpoint is sent more
+//! requests than it has slots.
 
 use std::sync::Arc;
 
@@ -28,44 +29,45 @@
 use crate::report::short_hash;
 use siskinyoke_base::Millis;
 
-/// How long a request waits before other shards are asked for a place.
+/// How long a request waits before other shards are asked for a slot.
 ///
-/// Places of the own shard come free all the time, and reports of them take some ten milliseconds.
+/// Slots of the own shard become free all the time, and are reported within about ten milliseconds.
 const BORROW_DELAY: Millis = Millis(10);
 
-/// How often other shards are asked for a place for the same request.
+/// The interval at which other shards are asked for a slot for the same request.
 const BORROW_INTERVAL: Millis = Millis(40);
 
-/// How many requests other shards are asked for at a time.
+/// The number of requests for which other shards are asked for a slot at a time.
 const MAX_BORROW_QUERIES: usize = 4;
 
-/// How long other shards are taken to have no place after those asked had none.
+/// How long other shards are not asked after they declined to lend a slot.
 ///
-/// In a peak of the whole fleet all are full, and each question is for nothing.
+/// When the whole fleet is at peak load, all shards are full and every request would be declined.
 pub(super) const DECLINED_BACKOFF: Millis = Millis(100);
 
-/// The part of a shard's places that is kept for its own requests.
+/// The share of a shard's slots that is reserved for its own requests, as a divisor.
 ///
-/// Instances of one shard give places away at the same moment, before they hear of each other.
+/// The instances of a shard may lend slots at the same time, before they learn of each other's loans.
 const RESERVED_SLOTS_DIVISOR: u32 = 8;
 
-/// How much longer than expected a request may keep a place that was given to it, and what is added.
+/// How long a slot is lent, as a multiple of the expected service time, and the time that is added.
 ///
-/// The word that returns a place may be lost.
+/// A lent slot expires because the message that returns it may be lost.
 const LOAN_DURATION_RATIO: f64 = 3.0;
 const LOAN_GRACE: Millis = Millis(1_000);
 
-/// A place that was given to another shard.
+/// A slot that was lent to another shard.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LentSlot {
     endpoint: EndpointKey,
     prefill_tokens: u32,
-    // When its prompt is expected to be read, and when it is taken back unasked.
+    // When the prompt is expected to have been processed; none once it has been.
     prefill_end: Option<Millis>,
+    // When the slot is reclaimed if it has not been returned.
     expires_at: Millis,
 }
 
-/// Whether other shards had a place for a service's request, and when they said so.
+/// The last reply of other shards to a request for a slot.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LastReply {
     received_at: Millis,
@@ -73,39 +75,40 @@
 }
 
 impl Scheduler {
-    /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
+    /// Returns the waiting requests for which to ask other shards for slots, or holders of rate
+    /// limits for tokens.
     pub(crate) fn borrow_requests(
         &mut self,
         view: &ClusterView<'_>,
     ) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
-        let askable = self.queues.iter().flat_map(|(service, queue)| {
-            let place = view.registry.is_sharded() && !self.recently_declined(now, service);
+        let candidates = self.queues.iter().flat_map(|(service, queue)| {
+            let slot = view.registry.is_sharded() && !self.recently_declined(now, service);
             let reserved = self.should_ask_holders(view, service);
-            let tickets = queue.iter().filter(move |_| place || reserved);
-            tickets.map(move |it| (it.2, place, reserved))
+            let tickets = queue.iter().filter(move |_| slot || reserved);
+            tickets.map(move |it| (it.2, slot, reserved))
         });
-        let due = askable
+        let due = candidates
             .filter(|row| self.borrow_due(now, row.0))
             .take(MAX_BORROW_QUERIES);
-        let mut needs = Vec::new();
-        for (ticket, place, reserved) in due {
-            let need = slot_request(now, &self.waiting[&ticket]);
-            needs.extend(place.then_some((ticket, BorrowRequest::Slot(need))));
-            needs.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(need))));
+        let mut requests = Vec::new();
+        for (ticket, slot, reserved) in due {
+            let request = slot_request(now, &self.waiting[&ticket]);
+            requests.extend(slot.then_some((ticket, BorrowRequest::Slot(request))));
+            requests.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(request))));
         }
         let waiting = &self.waiting;
         self.last_queries
             .retain(|ticket, _| waiting.contains_key(ticket));
-        for (ticket, _) in &needs {
+        for (ticket, _) in &requests {
             self.last_queries.insert(*ticket, now);
         }
-        needs
+        requests
     }
 
-    /// Gives a place to a request of another shard, if there are some to spare.
+    /// Lends a slot for a request of another shard.
     ///
-    /// None are while requests wait here or at peers, and the last of them are kept.
+    /// No slots are lent while requests wait here or at peers, and the reserved slots never are.
     pub(crate) fn lend_slot(
         &mut self,
         view: &ClusterView<'_>,
@@ -113,8 +116,8 @@
         request: &SlotRequest,
     ) -> Option<EndpointKey> {
         let service = view.registry.find_service(request.service)?;
-        let waits = self.queues.get(&service).is_some_and(|it| !it.is_empty());
-        if waits
+        let queued = self.queues.get(&service).is_some_and(|it| !it.is_empty());
+        if queued
             || view
                 .peers
                 .waiting(view.now, request.service)
@@ -124,38 +127,40 @@
             return None;
         }
         let candidates = self.free_endpoints(view, &service);
-        let awake = self.available(view.now, view.registry.eligible(&service));
-        let all: u32 = awake.iter().map(|it| it.slots).sum();
-        if shared_slots(&candidates) <= all / RESERVED_SLOTS_DIVISOR + 1 {
+        let available = self.available(view.now, view.registry.eligible(&service));
+        let slots: u32 = available.iter().map(|it| it.slots).sum();
+        if shared_slots(&candidates) <= slots / RESERVED_SLOTS_DIVISOR + 1 {
             return None;
         }
         let latency = self.latency_model(&service);
         let borrower = borrower_request(view.now, &service, request);
         let key = self.best_endpoint(view.now, &borrower, &candidates)?;
         self.rate_limits.take_token(key);
-        let pace = self.selector.speed_factor(key);
-        let stay = millis_from_f64(
-            millis_to_f64(latency.service_time_of(&borrower.tokens)) * pace * LOAN_DURATION_RATIO,
+        let speed_factor = self.selector.speed_factor(key);
+        let duration = millis_from_f64(
+            millis_to_f64(latency.service_time_of(&borrower.tokens))
+                * speed_factor
+                * LOAN_DURATION_RATIO,
         ) + LOAN_GRACE;
-        let given = LentSlot {
+        let loan = LentSlot {
             endpoint: key,
             prefill_tokens: borrower.tokens.prompt_tokens(),
             prefill_end: Some(
                 view.now
                     + millis_from_f64(
-                        millis_to_f64(latency.first_part_time(&borrower.tokens)) * pace,
+                        millis_to_f64(latency.first_part_time(&borrower.tokens)) * speed_factor,
                     ),
             ),
-            expires_at: view.now + stay.min(Millis(u64::from(request.remaining_wait))),
+            expires_at: view.now + duration.min(Millis(u64::from(request.remaining_wait))),
         };
         let row = self.usage_mut(key);
         row.count += 1;
-        row.prefill_tokens += given.prefill_tokens;
-        self.lent_slots.insert(id, given);
+        row.prefill_tokens += loan.prefill_tokens;
+        self.lent_slots.insert(id, loan);
         Some(key)
     }
 
-    /// Takes a place back that was given to another shard.
+    /// Takes back a slot that was lent to another shard.
     pub fn reclaim_slot(&mut self, id: u64) {
         let Some(loan) = self.lent_slots.remove(&id) else {
             return;
@@ -168,11 +173,12 @@
         self.in_flight.retain(|_, row| row.count > 0);
     }
 
-    /// Takes back what was not returned in time, and counts prompts as read that should be.
+    /// Reclaims expired slots, and drops the prompt tokens of lent slots once they are expected to have
+    /// been processed.
     pub(crate) fn sweep_lent_slots(&mut self, now: Millis) {
-        let over = self.lent_slots.iter().filter(|row| row.1.expires_at <= now);
-        let over: Vec<u64> = over.map(|row| *row.0).collect();
-        for id in over {
+        let expired = self.lent_slots.iter().filter(|row| row.1.expires_at <= now);
+        let expired: Vec<u64> = expired.map(|row| *row.0).collect();
+        for id in expired {
             self.reclaim_slot(id);
         }
         for loan in self.lent_slots.values_mut() {
@@ -184,7 +190,8 @@
         }
     }
 
-    /// Starts a waiting request at a place that another shard gave; returns whether it still waited.
+    /// Starts a waiting request at a slot that another shard lent. Returns false if the request no
+    /// longer waits or cannot use the endpoint.
     pub(crate) fn slot_granted(
         &mut self,
         now: Millis,
@@ -197,27 +204,27 @@
         if request.service != endpoint.service || request.tried.contains(&endpoint.key()) {
             return false;
         }
-        let found = LastReply {
+        let reply = LastReply {
             received_at: now,
             granted: true,
         };
-        self.last_replies.insert(request.service.clone(), found);
+        self.last_replies.insert(request.service.clone(), reply);
         self.send_to(now, ticket, endpoint, Backlog::default(), false);
         true
     }
 
-    /// Takes note that the shards that were asked had no place for a request.
+    /// Records that the shards that were asked for a slot declined.
     pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
         if let Some(request) = self.waiting.get(&ticket) {
-            let nothing = LastReply {
+            let reply = LastReply {
                 received_at: now,
                 granted: false,
             };
-            self.last_replies.insert(request.service.clone(), nothing);
+            self.last_replies.insert(request.service.clone(), reply);
         }
     }
 
-    // Finds the best of some endpoints for a request of another instance.
+    // Selects the best endpoint for a request of another instance.
     pub(super) fn best_endpoint(
         &self,
         now: Millis,
@@ -235,15 +242,15 @@
         Some(candidates[at].endpoint.key())
     }
 
-    // Whether others are to be asked for a place for a request now.
+    // Returns whether to ask other instances on behalf of a waiting request now.
     fn borrow_due(&self, now: Millis, ticket: Ticket) -> bool {
         let request = &self.waiting[&ticket];
-        let asked = self.last_queries.get(&ticket);
-        let again = asked.is_none_or(|at| now.since(*at) >= BORROW_INTERVAL);
-        again && (request.needs_loan || now.since(request.arrived) >= BORROW_DELAY)
+        let last_query = self.last_queries.get(&ticket);
+        let interval_over = last_query.is_none_or(|at| now.since(*at) >= BORROW_INTERVAL);
+        interval_over && (request.needs_loan || now.since(request.arrived) >= BORROW_DELAY)
     }
 
-    // Whether other shards are taken to have no place.
+    // Returns whether other shards declined to lend a slot for this service recently.
     pub(super) fn recently_declined(&self, now: Millis, service: &str) -> bool {
         let last = self.last_replies.get(service);
         last.is_some_and(|it| !it.granted && now.since(it.received_at) < DECLINED_BACKOFF)
@@ -251,28 +258,28 @@
 }
 
 fn slot_request(now: Millis, request: &ScheduledRequest) -> SlotRequest {
-    let small = |span: Millis| u32::try_from(span.0).unwrap_or(u32::MAX);
+    let to_u32 = |duration: Millis| u32::try_from(duration.0).unwrap_or(u32::MAX);
     SlotRequest {
         service: short_hash(&request.service),
         stream: request.route.kind == Kind::Stream,
         prompt_tokens: request.tokens.prompt_tokens(),
         output_tokens: request.tokens.output_tokens(),
-        latency_target: small(request.route.latency_target),
-        gap_target: small(request.route.gap_target),
-        waited: small(now.since(request.arrived)),
-        remaining_wait: small(request.deadline.since(now)),
+        latency_target: to_u32(request.route.latency_target),
+        gap_target: to_u32(request.route.gap_target),
+        waited: to_u32(now.since(request.arrived)),
+        remaining_wait: to_u32(request.deadline.since(now)),
     }
 }
 
-// Another shard's request, as far as the choice of an endpoint needs it.
+// Returns another instance's request with the fields that the selection of an endpoint needs.
 pub(super) fn borrower_request(
     now: Millis,
     service: &Arc<str>,
     request: &SlotRequest,
 ) -> ScheduledRequest {
-    let span = |ms: u32| Millis(u64::from(ms));
-    let arrived = now.since(span(request.waited));
-    let until = now + span(request.remaining_wait);
+    let millis = |ms: u32| Millis(u64::from(ms));
+    let arrived = now.since(millis(request.waited));
+    let deadline = now + millis(request.remaining_wait);
     let route = Route {
         name: service.clone(),
         prefix: Box::default(),
@@ -281,9 +288,9 @@
         } else {
             Kind::Safe
         },
-        timeout: until.since(arrived),
-        latency_target: span(request.latency_target),
-        gap_target: span(request.gap_target),
+        timeout: deadline.since(arrived),
+        latency_target: millis(request.latency_target),
+        gap_target: millis(request.gap_target),
         priority: 0,
         targets: Vec::new(),
         max_attempts: 1,
@@ -296,7 +303,7 @@
         priority: Priority::new(None, 0),
         arrived,
         virtual_arrival: arrived,
-        deadline: until,
+        deadline,
         tokens: TokenCounts {
             prompt: f64::from(request.prompt_tokens),
             output: f64::from(request.output_tokens),
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -1,4 +1,4 @@
-//! What answers tell of their endpoints and of their service.
+//! Observations of responses: latencies of services and speeds of endpoints.
 
 use super::Scheduler;
 use crate::EndpointKey;
@@ -6,12 +6,13 @@
 use crate::latency_model::millis_to_f64;
 use siskinyoke_base::Millis;
 
-/// Parts of an answer beyond which their pauses tell the endpoint's pace.
+/// The number of parts that a response must exceed for its timing to show the endpoint's speed.
 ///
-/// Fewer come together, or with the pauses of one prompt that is read beside them.
+/// Fewer parts arrive together, or are delayed by a single prompt that is processed at the same time.
 const MIN_PARTS_FOR_SPEED: u32 = 4;
 
 impl Scheduler {
+    // Records the time to the first part of a response.
     pub(super) fn record_first_part(
         &mut self,
         key: EndpointKey,
@@ -24,6 +25,7 @@
         latency.record_first_part(&request.tokens, first);
     }
 
+    // Records the time from the first to the last part of a response, and its longest pause.
     pub(super) fn record_remaining_parts(
         &mut self,
         key: EndpointKey,
@@ -43,7 +45,7 @@
         latency.record_pause(millis_to_f64(pause) / self.selector.speed_factor(key));
     }
 
-    // The prompt of a request at an endpoint is read, or no longer to be read.
+    // Subtracts the prompt tokens of a request that the endpoint has processed or no longer has to.
     pub(super) fn remove_prefill_tokens(&mut self, key: EndpointKey, request: &ScheduledRequest) {
         if let Some(row) = self.in_flight.get_mut(&key) {
             row.prefill_tokens = row
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -1,4 +1,4 @@
-//! What the rate limits of endpoints mean for requests that are to be placed.
+//! Rate limits of endpoints in the scheduling of requests.
 
 use super::ClusterView;
 use super::Scheduler;
@@ -19,12 +19,13 @@
 const MS_PER_SECOND: f64 = 1_000.0;
 
 impl Scheduler {
-    /// Returns the rate limits that are known.
+    /// Returns the known rate limits.
     pub fn rate_limits(&self) -> &RateLimits {
         &self.rate_limits
     }
 
-    /// Takes in an answer of an endpoint to a request that was sent at `sent`, with the limit that it names.
+    /// Records the rate limit in an endpoint's response to a request that was sent at `sent`, or that
+    /// the response had none.
     pub fn record_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis, rate: Option<f64>) {
         match rate {
             Some(rate) => self.rate_limits.observe_limit(now, key, rate),
@@ -32,17 +33,17 @@
         }
     }
 
-    /// Takes in the limits that a peer knows.
+    /// Records the rate limits that a peer reports.
     pub fn record_peer_limits(&mut self, now: Millis, rows: &[LimitRow]) {
         self.rate_limits.merge_peer_limits(now, rows);
     }
 
-    /// Returns the limits that were named, changed or lifted since this was last asked.
+    /// Returns the rate limits that were set, changed or lifted since the last call.
     pub fn take_limit_changes(&mut self) -> Vec<LimitChange> {
         self.rate_limits.take_changes()
     }
 
-    /// Gives a token of a rate limit to a peer's request, unless requests wait here.
+    /// Lends a token of a rate limit to a peer's request, unless requests wait here.
     pub(crate) fn lend_token(
         &mut self,
         view: &ClusterView<'_>,
@@ -61,7 +62,7 @@
         Some(key)
     }
 
-    /// Returns the peers that may give a token for a service's requests.
+    /// Returns the peers that hold tokens for a service's requests.
     pub(crate) fn token_holders<'a>(
         &self,
         view: &ClusterView<'a>,
@@ -74,14 +75,14 @@
             .holders(view, view.registry.eligible(&service))
     }
 
-    /// Takes note that the holders that were asked had no token for a request.
+    /// Records that the holders that were asked for a token declined.
     pub fn token_declined(&mut self, now: Millis, ticket: Ticket) {
         if let Some(request) = self.waiting.get(&ticket) {
             self.token_refusals.insert(request.service.clone(), now);
         }
     }
 
-    // Whether holders of rate limits are to be asked for tokens.
+    // Returns whether to ask the holders of rate limits for tokens.
     pub(super) fn should_ask_holders(&self, view: &ClusterView<'_>, service: &str) -> bool {
         let refused = self.token_refusals.get(service);
         let refused = refused.is_some_and(|at| view.now.since(*at) < DECLINED_BACKOFF);
@@ -89,7 +90,8 @@
         !refused && endpoints.any(|it| self.rate_limits.tokens(it.key()).is_some())
     }
 
-    // The slots of an endpoint, each counted by its pace, of which a limit leaves as many as it keeps row.
+    // Returns the number of slots of an endpoint divided by its speed factor, or the number that its
+    // rate limit keeps busy if that is smaller.
     pub(super) fn effective_slots(&self, endpoint: &Endpoint, latency: &LatencyModel) -> f64 {
         let key = endpoint.key();
         let slots = f64::from(endpoint.slots) / self.selector.speed_factor(key);
--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -1,4 +1,4 @@
-//! How long requests are expected to wait, and when refused ones should come back.
+//! Expected waits in the queue, and retry delays of refused requests.
 
 use std::cmp::Ordering;
 
@@ -15,25 +15,25 @@
 use crate::wait;
 use siskinyoke_base::Millis;
 
-/// How much longer than now it may take for a caller to come back, at least.
+/// The shortest retry delay.
 const MIN_RETRY_AFTER: Millis = Millis(50);
 
 impl Scheduler {
-    // When a request should come back for which there is expected to be a place after `wait`.
+    // Returns the retry delay of a refused request that could get a slot after `wait`.
     pub(super) fn retry_after(
         &mut self,
         now: Millis,
         request: &ScheduledRequest,
         wait: Millis,
     ) -> Millis {
-        let window = self
+        let overload = self
             .overloads
             .entry((request.service.clone(), request.priority));
-        let lasted = window.or_default().record_refusal(now);
+        let lasted = overload.or_default().record_refusal(now);
         wait::with_jitter(wait.max(lasted).max(MIN_RETRY_AFTER), request)
     }
 
-    // Whether a request is expected to be on time, were it to join its queue now.
+    // Returns whether a request would be on time if it were queued now.
     pub(super) fn expected_on_time(
         &self,
         view: &ClusterView<'_>,
@@ -43,7 +43,7 @@
             <= wait::queue_timeout(request, self.latency_model(&request.service))
     }
 
-    // Turns a request into one that is served late, or refuses it where that would take too long.
+    // Marks a request late, or refuses it if it would wait too long even then.
     pub(super) fn admit_late(
         &mut self,
         view: &ClusterView<'_>,
@@ -54,17 +54,17 @@
             ..request
         };
         let wait = self.expected_wait(view, &request);
-        let bearable = wait::late_timeout(&request, self.latency_model(&request.service));
-        if wait <= bearable {
+        let timeout = wait::late_timeout(&request, self.latency_model(&request.service));
+        if wait <= timeout {
             return Ok(request);
         }
         Err(Refusal {
             reason: RefusalReason::Overload,
-            retry_after: self.retry_after(view.now, &request, wait.since(bearable)),
+            retry_after: self.retry_after(view.now, &request, wait.since(timeout)),
         })
     }
 
-    // How long a request is expected to wait, were it to join its queue now.
+    // Returns how long a request would wait if it were queued now.
     pub(super) fn expected_wait(
         &self,
         view: &ClusterView<'_>,
@@ -74,49 +74,48 @@
         self.forecast(view, request).wait(ahead)
     }
 
-    // Sums up the work that goes before a request, here and at peers.
+    // Returns the total service time, in ms, of the requests ahead of a request, here and at peers.
     fn work_ahead(&self, view: &ClusterView<'_>, request: &ScheduledRequest) -> f64 {
         let latency = self.latency_model(&request.service);
         let own = self.queues.get(&request.service).into_iter();
         let own = own.flat_map(Queue::iter);
-        let own = own.take_while(|place| {
-            (place.0, place.1) <= (request.queue_order(), request.virtual_arrival)
-        });
+        let own = own
+            .take_while(|key| (key.0, key.1) <= (request.queue_order(), request.virtual_arrival));
         let own: f64 = own
-            .map(|place| millis_to_f64(latency.service_time_of(&self.waiting[&place.2].tokens)))
+            .map(|key| millis_to_f64(latency.service_time_of(&self.waiting[&key.2].tokens)))
             .sum();
-        let others = view.peers.waiting(view.now, short_hash(&request.service));
+        let peers = view.peers.waiting(view.now, short_hash(&request.service));
         let age = millis_to_f64(view.now.since(request.virtual_arrival));
-        own + others
+        own + peers
             .map(|row| peer_work_ahead(&row, request, age))
             .sum::<f64>()
     }
 
     fn forecast(&self, view: &ClusterView<'_>, request: &ScheduledRequest) -> WaitForecast {
-        let awake = self.available(view.now, view.registry.eligible(&request.service));
-        let awake = awake.into_iter();
+        let available = self.available(view.now, view.registry.eligible(&request.service));
         let latency = self.latency_model(&request.service);
-        let capacity = awake.map(|it| self.effective_slots(it, &latency));
+        let available = available.into_iter();
+        let capacity = available.map(|it| self.effective_slots(it, &latency));
         let demand = self.demands.get(&request.service);
-        let before = demand.map_or(0.0, |it| {
+        let own_demand = demand.map_or(0.0, |it| {
             it.slots_before(view.now, request.priority, request.late)
         });
         let instances = u32::try_from(view.peers.instance_count(view.now)).unwrap_or(u32::MAX);
         WaitForecast {
             capacity: capacity.sum(),
-            future_demand: before * f64::from(instances),
+            future_demand: own_demand * f64::from(instances),
         }
     }
 }
 
-// The part of a peer's waiting work that goes before a request which has waited for so long. Nothing is
-// told of the rows in between, so their turns are taken to be evenly spread.
+// Returns the service time of a peer's waiting requests that go before a request of this age. The
+// report contains only the age of the oldest one, so the others are assumed to be evenly spread.
 fn peer_work_ahead(row: &WaitingRow, request: &ScheduledRequest, age: f64) -> f64 {
-    let work = f64::from(row.service_time);
+    let total = f64::from(row.service_time);
     let oldest = f64::from(row.oldest_wait);
     match row.order.cmp(&request.queue_order()) {
-        Ordering::Less => work,
-        Ordering::Equal if oldest > age => work * (oldest - age) / oldest,
+        Ordering::Less => total,
+        Ordering::Equal if oldest > age => total * (oldest - age) / oldest,
         _ => 0.0,
     }
 }
