--- a/crates/siskinyoke-dispatch/src/message.rs
+++ b/crates/siskinyoke-dispatch/src/message.rs
@@ -29,7 +29,7 @@
     /// A slot at an endpoint for one request, from another shard.
     #[serde(rename = "Place")]
     Slot(SlotRequest),
-    /// A slot at an endpoint of the sender's shard, from an instance that holds part of the endpoint's rate limit.
+    /// A slot at an endpoint, from an instance of the same shard that holds part of its rate limit.
     #[serde(rename = "Reserved")]
     RateLimitedSlot(SlotRequest),
 }
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -8,12 +8,12 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// The age at which a report's running requests are no longer counted.
+/// The maximum age of a report whose sender still counts as reporting.
 ///
 /// Idle instances report ten times a second, so this tolerates four lost reports in a row.
 const REPORT_TTL: Millis = Millis(450);
 
-/// The age at which a report's waiting requests no longer take precedence over local ones.
+/// The maximum age of a report whose waiting requests still take precedence over local ones.
 ///
 /// Under load reports arrive every 10 to 20 ms. A slot left free for a peer that does not use it
 /// stays idle for at most this long.
@@ -49,8 +49,7 @@
     Ignored,
     /// It updated a known peer.
     Update,
-    /// It is the first from a new process, which replaces the previous process of that name with this
-    /// source, if any.
+    /// It is the first from a new process; holds the source of the process that it replaces, if any.
     NewProcess(Option<u64>),
 }
 
@@ -137,10 +136,10 @@
             .filter(move |peer| peer.is_fresh(now))
     }
 
-    /// Returns the number of requests that peers run at each endpoint and their pending prefill tokens, by short key.
+    /// Returns the running requests of peers and their prefill tokens by endpoint short key.
     ///
-    /// Computed once per decision: searching all reports for each endpoint would grow with the square of
-    /// their number.
+    /// Computed once per decision: searching all reports for each endpoint would grow with the
+    /// square of their number.
     pub fn running_by_endpoint(&self, now: Millis) -> Map<u32, (u32, u32)> {
         let mut sums: Map<u32, (u32, u32)> = Map::default();
         for row in self.fresh(now).flat_map(|peer| &peer.report.running) {
@@ -151,7 +150,7 @@
         sums
     }
 
-    /// Returns the requests that wait at peers for a service, with waits extended by the age of the report.
+    /// Returns the requests that wait at peers for a service, with wait times brought up to date.
     pub fn waiting(&self, now: Millis, service: u32) -> impl Iterator<Item = WaitingRow> {
         self.by_source
             .values()
@@ -166,11 +165,11 @@
             .filter(move |row| row.service == service)
     }
 
-    /// Returns the fraction of the fleet that this instance and its reporting peers make up, from 0 to 1.
+    /// Returns the fraction of the fleet that this instance and its reporting peers make up.
     ///
-    /// In a fleet of one shard it is 1 while all peers report, and 1 / n on an instance that is cut off from
-    /// the other n - 1. The size of the fleet in the store counts too, because a process that has just
-    /// started has received no reports yet but is not alone.
+    /// In a fleet of one shard it is 1 while all peers report, and 1 / n on an instance that is cut
+    /// off from the other n - 1. The size of the fleet in the store counts too, because a process
+    /// that has just started has received no reports yet but is not alone.
     pub fn fleet_share(&self, now: Millis) -> f64 {
         let known = (self.by_source.len() + 1).max(self.listed_count);
         let reporting = self.fresh(now).count() + 1;
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -33,8 +33,9 @@
     pub running: Vec<RunningRow>,
     /// Its waiting requests by service and queue order.
     pub waiting: Vec<WaitingRow>,
-    /// Quota units used since the process started, less those borrowed from other shards, by hash of the
-    /// organisation's name.
+    /// Quota units used since the process started, by hash of the organisation's name.
+    ///
+    /// Units borrowed from other shards are deducted.
     #[serde(rename = "spent")]
     pub quota_used: Vec<(u32, i64)>,
     /// Rate limits that endpoints have announced, if any.
@@ -56,8 +57,7 @@
     /// Prompt tokens of the requests whose response has not begun.
     #[serde(rename = "unread")]
     pub prefill_tokens: u32,
-    /// The endpoint's service time as a multiple of the usual one, as measured by the sender, in eighths; 0 if
-    /// not measured.
+    /// The endpoint's measured service time relative to the usual one, in eighths; 0 if unknown.
     #[serde(rename = "pace")]
     pub speed_factor: u8,
 }
--- a/crates/siskinyoke-dispatch/src/shards.rs
+++ b/crates/siskinyoke-dispatch/src/shards.rs
@@ -1,11 +1,11 @@
 //! Division of a large fleet into shards, each with its own instances and endpoints.
 //!
 //! Instances that share an endpoint report every request there to each other. Among seventy
-//! instances that is five thousand reports per round, more than a small instance can process.
-//! A large fleet is therefore divided into shards of about nine instances, which share the endpoints
+//! instances that is five thousand reports per round, more than a small instance can process. A
+//! large fleet is therefore divided into shards of about nine instances, which share the endpoints
 //! of their shard and report only to each other. Callers spread over all instances, so each shard
-//! receives its share of the load. The cost of sharding is that a free slot in one shard does
-//! not help another one.
+//! receives its share of the load. The cost of sharding is that a free slot in one shard does not
+//! help another one.
 
 use std::collections::BTreeMap;
 
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -18,11 +18,12 @@
 
 const STEP_MS: u64 = 10;
 
-/// How long an instance must have been healthy before the propagation bound applies to it, in fleets of one
-/// shard and in larger ones.
+/// How long an instance must have been healthy before the propagation bound applies to it, in
+/// fleets of one shard and in larger ones.
 const HEALTHY_PERIOD_MS: [u64; 2] = [3_000, 4_000];
 
-/// The longest time in which a change must reach a healthy instance, in fleets of one shard and in larger ones.
+/// The longest time in which a change must reach a healthy instance, in fleets of one shard and in
+/// larger ones.
 const PROPAGATION_BOUND_MS: [u64; 2] = [2_000, 3_000];
 
 /// The largest number of instances that form a single shard.
@@ -35,8 +36,8 @@
 /// The number of instances of other shards that a full report goes to, as in the gateway.
 const CROSS_SHARD_RECEIVERS: usize = 3;
 
-/// The timeouts of calls to the store and to peers, and the time that a watch may take beyond its hold, as in
-/// the gateway.
+/// The timeouts of calls to the store and to peers, and the time that a watch may take beyond its
+/// hold, as in the gateway.
 const STORE_TIMEOUT_MS: u64 = 1_500;
 const WATCH_MARGIN_MS: u64 = 700;
 const PEER_TIMEOUT_MS: u64 = 1_000;
@@ -49,7 +50,8 @@
 pub enum Faults {
     /// No faults.
     None,
-    /// Frozen and killed instances, cut links, lost reports, and a store that some instances cannot reach.
+    /// Frozen and killed instances, cut links, lost reports, and a store that some instances cannot
+    /// reach.
     Mixed,
     /// Repeated outages in which the store is unresponsive to all instances or refuses them.
     StoreOutages,
@@ -90,8 +92,8 @@
 struct Watch {
     started: u64,
     hold: u64,
-    // Whether the store was unresponsive at any time since the call began: it is then never answered, even
-    // after the store recovers.
+    // Whether the store was unresponsive at any time since the call began: it is then never
+    // answered, even after the store recovers.
     lost: bool,
 }
 
--- a/crates/siskinyoke-dispatch/tests/following/main.rs
+++ b/crates/siskinyoke-dispatch/tests/following/main.rs
@@ -1,7 +1,7 @@
 //! Simulations of fleets in which few instances watch the store and the others follow them.
 //!
-//! Instances freeze, are killed, or lose links in one direction, and the store refuses some of them or does
-//! not respond. `SEEDS=FROM..TO` replaces the default seeds.
+//! Instances freeze, are killed, or lose links in one direction, and the store refuses some of them
+//! or does not respond. `SEEDS=FROM..TO` replaces the default seeds.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,8 +14,9 @@
 /// How long calls are counted.
 const DURATION_S: u64 = 30;
 
-// Several watchers in a row freeze, die, are refused or lose the store without an error. Guards against a
-// healthy instance with a reporting peer applying a change later than the promised three seconds.
+// Several watchers in a row freeze, die, are refused or lose the store without an error. Guards
+// against a healthy instance with a reporting peer applying a change later than the promised three
+// seconds.
 #[test]
 fn changes_reach_every_sound_instance_in_time() {
     for seed in seeds(0..8) {
@@ -29,7 +30,8 @@
     }
 }
 
-// Guards against waiting for a watch that was lost in an outage as if the store merely had no changes.
+// Guards against waiting for a watch that was lost in an outage as if the store merely had no
+// changes.
 #[test]
 fn changes_are_in_force_soon_after_an_outage_of_the_store() {
     for size in [7, 26] {
@@ -45,8 +47,8 @@
     }
 }
 
-// Something changes every second, as in a rolling replacement of endpoints. Guards against every instance
-// watching the store, when each change costs one paid call per instance.
+// Something changes every second, as in a rolling replacement of endpoints. Guards against every
+// instance watching the store, when each change costs one paid call per instance.
 #[test]
 fn store_calls_do_not_grow_with_instances_times_changes() {
     let calls = |size| {
--- a/crates/siskinyoke-dispatch/tests/load/engine.rs
+++ b/crates/siskinyoke-dispatch/tests/load/engine.rs
@@ -1,9 +1,10 @@
 //! A simplified simulation of an inference engine.
 //!
-//! It runs a batch in steps. Each step generates one token for every request whose prompt is prefilled, and
-//! prefills a chunk of the first other prompt. Prompts are therefore prefilled in order of arrival, which
-//! slows down the responses that are generated meanwhile. A part of a response holds several tokens. Not
-//! simulated: memory, prefix caching, a queue of the engine's own.
+//! It runs a batch in steps. Each step generates one token for every request whose prompt is
+//! prefilled, and prefills a chunk of the first other prompt. Prompts are therefore prefilled in
+//! order of arrival, which slows down the responses that are generated meanwhile. A part of a
+//! response holds several tokens. Not simulated: memory, prefix caching, a queue of the engine's
+//! own.
 
 /// The duration of a step without prefill, and how much each running request adds to it.
 const STEP_MS: f64 = 3.7;
--- a/crates/siskinyoke-dispatch/tests/load/main.rs
+++ b/crates/siskinyoke-dispatch/tests/load/main.rs
@@ -1,7 +1,7 @@
 //! Service quality for callers, simulated with a simplified engine.
 //!
-//! A third of the engines are over four times as slow as the others, and requests differ a hundredfold in
-//! prompt and output tokens. The bounds are those promised to callers.
+//! A third of the engines are over four times as slow as the others, and requests differ a
+//! hundredfold in prompt and output tokens. The bounds are those promised to callers.
 
 #![expect(
     clippy::cast_possible_truncation,
@@ -23,8 +23,8 @@
 /// Six engines, two of them slow: 48 slots of usual speed and 24 slow ones.
 const SLOWDOWNS: [f64; 6] = [1.0, 1.0, 1.0, 1.0, 4.4, 4.4];
 
-/// Drafts from long prompts, and short classifications of lower priority; at the usual rate they occupy about
-/// half of the slots.
+/// Drafts from long prompts, and short classifications of lower priority; at the usual rate they
+/// occupy about half of the slots.
 const CLASSES: [RequestClass; 2] = [
     RequestClass {
         priority: 0,
@@ -58,9 +58,9 @@
     world
 }
 
-// Guards against late drafts at the usual load while engines idle: a long prompt went to a slow engine,
-// delayed the responses beside it, or was abandoned during prefill. Without regard to token counts 0.93 of
-// the drafts are in time, with it 0.99.
+// Guards against late drafts at the usual load while engines idle: a long prompt went to a slow
+// engine, delayed the responses beside it, or was abandoned during prefill. Without regard to token
+// counts 0.93 of the drafts are in time, with it 0.99.
 #[test]
 fn a_calm_day_is_served_in_time() {
     for seed in 0..4 {
@@ -72,8 +72,9 @@
     }
 }
 
-// An engine sends nothing while it prefills a long prompt. Guards against a stall timeout by the mean of the
-// service, which abandons the attempt halfway through and starts over at the next engine.
+// An engine sends nothing while it prefills a long prompt. Guards against a stall timeout by the
+// mean of the service, which abandons the attempt halfway through and starts over at the next
+// engine.
 #[test]
 fn no_sound_engine_is_given_up_while_it_reads() {
     for seed in 0..4 {
@@ -83,8 +84,8 @@
     }
 }
 
-// An engine accepts requests without responding. Callers abandon a stream after three seconds without an
-// event, and another engine needs part of that time.
+// An engine accepts requests without responding. Callers abandon a stream after three seconds
+// without an event, and another engine needs part of that time.
 #[test]
 fn a_dark_engine_is_left_in_time_for_another() {
     let mut world = World::new(1, &CLASSES, &SLOWDOWNS);
@@ -95,8 +96,8 @@
     assert!(world.longest_stall <= 2_000, "{} ms", world.longest_stall);
 }
 
-// Guards against first-come-first-served queueing of drafts in a peak: every draft that is served is late and
-// delays the next one, while slots that become free meanwhile go to the lowest tier.
+// Guards against first-come-first-served queueing of drafts in a peak: every draft that is served
+// is late and delays the next one, while slots that become free meanwhile go to the lowest tier.
 #[test]
 fn in_a_peak_the_top_tier_is_in_time_first() {
     for seed in 0..4 {
@@ -113,7 +114,8 @@
     }
 }
 
-// Serving short requests first serves more callers. Guards against starving long drafts by it in a peak.
+// Serving short requests first serves more callers. Guards against starving long drafts by it in a
+// peak.
 #[test]
 fn long_work_is_not_starved_in_a_peak() {
     for seed in 0..4 {
@@ -132,8 +134,8 @@
     }
 }
 
-// The lowest tier has no chance of being served in a peak. Guards against refusing it only after three
-// seconds, in which its callers could have tried elsewhere.
+// The lowest tier has no chance of being served in a peak. Guards against refusing it only after
+// three seconds, in which its callers could have tried elsewhere.
 #[test]
 fn what_has_no_chance_is_told_so_at_once() {
     for seed in 0..4 {
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -56,8 +56,8 @@
     }
 }
 
-// Guards against restarts that move endpoints between shards: instances would lose track of what runs
-// at an endpoint and overload it.
+// Guards against restarts that move endpoints between shards: instances would lose track of what
+// runs at an endpoint and overload it.
 #[test]
 fn an_endpoint_that_goes_moves_few_others() {
     let shards = [9; 8];
@@ -130,7 +130,8 @@
                 .sum::<u32>();
         }
         assert_eq!(seen.len(), count);
-        // Shards that share an endpoint each get one and a half times their even share of its slots.
+        // Shards that share an endpoint each get one and a half times their even share of its
+        // slots.
         assert!(
             total_slots <= 6 * u32::try_from(count).unwrap() * 3,
             "{total_slots} for {count}"
@@ -160,8 +161,8 @@
     assert!(core.admit(Millis(0), &pass, 55).is_err());
 }
 
-// Seventy instances that poll the store as often as seven make ten times the calls, and operators pay
-// for each call. If shards poll in turn, a change costs one or two calls.
+// Seventy instances that poll the store as often as seven make ten times the calls, and operators
+// pay for each call. If shards poll in turn, a change costs one or two calls.
 #[test]
 fn a_large_fleet_calls_the_store_less_often() {
     let timings = |name: &str, count, settle| {
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -41,11 +41,12 @@
 }
 
 // Guards against followers in a cycle, or behind an instance that does not watch, which would never
-// learn of a change, where some instances cannot reach the store and links fail one way or both ways.
+// learn of a change, where some instances cannot reach the store and links fail one way or both
+// ways.
 //
-// All states of four instances are checked: each follower receives reports from the instance that it
-// follows, and each chain ends at a watcher, which can reach the store if any instance that the first
-// follower receives reports from can.
+// All states of four instances are checked: each follower receives reports from the instance that
+// it follows, and each chain ends at a watcher, which can reach the store if any instance that the
+// first follower receives reports from can.
 #[test]
 fn every_chain_of_followers_ends_at_an_instance_that_watches() {
     for store_access in 0..1 << NAMES.len() {
@@ -79,14 +80,15 @@
     }
 }
 
-// Returns an instance of a fleet of two shards that has read the store, and the names of its shard's peers.
+// Returns an instance of a fleet of two shards that has read the store, and the names of its
+// shard's peers.
 fn core_with_peers() -> (Core, Vec<String>) {
     let mut core = core("i0", 1);
     let names: Vec<String> = (0..16).map(|at| format!("i{at}")).collect();
-    let news = names
+    let updates = names
         .iter()
         .map(|name| StoreUpdate::Instance(name.clone(), location(name, "a")));
-    core.apply_updates(Millis(0), 5, news.collect());
+    core.apply_updates(Millis(0), 5, updates.collect());
     core.store_call_succeeded();
     let members = core.other_instances().filter(|row| row.1);
     let members = members.map(|row| row.0.peer_address.trim_end_matches(":2").to_owned());
@@ -104,8 +106,8 @@
     core.receive_report(Millis(now), report);
 }
 
-// Guards against a shard that keeps an outdated configuration after its only watcher hangs or is refused
-// by the store.
+// Guards against a shard that keeps an outdated configuration after its only watcher hangs or is
+// refused by the store.
 #[test]
 fn the_next_one_takes_over_from_a_watcher_that_is_silent_or_refused() {
     let (mut core, members) = core_with_peers();
@@ -128,8 +130,8 @@
     assert_eq!(core.store_role(Millis(3_000)), StoreRole::Watcher);
 }
 
-// Guards against every instance of a shard that the store refuses retrying: refused calls are paid for
-// too and would outnumber the served ones many times over.
+// Guards against every instance of a shard that the store refuses retrying: refused calls are paid
+// for too and would outnumber the served ones many times over.
 #[test]
 fn in_a_shard_without_the_store_one_instance_goes_on_trying() {
     let (mut core, members) = core_with_peers();
@@ -140,7 +142,8 @@
     core.update_store_availability(Millis(1));
     assert!(!core.store_available());
     assert_eq!(core.store_role(Millis(100)), StoreRole::Follower);
-    // The store may be reachable again for some but not for the first, so the others try occasionally.
+    // The store may be reachable again for some but not for the first, so the others try
+    // occasionally.
     for name in &members {
         receive(&mut core, 3_100, name, false);
     }
@@ -185,8 +188,8 @@
     assert_eq!(core.store_role(Millis(40)), StoreRole::Follower);
 }
 
-// Guards against every process watching the store until its peers report, which would cost one call for
-// each instance when a whole fleet starts.
+// Guards against every process watching the store until its peers report, which would cost one call
+// for each instance when a whole fleet starts.
 #[test]
 fn a_starting_process_waits_briefly_for_its_peers() {
     let (core, _) = core_with_peers();
@@ -208,8 +211,8 @@
     core.update_store_availability(Millis(1_000));
     receive(&mut core, 5_000, &members[0], true);
     core.update_store_availability(Millis(5_010));
-    let gone = StoreUpdate::EndpointRemoved("e2".to_owned());
-    core.apply_updates(Millis(5_020), 7, vec![gone]);
+    let removed = StoreUpdate::EndpointRemoved("e2".to_owned());
+    core.apply_updates(Millis(5_020), 7, vec![removed]);
     let listed = |core: &mut Core| core.registry().all().any(|it| &*it.id == "e2");
     assert!(listed(&mut core));
     core.sweep(Millis(7_500));
