--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -452,8 +452,8 @@
     );
 }
 
-// All shards are full. The lenders need lent slots themselves, and requests for which no shard has a
-// slot must not be queued in vain.
+// All shards are full. Lenders need the lent slots themselves, and requests that no shard has a slot
+// for must not be queued in vain.
 #[test]
 fn where_all_shards_are_full_lending_serves_no_fewer_and_holds_nobody() {
     let simulate = |lending| {
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas that all instances share.
+//! Quotas that are enforced across all instances.
 
 mod common;
 
@@ -18,37 +18,43 @@
 const RATE_UNITS_PER_SECOND: f64 = 100_000.0;
 const BURST_UNITS: f64 = 100_000.0;
 
-/// Some instances that take as much as they are allowed, and tell each other every 40 ms.
+/// Instances that take as much quota as they are granted, and exchange reports every 40 ms.
 struct Fleet {
     cores: Vec<Core>,
+    // Time and units of each grant.
     grants: Vec<(u64, f64)>,
-    // Instances do not hear each other before this time.
+    // Until when no reports are exchanged.
     isolated_until: u64,
     // The organisation's rate and burst.
     limits: (f64, f64),
 }
 
 impl Fleet {
-    fn start(count: usize, now: u64, deaf: u64) -> Self {
-        Self::start_with(count, now, deaf, (RATE_UNITS_PER_SECOND, BURST_UNITS))
+    fn start(count: usize, now: u64, isolated_ms: u64) -> Self {
+        Self::start_with(
+            count,
+            now,
+            isolated_ms,
+            (RATE_UNITS_PER_SECOND, BURST_UNITS),
+        )
     }
 
-    fn start_with(count: usize, now: u64, deaf: u64, limits: (f64, f64)) -> Self {
+    fn start_with(count: usize, now: u64, isolated_ms: u64, limits: (f64, f64)) -> Self {
         let mut fleet = Self {
             cores: Vec::new(),
             grants: Vec::new(),
-            isolated_until: now + deaf,
+            isolated_until: now + isolated_ms,
             limits,
         };
-        fleet.restart(count, now, deaf);
+        fleet.restart(count, now, isolated_ms);
         fleet
     }
 
-    fn restart(&mut self, count: usize, now: u64, deaf: u64) {
-        self.isolated_until = now + deaf;
+    fn restart(&mut self, count: usize, now: u64, isolated_ms: u64) {
+        self.isolated_until = now + isolated_ms;
         let (rate, burst) = self.limits;
-        let make = |at| {
-            let mut core = Core::new(identity(&format!("i{at}"), now * 100 + at as u64));
+        let start = |index| {
+            let mut core = Core::new(identity(&format!("i{index}"), now * 100 + index as u64));
             core.configure(Millis(now), configuration(1, organisation(rate, burst)));
             core.registry().put(Millis(now), endpoint("e1", 1_000));
             for other in 0..count {
@@ -57,16 +63,16 @@
             }
             core
         };
-        self.cores = (0..count).map(make).collect();
+        self.cores = (0..count).map(start).collect();
     }
 
-    // Every instance tries a request each `gap` ms, from `from` to `to`.
-    fn send_requests(&mut self, from: u64, to: u64, gap: u64) {
+    // Sends a request to every instance each `interval` ms, from `from` to `to`.
+    fn send_requests(&mut self, from: u64, to: u64, interval: u64) {
         for now in from..to {
             if now % 40 == 0 && now >= self.isolated_until {
                 self.exchange_reports(now);
             }
-            if now % gap != 0 {
+            if now % interval != 0 {
                 continue;
             }
             for (at, core) in self.cores.iter_mut().enumerate() {
@@ -100,7 +106,7 @@
         }
     }
 
-    // The most that was granted in any window.
+    // Returns the most units that were granted in any window.
     fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
             let window = from..from + QUOTA_POLICY.window.0;
@@ -125,21 +131,21 @@
     fleet.send_requests(0, 30_000, 5);
     assert!(
         fleet.max_granted_in_window() <= allowed_units(),
-        "{} of {}",
+        "{} units granted of {} allowed",
         fleet.max_granted_in_window(),
         allowed_units()
     );
     assert!(
         fleet.max_granted_in_window() >= 0.9 * (RATE_UNITS_PER_SECOND * 8.0 + BURST_UNITS),
-        "{}",
+        "{} units granted",
         fleet.max_granted_in_window()
     );
 }
 
-// One organisation sends many times its quota. All instances are killed in the middle and
-// start again at once, knowing nothing; for 400 ms they do not hear each other. Each granted as if
-// it were alone, and what was granted before they met was counted nowhere: the organisation got a
-// tenth more than is tolerated.
+// One organisation sends many times its quota. All instances are killed and restart at once without
+// any state, and receive no reports for 400 ms. Each granted units as if it were alone, and what it
+// granted before the first reports was not counted, so that the organisation got a tenth more than
+// is tolerated.
 #[test]
 fn a_kill_of_all_instances_grants_nothing_twice() {
     let mut fleet = Fleet::start(8, 0, 400);
@@ -148,19 +154,19 @@
     fleet.send_requests(4_100, 16_000, 5);
     assert!(
         fleet.max_granted_in_window() <= allowed_units(),
-        "{} of {}",
+        "{} units granted of {} allowed",
         fleet.max_granted_in_window(),
         allowed_units()
     );
 }
 
-// Half of the instances are cut off from the other half, and callers reach both. Each side
-// granted the whole quota: the organisation got it twice.
+// A partition splits the instances in halves, and callers reach both. Each side granted the whole
+// quota, so that the organisation got it twice.
 #[test]
 fn sides_of_a_cut_share_the_quota() {
     let mut fleet = Fleet::start(6, 0, 0);
     fleet.send_requests(0, 9_000, 5);
-    let mut far = Fleet {
+    let mut other_side = Fleet {
         cores: fleet.cores.split_off(3),
         grants: Vec::new(),
         isolated_until: 0,
@@ -168,12 +174,12 @@
     };
     for from in (9_000..20_000).step_by(40) {
         fleet.send_requests(from, from + 40, 5);
-        far.send_requests(from, from + 40, 5);
+        other_side.send_requests(from, from + 40, 5);
     }
-    fleet.grants.append(&mut far.grants);
+    fleet.grants.append(&mut other_side.grants);
     assert!(
         fleet.max_granted_in_window() <= allowed_units(),
-        "{} of {}",
+        "{} units granted of {} allowed",
         fleet.max_granted_in_window(),
         allowed_units()
     );
@@ -194,7 +200,7 @@
     assert!(core.route(now, request("/safe/x")).is_ok());
 }
 
-// A lower limit is put in force while the organisation sends far more than it.
+// A lower limit is configured while the organisation sends far more than it allows.
 #[test]
 fn a_lower_limit_binds_at_once() {
     let mut core = Core::new(identity("i", 1));
@@ -203,10 +209,10 @@
         configuration(1, organisation(RATE_UNITS_PER_SECOND, BURST_UNITS)),
     );
     core.configure(Millis(10_000), configuration(2, organisation(0.0001, 10.0)));
-    let passed = (0..100)
+    let granted = (0..100)
         .filter(|at| core.route(Millis(10_000 + at), request("/safe/x")).is_ok())
         .count();
-    assert!(passed <= 15, "{passed}");
+    assert!(granted <= 15, "{granted} requests granted");
 }
 
 #[test]
@@ -215,54 +221,59 @@
     core.configure(Millis(0), configuration(1, organisation(1_000.0, 1_000.0)));
     for _ in 0..1_000 {
         let Ok(pass) = core.route(Millis(500), request("/safe/x")) else {
-            panic!("refused although all was given back");
+            panic!("rejected although all units were refunded");
         };
         core.refund(&pass);
     }
 }
 
-// One organisation sends many times its quota, in large requests. All instances saw the same
-// little in the bucket and took it at the same moment, each a whole request: the organisation got
-// more than is tolerated.
+// One organisation sends many times its quota, in large requests. All instances saw the same few
+// units in the bucket and each granted a whole request at the same moment, so that the organisation
+// got more than is tolerated.
 #[test]
 fn a_crowd_does_not_take_the_same_units_at_the_same_moment() {
     let mut fleet = Fleet::start(11, 0, 0);
-    let mut wanted = request("/safe/x");
-    wanted.tokens = Some((37_000, 0));
+    let mut incoming = request("/safe/x");
+    incoming.tokens = Some((37_000, 0));
     for now in (0..20_000).step_by(50) {
         if now % 100 == 0 {
             fleet.exchange_reports(now);
         }
         for (at, core) in fleet.cores.iter_mut().enumerate() {
-            wanted.draw = stable_hash(&(at, now));
-            if core.route(Millis(now), wanted).is_ok() {
+            incoming.draw = stable_hash(&(at, now));
+            if core.route(Millis(now), incoming).is_ok() {
                 fleet.grants.push((now, 37_000.0));
             }
         }
     }
     assert!(
         fleet.max_granted_in_window() <= allowed_units(),
-        "{} of {}",
+        "{} units granted of {} allowed",
         fleet.max_granted_in_window(),
         allowed_units()
     );
 }
 
-// An operator lowers an organisation's rate and leaves its burst, which is now worth some seconds. Steady use within
-// the operators' limit was rejected for as long as it lasted, as most of the limit lay in the burst.
+// An operator lowers an organisation's rate but keeps its burst, which now equals several seconds of
+// the rate. As most of the limit lay in the burst, steady use within the limit was rejected for as
+// long as it lasted.
 #[test]
 fn steady_use_within_the_limit_is_granted_where_the_burst_is_long() {
     let (rate, burst) = (40_000.0, 144_000.0);
     let mut fleet = Fleet::start_with(4, 0, 0, (rate, burst));
-    // Four instances, 1,000 units each every 66 ms: 485,000 in a window, of 620,000.
+    // Four instances, each 1,000 units every 66 ms: 485,000 of 620,000 units in a window.
     fleet.send_requests(0, 30_000, 66);
     let late: Vec<_> = fleet.grants.iter().filter(|it| it.0 >= 10_000).collect();
-    let asked = 4 * (30_000 - 10_000) / 66;
-    assert!(late.len() * 100 >= asked * 97, "{} of {asked}", late.len());
+    let sent = 4 * (30_000 - 10_000) / 66;
+    assert!(
+        late.len() * 100 >= sent * 97,
+        "{} of {sent} requests granted",
+        late.len()
+    );
     assert!(fleet.max_granted_in_window() <= allowed_units_for(rate, burst));
 }
 
-// The same organisation takes all that it is given, and all instances are killed meanwhile.
+// The same organisation exceeds its quota, and all instances are killed and restarted meanwhile.
 #[test]
 fn a_long_burst_is_not_granted_beyond_the_limit() {
     let (rate, burst) = (40_000.0, 144_000.0);
@@ -273,7 +284,7 @@
         fleet.send_requests(killed + 300, 25_000, 10);
         assert!(
             fleet.max_granted_in_window() <= allowed_units_for(rate, burst),
-            "{killed}: {}",
+            "killed at {killed} ms: {} units granted",
             fleet.max_granted_in_window()
         );
     }
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time before endpoints of which one names a limit for a while.
+//! Simulation of a fleet and endpoints that announce a rate limit for some time.
 
 use std::collections::BTreeMap;
 
@@ -29,62 +29,70 @@
 
 const STEP_MS: u64 = 10;
 
-/// When the endpoint names its limit, and when a play ends.
-const LIMIT_NAMED_MS: std::ops::Range<u64> = 4_000..20_000;
+/// When endpoints announce their limit.
+const LIMIT_ANNOUNCED_MS: std::ops::Range<u64> = 4_000..20_000;
+
+/// When a simulation ends.
 const END_MS: u64 = 30_000;
 
-/// When nobody asks for anything, where that is played.
+/// When no requests arrive in a scenario with a pause.
 const PAUSE_MS: std::ops::Range<u64> = 5_000..15_000;
 
-/// The window of the bound, how long after the first naming it begins to hold, and how long an instance has had to know.
+/// Sliding window in which arrivals are counted against the limit.
 const WINDOW_MS: u64 = 4_000;
+
+/// Time after a limit is announced, or a fault ends, until the limit must hold.
 const SETTLING_MS: u64 = 3_000;
+
+/// Time after which an instance must know a limit that it or a peer received.
 const PROPAGATION_MS: u64 = 500;
 
-/// How long a request runs, and the slots of an endpoint.
+/// Service time of a request.
 const SERVICE_TIME_MS: u64 = 200;
 const SLOTS_PER_ENDPOINT: u32 = 4;
 
-/// The most instances of a fleet of one shard.
+/// Maximum number of instances of a fleet with a single shard.
 const MAX_SINGLE_SHARD_SIZE: usize = 11;
 
-/// As in the gateway: how many holders or shards are asked at once, and how many instances of others are told.
+/// Number of holders or shards that are asked for a slot at once, as in the gateway.
 const LENDER_COUNT: usize = 2;
+
+/// Number of instances of other shards that get a full report, as in the gateway.
 const FOREIGN_PEER_COUNT: usize = 3;
 
-/// Requests that may come in one step.
+/// Maximum number of requests that arrive in one step.
 const MAX_ARRIVALS_PER_STEP: u32 = 4;
 
-/// The endpoint for which the bound is checked.
+/// Endpoint whose limit is checked.
 const CHECKED_ENDPOINT: &str = "e0";
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// The limit, in requests a second.
+    /// Limit of an endpoint in requests a second.
     pub limit_rate: f64,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// How many of them name the limit; the bound is checked for the first.
+    /// Number of endpoints that announce the limit, which is checked for the first.
     pub limited_endpoints: usize,
     /// Requests a second over all instances.
     pub arrival_rate: f64,
-    /// Whether instances start anew, freeze and are cut off, and reports are lost.
+    /// Whether instances restart, freeze and are partitioned, and reports are lost.
     pub random_faults: bool,
-    /// Whether nobody asks for anything for some seconds after the naming.
+    /// Whether no requests arrive for some seconds after the limit is announced.
     pub pause: bool,
 }
 
-// A request at an endpoint.
+// Attempt of a request at an endpoint.
 struct Attempt {
     instance: usize,
     ticket: Ticket,
     endpoint: String,
     sent_ms: u64,
     ends_ms: u64,
-    // The instance of another shard that gave the place, and the question.
+    // Instance that lent the slot, and the id of the borrow request.
     lender: Option<(usize, u64)>,
 }
 
@@ -94,7 +102,7 @@
     report: Report,
 }
 
-/// A fleet in virtual time before endpoints of which one names a limit for a while.
+/// Simulation of a fleet and endpoints that announce a rate limit for some time.
 pub struct Fleet {
     rng: ChaCha8Rng,
     scenario: Scenario,
@@ -103,42 +111,44 @@
     frozen_until: Vec<u64>,
     running: Vec<Attempt>,
     in_flight: Vec<InFlightReport>,
+    // End of each one-way partition by sender and recipient.
     partitions: BTreeMap<(usize, usize), u64>,
-    // When each instance, in its present start, passed on an answer that named the limit.
+    // When each instance first received a limit in a response since its last restart.
     learned_at: Vec<Option<u64>>,
-    // Until when an instance is excused.
+    // Until when the arrivals from an instance are not checked because of a fault.
     excused_until: Vec<u64>,
-    // When the limited endpoint got requests, from instances that had been told.
+    // Arrivals at the checked endpoint from instances that must know its limit.
     checked_arrivals: Vec<u64>,
+    // All arrivals at the checked endpoint.
     all_arrivals: Vec<u64>,
-    // When those with a limit got any.
+    // Arrivals at all endpoints with a limit.
     limited_arrivals: Vec<u64>,
-    /// Requests that were refused when they came.
+    /// Number of requests that were rejected on arrival.
     pub rejected: u64,
-    /// Each broken promise, in words.
+    /// Description of each time the limit was exceeded.
     pub violations: Vec<String>,
-    /// Requests a second that the limited endpoint got while it named its limit.
+    /// Requests a second at the checked endpoint while its limit had to hold.
     pub checked_rate: f64,
-    /// Requests a second that all endpoints with a limit got meanwhile.
+    /// Requests a second at all endpoints with a limit in the same time.
     pub limited_rate: f64,
-    /// Requests a second that it got in the last seconds.
+    /// Requests a second at the checked endpoint in the last four seconds.
     pub final_rate: f64,
 }
 
 impl Fleet {
-    /// Plays a seed to its end.
-    pub fn run(seed: u64, plan: Scenario) -> Self {
+    /// Runs a scenario with a seed to its end.
+    pub fn run(seed: u64, scenario: Scenario) -> Self {
         let mut fleet = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            scenario: plan,
+            scenario,
             now: 0,
             cores: Vec::new(),
-            frozen_until: vec![0; plan.instances],
+            frozen_until: vec![0; scenario.instances],
             running: Vec::new(),
             in_flight: Vec::new(),
             partitions: BTreeMap::new(),
-            learned_at: vec![None; plan.instances],
-            excused_until: vec![0; plan.instances],
+            learned_at: vec![None; scenario.instances],
+            excused_until: vec![0; scenario.instances],
             checked_arrivals: Vec::new(),
             all_arrivals: Vec::new(),
             limited_arrivals: Vec::new(),
@@ -148,29 +158,29 @@
             checked_rate: 0.0,
             final_rate: 0.0,
         };
-        fleet.cores = (0..plan.instances)
-            .map(|at| fleet.start_instance(at))
+        fleet.cores = (0..scenario.instances)
+            .map(|index| fleet.start_instance(index))
             .collect();
         while fleet.now < END_MS {
             fleet.now += STEP_MS;
             fleet.step();
         }
-        let rate = |sent: &[u64], from: u64, to: u64| {
-            let count = sent.iter().filter(|it| (from..to).contains(it)).count();
+        let arrival_rate = |arrivals: &[u64], from: u64, to: u64| {
+            let count = arrivals.iter().filter(|it| (from..to).contains(it)).count();
             to_f64(count) / Millis(to - from).as_secs()
         };
-        let begin = LIMIT_NAMED_MS.start + SETTLING_MS;
-        let used = rate(&fleet.all_arrivals, begin, LIMIT_NAMED_MS.end);
-        let together = rate(&fleet.limited_arrivals, begin, LIMIT_NAMED_MS.end);
-        let after = rate(&fleet.all_arrivals, END_MS - 4_000, END_MS);
-        fleet.checked_rate = used;
-        fleet.limited_rate = together;
-        fleet.final_rate = after;
+        let settled = LIMIT_ANNOUNCED_MS.start + SETTLING_MS;
+        let checked_rate = arrival_rate(&fleet.all_arrivals, settled, LIMIT_ANNOUNCED_MS.end);
+        let limited_rate = arrival_rate(&fleet.limited_arrivals, settled, LIMIT_ANNOUNCED_MS.end);
+        let final_rate = arrival_rate(&fleet.all_arrivals, END_MS - 4_000, END_MS);
+        fleet.checked_rate = checked_rate;
+        fleet.limited_rate = limited_rate;
+        fleet.final_rate = final_rate;
         fleet
     }
 
-    fn start_instance(&mut self, at: usize) -> Core {
-        let mut core = Core::new(identity(&format!("i{at}"), self.rng.random()));
+    fn start_instance(&mut self, index: usize) -> Core {
+        let mut core = Core::new(identity(&format!("i{index}"), self.rng.random()));
         let now = Millis(self.now);
         core.configure(now, configuration(1, organisation(0.0, 0.0)));
         for other in 0..self.scenario.instances {
@@ -190,10 +200,10 @@
         }
         self.generate_arrivals();
         self.finish_requests();
-        for at in 0..self.scenario.instances {
-            if self.frozen_until[at] <= self.now {
-                self.decide(at);
-                self.send_reports(at);
+        for index in 0..self.scenario.instances {
+            if self.frozen_until[index] <= self.now {
+                self.decide(index);
+                self.send_reports(index);
             }
         }
         self.deliver();
@@ -205,23 +215,24 @@
     }
 
     fn inject_faults(&mut self) {
-        let at = self.rng.random_range(0..self.scenario.instances);
+        let index = self.rng.random_range(0..self.scenario.instances);
         let until = self.now + self.rng.random_range(200..3_000);
         if self.rng.random_bool(0.003) {
-            self.frozen_until[at] = until;
-            self.excused_until[at] = until + SETTLING_MS;
+            self.frozen_until[index] = until;
+            self.excused_until[index] = until + SETTLING_MS;
         }
         if self.rng.random_bool(0.002) {
-            self.cores[at] = self.start_instance(at);
-            self.running.retain(|it| it.instance != at);
-            self.learned_at[at] = None;
-            self.excused_until[at] = self.now + SETTLING_MS;
+            self.cores[index] = self.start_instance(index);
+            self.running.retain(|it| it.instance != index);
+            self.learned_at[index] = None;
+            self.excused_until[index] = self.now + SETTLING_MS;
         }
         if self.rng.random_bool(0.005) {
             let other = self.rng.random_range(0..self.scenario.instances);
-            self.partitions.insert((at, other), until);
-            for node in [at, other] {
-                self.excused_until[node] = self.excused_until[node].max(until + SETTLING_MS);
+            self.partitions.insert((index, other), until);
+            for affected in [index, other] {
+                self.excused_until[affected] =
+                    self.excused_until[affected].max(until + SETTLING_MS);
             }
         }
     }
@@ -230,74 +241,75 @@
         if self.scenario.pause && PAUSE_MS.contains(&self.now) {
             return;
         }
-        // So many tries a step make even arrivals with some chance in them.
-        let chance = self.scenario.arrival_rate * Millis(STEP_MS).as_secs()
+        // Several trials a step spread the arrivals evenly, with some randomness.
+        let probability = self.scenario.arrival_rate * Millis(STEP_MS).as_secs()
             / f64::from(MAX_ARRIVALS_PER_STEP);
         for _ in 0..MAX_ARRIVALS_PER_STEP {
-            if !self.rng.random_bool(chance) {
+            if !self.rng.random_bool(probability) {
                 continue;
             }
-            let at = self.rng.random_range(0..self.scenario.instances);
-            if self.frozen_until[at] > self.now {
+            let index = self.rng.random_range(0..self.scenario.instances);
+            if self.frozen_until[index] > self.now {
                 continue;
             }
             let now = Millis(self.now);
-            let wanted = IncomingRequest {
+            let incoming = IncomingRequest {
                 deadline: Some(Millis(3_000)),
                 ..request("/safe/")
             };
-            let core = &mut self.cores[at];
-            let pass = core.route(now, wanted).expect("the route is known");
+            let core = &mut self.cores[index];
+            let pass = core.route(now, incoming).expect("the route is known");
             let admitted = core.admit(now, &pass, self.now);
             self.rejected += u64::from(admitted.is_err());
         }
     }
 
-    // Runs end; an answer of the limited endpoint names its limit.
+    // Finishes due attempts, whose responses announce the limit of limited endpoints.
     fn finish_requests(&mut self) {
         let now = self.now;
-        let (over, left) = std::mem::take(&mut self.running)
+        let (finished, running) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|it: &Attempt| it.ends_ms <= now && self.frozen_until[it.instance] <= now);
-        self.running = left;
-        for run in over {
-            let named = self.is_limited(&run.endpoint) && LIMIT_NAMED_MS.contains(&run.ends_ms);
-            let core = &mut self.cores[run.instance];
-            let rate = named.then_some(self.scenario.limit_rate);
-            let answering = endpoint(&run.endpoint, SLOTS_PER_ENDPOINT);
-            core.record_limit(Millis(now), &answering, Millis(run.sent_ms), rate);
-            if named {
-                self.learned_at[run.instance].get_or_insert(now);
+        self.running = running;
+        for attempt in finished {
+            let announced =
+                self.is_limited(&attempt.endpoint) && LIMIT_ANNOUNCED_MS.contains(&attempt.ends_ms);
+            let core = &mut self.cores[attempt.instance];
+            let rate = announced.then_some(self.scenario.limit_rate);
+            let responding = endpoint(&attempt.endpoint, SLOTS_PER_ENDPOINT);
+            core.record_limit(Millis(now), &responding, Millis(attempt.sent_ms), rate);
+            if announced {
+                self.learned_at[attempt.instance].get_or_insert(now);
             }
-            // Some fail, so that others are tried.
-            if let Some((lender, id)) = run.lender {
+            if let Some((lender, id)) = attempt.lender {
                 self.cores[lender].reclaim_slot(id);
             }
-            let core = &mut self.cores[run.instance];
+            let core = &mut self.cores[attempt.instance];
+            // Some attempts fail, so that requests are retried at other endpoints.
             let outcome = if self.rng.random_bool(0.1) {
                 Outcome::Failed
             } else {
                 completed()
             };
-            let more = outcome == Outcome::Failed;
-            core.attempt_ended(Millis(now), run.ticket, outcome, more);
+            let retry = outcome == Outcome::Failed;
+            core.attempt_ended(Millis(now), attempt.ticket, outcome, retry);
         }
     }
 
-    fn decide(&mut self, at: usize) {
+    fn decide(&mut self, index: usize) {
         let now = Millis(self.now);
         if self.now.is_multiple_of(200) {
-            self.cores[at].sweep(now);
+            self.cores[index].sweep(now);
         }
-        for decision in self.cores[at].decide(now) {
+        for decision in self.cores[index].decide(now) {
             if let Decision::Start(ticket, endpoint) = decision {
-                self.send(at, ticket, &endpoint, None);
+                self.send(index, ticket, &endpoint, None);
             }
         }
-        for (ticket, need) in self.cores[at].borrow_requests(now) {
+        for (ticket, need) in self.cores[index].borrow_requests(now) {
             match need {
-                BorrowRequest::RateLimitedSlot(place) => self.ask_holders(at, ticket, place),
-                BorrowRequest::Slot(_) => self.ask_shards(at, ticket, need),
+                BorrowRequest::RateLimitedSlot(slot) => self.ask_holders(index, ticket, slot),
+                BorrowRequest::Slot(_) => self.ask_shards(index, ticket, need),
                 BorrowRequest::Units(_) => {}
             }
         }
@@ -305,13 +317,13 @@
 
     fn send(
         &mut self,
-        at: usize,
+        index: usize,
         ticket: Ticket,
         endpoint: &Endpoint,
         lender: Option<(usize, u64)>,
     ) {
         self.running.push(Attempt {
-            instance: at,
+            instance: index,
             ticket,
             endpoint: endpoint.id.to_string(),
             sent_ms: self.now,
@@ -322,51 +334,64 @@
             self.limited_arrivals.push(self.now);
         }
         if &*endpoint.id == CHECKED_ENDPOINT {
-            self.record_arrival(at);
+            self.record_arrival(index);
         }
     }
 
     // Asks some holders of the limit for a token.
-    fn ask_holders(&mut self, at: usize, ticket: Ticket, need: SlotRequest) {
+    fn ask_holders(&mut self, index: usize, ticket: Ticket, need: SlotRequest) {
         let now = Millis(self.now);
-        let holders = self.cores[at].token_holders(now, need.service);
-        let some = holders.choose_multiple(&mut self.rng, LENDER_COUNT);
-        let some: Vec<usize> = some.map(|it| instance_number(it)).collect();
-        if !self.ask(at, ticket, BorrowRequest::RateLimitedSlot(need), &some) {
-            self.cores[at].token_declined(now, ticket);
+        let holders = self.cores[index].token_holders(now, need.service);
+        let chosen = holders.choose_multiple(&mut self.rng, LENDER_COUNT);
+        let lenders: Vec<usize> = chosen.map(|it| instance_number(it)).collect();
+        if !self.ask(
+            index,
+            ticket,
+            BorrowRequest::RateLimitedSlot(need),
+            &lenders,
+        ) {
+            self.cores[index].token_declined(now, ticket);
         }
     }
 
-    // Asks instances of some other shards for a place.
-    fn ask_shards(&mut self, at: usize, ticket: Ticket, need: BorrowRequest) {
-        let shards = self.cores[at].instances_by_other_shard();
-        let some: Vec<_> = shards
+    // Asks instances of some other shards for a slot.
+    fn ask_shards(&mut self, index: usize, ticket: Ticket, need: BorrowRequest) {
+        let shards = self.cores[index].instances_by_other_shard();
+        let chosen: Vec<_> = shards
             .choose_multiple(&mut self.rng, LENDER_COUNT)
             .collect();
-        let some = some.into_iter().filter_map(|it| it.choose(&mut self.rng));
-        let some: Vec<usize> = some.map(|it| instance_number(it)).collect();
-        if !self.ask(at, ticket, need, &some) {
-            self.cores[at].slot_declined(Millis(self.now), ticket);
+        let chosen = chosen.into_iter().filter_map(|it| it.choose(&mut self.rng));
+        let lenders: Vec<usize> = chosen.map(|it| instance_number(it)).collect();
+        if !self.ask(index, ticket, need, &lenders) {
+            self.cores[index].slot_declined(Millis(self.now), ticket);
         }
     }
 
-    // Returns whether the request was sent with what one of them gave; the way there and back is left out.
-    fn ask(&mut self, at: usize, ticket: Ticket, need: BorrowRequest, lenders: &[usize]) -> bool {
+    // Returns whether a lender gave a slot, with which the request was sent. Transit takes no time
+    // here.
+    fn ask(
+        &mut self,
+        index: usize,
+        ticket: Ticket,
+        need: BorrowRequest,
+        lenders: &[usize],
+    ) -> bool {
         let now = Millis(self.now);
         let mut started = false;
         for &lender in lenders {
-            let ways = [(at, lender), (lender, at)].map(|it| self.partitions.get(&it).copied());
-            let cut = ways.into_iter().flatten().any(|it| it > self.now);
-            if cut || self.frozen_until[lender] > self.now {
+            let partition_ends =
+                [(index, lender), (lender, index)].map(|it| self.partitions.get(&it).copied());
+            let partitioned = partition_ends.into_iter().flatten().any(|it| it > self.now);
+            if partitioned || self.frozen_until[lender] > self.now {
                 continue;
             }
             let id = self.rng.random();
             let Grant::Slot(key) = self.cores[lender].lend(now, id, need) else {
                 continue;
             };
-            if let Some(endpoint) = self.cores[at].slot_granted(now, ticket, key) {
+            if let Some(endpoint) = self.cores[index].slot_granted(now, ticket, key) {
                 started = true;
-                self.send(at, ticket, &endpoint, Some((lender, id)));
+                self.send(index, ticket, &endpoint, Some((lender, id)));
             } else {
                 self.cores[lender].reclaim_slot(id);
             }
@@ -374,18 +399,20 @@
         started
     }
 
-    fn record_arrival(&mut self, at: usize) {
+    fn record_arrival(&mut self, index: usize) {
         let now = self.now;
         self.all_arrivals.push(now);
-        let told = self.learned_at[at].is_some_and(|it| it + PROPAGATION_MS <= now);
-        // Where nothing is lost, peers have heard of it.
-        let all = !self.scenario.random_faults && self.scenario.instances <= MAX_SINGLE_SHARD_SIZE;
-        let known = told || (all && now >= LIMIT_NAMED_MS.start + 2 * PROPAGATION_MS);
-        if !known || self.excused_until[at] > now || now > LIMIT_NAMED_MS.end {
+        let learned = self.learned_at[index].is_some_and(|it| it + PROPAGATION_MS <= now);
+        // Without lost reports, all peers in the shard have received the limit.
+        let no_loss =
+            !self.scenario.random_faults && self.scenario.instances <= MAX_SINGLE_SHARD_SIZE;
+        let must_know =
+            learned || (no_loss && now >= LIMIT_ANNOUNCED_MS.start + 2 * PROPAGATION_MS);
+        if !must_know || self.excused_until[index] > now || now > LIMIT_ANNOUNCED_MS.end {
             return;
         }
         self.checked_arrivals.push(now);
-        if now < LIMIT_NAMED_MS.start + SETTLING_MS {
+        if now < LIMIT_ANNOUNCED_MS.start + SETTLING_MS {
             return;
         }
         let recent = self
@@ -393,39 +420,41 @@
             .iter()
             .filter(|it| **it + WINDOW_MS > now)
             .count();
-        let most = 1.5 * self.scenario.limit_rate * Millis(WINDOW_MS).as_secs() + 5.0;
-        if to_f64(recent) > most && self.violations.len() < 3 {
+        let allowed = 1.5 * self.scenario.limit_rate * Millis(WINDOW_MS).as_secs() + 5.0;
+        if to_f64(recent) > allowed && self.violations.len() < 3 {
             self.violations.push(format!(
-                "{now}: {recent} requests in {WINDOW_MS} ms, {most} allowed"
+                "{recent} requests in {WINDOW_MS} ms until {now} ms, {allowed} allowed"
             ));
         }
     }
 
-    fn send_reports(&mut self, at: usize) {
-        if !(self.now + 10 * at as u64).is_multiple_of(50) {
+    fn send_reports(&mut self, index: usize) {
+        if !(self.now + 10 * index as u64).is_multiple_of(50) {
             return;
         }
-        let whole = (self.now + 10 * at as u64).is_multiple_of(500);
-        let report = self.cores[at].next_report(Millis(self.now), whole);
-        let listed = self.cores[at].other_instances();
-        let (members, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
-        let some = others
+        let full = (self.now + 10 * index as u64).is_multiple_of(500);
+        let report = self.cores[index].next_report(Millis(self.now), full);
+        let others = self.cores[index].other_instances();
+        let (shard_peers, others): (Vec<_>, Vec<_>) = others.partition(|row| row.1);
+        let foreign_peers = others
             .choose_multiple(&mut self.rng, FOREIGN_PEER_COUNT)
             .copied();
-        let to = members.into_iter().chain(some.filter(|_| whole));
-        let to: Vec<usize> = to.map(|row| instance_number(row.0)).collect();
-        for to in to {
-            let cut = self
+        let recipients = shard_peers
+            .into_iter()
+            .chain(foreign_peers.filter(|_| full));
+        let recipients: Vec<usize> = recipients.map(|row| instance_number(row.0)).collect();
+        for recipient in recipients {
+            let partitioned = self
                 .partitions
-                .get(&(at, to))
+                .get(&(index, recipient))
                 .is_some_and(|it| *it > self.now);
             let lost = self.scenario.random_faults && self.rng.random_bool(0.05);
-            if cut || lost {
+            if partitioned || lost {
                 continue;
             }
             self.in_flight.push(InFlightReport {
                 due_ms: self.now + self.rng.random_range(1..30),
-                recipient: to,
+                recipient,
                 report: report.clone(),
             });
         }
@@ -437,9 +466,9 @@
             .into_iter()
             .partition(|it| it.due_ms <= now);
         self.in_flight = later;
-        for letter in due {
-            if self.frozen_until[letter.recipient] <= now {
-                self.cores[letter.recipient].receive_report(Millis(now), letter.report);
+        for message in due {
+            if self.frozen_until[message.recipient] <= now {
+                self.cores[message.recipient].receive_report(Millis(now), message.report);
             }
         }
     }
