--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Unlike endpoints and unlike work: who goes where, who goes first, and when the others return.
+//! Selection of endpoints of different speeds, the order of requests, and retry times.
 
 mod common;
 
@@ -25,36 +25,36 @@
 use siskinyoke_dispatch::registry::Registry;
 use siskinyoke_dispatch::report::RunningRow;
 
-/// A pace of four and a half times the usual one, and the usual one, as reports tell them.
-const SLOW: u8 = 36;
-const USUAL: u8 = 8;
+/// Reported speed factors: four and a half times the usual service time, and the usual one.
+const SLOW_FACTOR: u8 = 36;
+const USUAL_FACTOR: u8 = 8;
 
-/// Well after the start of the clock, as head starts count back from an arrival.
-const START: u64 = 10_000;
+/// Well after the start of the clock, as queue positions may lie before the arrival.
+const START_MS: u64 = 10_000;
 
-struct World {
+struct Fixture {
     registry: Registry,
     peers: Peers,
     scheduler: Scheduler,
 }
 
-impl World {
-    // Endpoints with their places and paces, which a peer told.
+impl Fixture {
+    // Registers endpoints with their slots and the speed factors that a peer reports.
     fn new(endpoints: &[(&str, u32, u8)]) -> Self {
-        let mut world = Self {
+        let mut fixture = Self {
             registry: Registry::default(),
             peers: Peers::default(),
             scheduler: Scheduler::new("me", "a"),
         };
-        for (id, slots, pace) in endpoints {
-            world.registry.put(Millis(0), endpoint(id, *slots));
-            let told = RunningRow {
-                speed_factor: *pace,
+        for (id, slots, speed_factor) in endpoints {
+            fixture.registry.put(Millis(0), endpoint(id, *slots));
+            let row = RunningRow {
+                speed_factor: *speed_factor,
                 ..running_row(id, 0)
             };
-            world.scheduler.record_peer_speeds(&[told]);
+            fixture.scheduler.record_peer_speeds(&[row]);
         }
-        world
+        fixture
     }
 
     fn admit(&mut self, pending: ScheduledRequest) -> Ticket {
@@ -62,10 +62,10 @@
         let admitted = self
             .scheduler
             .admit(now, pending, &self.registry, &self.peers);
-        admitted.expect("it may wait")
+        admitted.expect("the request is admitted")
     }
 
-    fn started(&mut self, now: u64) -> Vec<(Ticket, String)> {
+    fn start_waiting(&mut self, now: u64) -> Vec<(Ticket, String)> {
         let decisions = self
             .scheduler
             .decide(Millis(now), &self.registry, &self.peers);
@@ -84,135 +84,142 @@
     }
 }
 
-// The fast endpoint is full for a moment, and a slow one idles. A long draft that goes there is not whole when
-// its caller leaves; a short answer does well there.
+// Guards against idle slow endpoints taking any request while the usual one is briefly full: a long
+// response sent there misses its deadline. A short one may use it.
 #[test]
-fn a_request_that_can_wait_passes_by_a_slow_endpoint_that_would_spoil_it() {
-    let mut world = World::new(&[("usual", 1, USUAL), ("slow", 12, SLOW)]);
-    let first = world.admit(stream(0, 500.0, 20.0));
-    assert_eq!(world.started(0), [(first, "usual".to_owned())]);
-    let long = world.admit(stream(1, 500.0, 600.0));
-    let short = world.admit(stream(2, 100.0, 5.0));
-    assert_eq!(world.started(2), [(short, "slow".to_owned())]);
-    world
+fn a_request_that_can_wait_skips_an_endpoint_too_slow_for_it() {
+    let mut fixture = Fixture::new(&[("usual", 1, USUAL_FACTOR), ("slow", 12, SLOW_FACTOR)]);
+    let first = fixture.admit(stream(0, 500.0, 20.0));
+    assert_eq!(fixture.start_waiting(0), [(first, "usual".to_owned())]);
+    let long = fixture.admit(stream(1, 500.0, 600.0));
+    let short = fixture.admit(stream(2, 100.0, 5.0));
+    assert_eq!(fixture.start_waiting(2), [(short, "slow".to_owned())]);
+    fixture
         .scheduler
         .attempt_ended(Millis(200), first, completed());
-    assert_eq!(world.started(200), [(long, "usual".to_owned())]);
+    assert_eq!(fixture.start_waiting(200), [(long, "usual".to_owned())]);
 }
 
-// The fast endpoints are gone. If the slow ones went on being passed by, long work would never run.
+// Guards against skipping slow endpoints when there are no others: long requests would never run.
 #[test]
-fn where_all_endpoints_are_slow_none_is_passed_by() {
-    let mut world = World::new(&[("one", 12, SLOW), ("other", 12, SLOW)]);
-    world.admit(stream(0, 500.0, 600.0));
-    assert_eq!(world.started(0).len(), 1);
+fn where_all_endpoints_are_slow_none_is_skipped() {
+    let mut fixture = Fixture::new(&[("one", 12, SLOW_FACTOR), ("other", 12, SLOW_FACTOR)]);
+    fixture.admit(stream(0, 500.0, 600.0));
+    assert_eq!(fixture.start_waiting(0).len(), 1);
 }
 
-// Two endpoints have places, and this instance has seen neither. A peer has.
+// Guards against ignoring the speed factors that peers report for endpoints that this instance has
+// not observed.
 #[test]
-fn what_a_peer_saw_of_an_endpoint_counts() {
-    let mut world = World::new(&[("a-slow", 12, SLOW), ("b-usual", 12, USUAL)]);
+fn speed_factors_reported_by_peers_are_used() {
+    let mut fixture = Fixture::new(&[("a-slow", 12, SLOW_FACTOR), ("b-usual", 12, USUAL_FACTOR)]);
     for at in 0..6 {
-        world.admit(stream(at, 500.0, 20.0));
+        fixture.admit(stream(at, 500.0, 20.0));
     }
-    let started = world.started(6);
+    let started = fixture.start_waiting(6);
     assert!(started.iter().all(|row| row.1 == "b-usual"), "{started:?}");
 }
 
-// One place comes free. The longer draft came first; several short ones could be served in the time that it takes.
+// One slot becomes free. The longer request arrived first, but several short ones could be served
+// in its time. It must still go first once it has waited long enough.
 #[test]
 fn short_work_goes_first_but_long_work_that_waited_goes_before_it() {
     for (gap, short_first) in [(20, true), (250, false)] {
-        let mut world = World::new(&[("e", 1, USUAL)]);
-        let runs = world.admit(stream(START, 100.0, 20.0));
-        world.started(START);
-        let long = world.admit(stream(START + 1, 500.0, 60.0));
-        let short = world.admit(stream(START + 1 + gap, 100.0, 5.0));
-        let now = START + 2 + gap;
-        world
+        let mut fixture = Fixture::new(&[("e", 1, USUAL_FACTOR)]);
+        let running = fixture.admit(stream(START_MS, 100.0, 20.0));
+        fixture.start_waiting(START_MS);
+        let long = fixture.admit(stream(START_MS + 1, 500.0, 60.0));
+        let short = fixture.admit(stream(START_MS + 1 + gap, 100.0, 5.0));
+        let now = START_MS + 2 + gap;
+        fixture
             .scheduler
-            .attempt_ended(Millis(now), runs, completed());
+            .attempt_ended(Millis(now), running, completed());
         let next = if short_first { short } else { long };
-        assert_eq!(world.started(now)[0].0, next, "after {gap} ms");
+        assert_eq!(fixture.start_waiting(now)[0].0, next, "after {gap} ms");
     }
 }
 
-// The only place is taken for long. Callers that are refused and told to return in a moment come back into the
-// same peak, and have no third try. Those that are refused together are not told to return together.
+// The only slot is taken for a long time. Guards against callers that are rejected and told to
+// retry shortly: they return during the same peak and have no third attempt. Guards also against
+// giving callers that are rejected together the same time to retry.
 #[test]
-fn the_longer_a_peak_has_lasted_the_later_callers_are_told_to_return() {
-    let mut world = World::new(&[("e", 1, USUAL)]);
-    let mut told = Vec::new();
+fn retry_after_grows_with_the_length_of_a_peak() {
+    let mut fixture = Fixture::new(&[("e", 1, USUAL_FACTOR)]);
+    let mut rejections = Vec::new();
     for at in 0..1_000 {
-        let now = Millis(START + at * 10);
+        let now = Millis(START_MS + at * 10);
         if at % 30 == 0 {
-            world.admit(pending(Kind::Safe, 1, now.0));
+            fixture.admit(pending(Kind::Safe, 1, now.0));
         }
-        let decisions = world.scheduler.decide(now, &world.registry, &world.peers);
-        told.extend(decisions.into_iter().filter_map(|it| match it {
+        let decisions = fixture
+            .scheduler
+            .decide(now, &fixture.registry, &fixture.peers);
+        rejections.extend(decisions.into_iter().filter_map(|it| match it {
             Decision::Refuse(_, refusal) => Some((now, refusal.retry_after)),
             Decision::Start(..) => None,
         }));
     }
-    let (begin, first) = told[0];
-    let (end, last) = told[told.len() - 1];
+    let (begin, first) = rejections[0];
+    let (end, last) = rejections[rejections.len() - 1];
     assert!(first < Millis(500), "{first}");
     assert!(
         last >= end.since(begin),
         "{last} after {}",
         end.since(begin)
     );
-    let next = told[told.len() - 2].1;
+    let next = rejections[rejections.len() - 2].1;
     assert!(next.0.abs_diff(last.0) > 400, "{next} and {last}");
 }
 
-// An endpoint cannot be reached. Sent there at once again, each request loses the time of another try.
+// Guards against resending requests at once to an endpoint that cannot be reached: each of them
+// loses the time of another attempt.
 #[test]
-fn an_endpoint_that_cannot_be_reached_rests() {
-    let mut world = World::new(&[("e", 12, USUAL)]);
-    let first = world.admit(stream(START, 100.0, 5.0));
-    assert_eq!(world.started(START).len(), 1);
-    world
+fn an_unreachable_endpoint_is_backed_off_from() {
+    let mut fixture = Fixture::new(&[("e", 12, USUAL_FACTOR)]);
+    let first = fixture.admit(stream(START_MS, 100.0, 5.0));
+    assert_eq!(fixture.start_waiting(START_MS).len(), 1);
+    fixture
         .scheduler
-        .attempt_ended(Millis(START + 1), first, Outcome::ConnectFailed);
-    world.admit(stream(START + 2, 100.0, 5.0));
-    assert_eq!(world.started(START + 2).len(), 0);
-    assert_eq!(world.started(START + 250).len(), 1);
+        .attempt_ended(Millis(START_MS + 1), first, Outcome::ConnectFailed);
+    fixture.admit(stream(START_MS + 2, 100.0, 5.0));
+    assert_eq!(fixture.start_waiting(START_MS + 2).len(), 0);
+    assert_eq!(fixture.start_waiting(START_MS + 250).len(), 1);
 }
 
-// Equal endpoints stand in two data centres; what crosses between them is paid for.
+// Guards against using endpoints of another data centre while equal ones are free in the local one:
+// traffic between data centres costs money.
 #[test]
-fn of_equal_endpoints_that_of_the_own_data_centre_is_used() {
-    let mut world = World::new(&[("a-own", 12, USUAL), ("b-own", 12, USUAL)]);
+fn of_equal_endpoints_those_of_the_local_data_centre_are_used() {
+    let mut fixture = Fixture::new(&[("a-own", 12, USUAL_FACTOR), ("b-own", 12, USUAL_FACTOR)]);
     for id in ["a-far", "c-far"] {
-        let far = Endpoint {
+        let remote = Endpoint {
             centre: "b".into(),
             ..endpoint(id, 12)
         };
-        world.registry.put(Millis(0), far);
-        world.scheduler.record_peer_speeds(&[RunningRow {
-            speed_factor: USUAL,
+        fixture.registry.put(Millis(0), remote);
+        fixture.scheduler.record_peer_speeds(&[RunningRow {
+            speed_factor: USUAL_FACTOR,
             ..running_row(id, 0)
         }]);
     }
     for at in 0..8 {
-        world.admit(stream(START + at, 100.0, 5.0));
+        fixture.admit(stream(START_MS + at, 100.0, 5.0));
     }
-    let started = world.started(START + 8);
-    let own = started.iter().filter(|row| row.1.ends_with("own"));
-    assert_eq!(own.count(), 8, "{started:?}");
+    let started = fixture.start_waiting(START_MS + 8);
+    let local = started.iter().filter(|row| row.1.ends_with("own"));
+    assert_eq!(local.count(), 8, "{started:?}");
 }
 
-// Several prompts meet at one slow endpoint, and its streams pause for longer than is borne. None of them alone
-// was too long.
+// Several prompts, none of them too long by itself, meet at one slow endpoint and make its streams
+// exceed their gap target. Guards against sending further streams there.
 #[test]
-fn a_stream_passes_by_an_endpoint_whose_streams_paused_lately() {
-    let load = LatencyModel::default();
+fn a_stream_avoids_an_endpoint_whose_streams_stalled_recently() {
+    let latency_model = LatencyModel::default();
     let pending = stream(0, 100.0, 60.0);
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        latency_model: &load,
+        latency_model: &latency_model,
         can_wait: true,
     };
     let slow = Arc::new(endpoint("slow", 12));
@@ -225,51 +232,52 @@
         reserved: false,
         fastest_factor: 1.0,
     }];
-    let mut placing = EndpointSelector::new("me", "a");
-    assert_eq!(placing.select(&query, &candidates, true), Some(0));
+    let mut selector = EndpointSelector::new("me", "a");
+    assert_eq!(selector.select(&query, &candidates, true), Some(0));
     for _ in 0..10 {
-        placing.record_stall(slow.key(), true);
+        selector.record_stall(slow.key(), true);
     }
-    assert_eq!(placing.select(&query, &candidates, true), None);
-    let late = PlacementQuery {
+    assert_eq!(selector.select(&query, &candidates, true), None);
+    let cannot_wait = PlacementQuery {
         can_wait: false,
         ..query
     };
-    assert_eq!(placing.select(&late, &candidates, true), Some(0));
+    assert_eq!(selector.select(&cannot_wait, &candidates, true), Some(0));
 }
 
-// A prompt of 6,000 tokens at a slow endpoint holds up all who are served there; an empty one holds up nobody.
+// Guards against a long prompt at a slow endpoint, where it stalls all other streams. If the
+// endpoint is empty, there are none to stall.
 #[test]
-fn a_long_prompt_holds_up_no_streams_at_a_slow_endpoint() {
-    let mut load = LatencyModel::default();
+fn a_long_prompt_does_not_stall_streams_at_a_slow_endpoint() {
+    let mut latency_model = LatencyModel::default();
     for number in 0..100_u32 {
         let prompt = f64::from(number) * 100.0;
-        let work = TokenCounts {
+        let tokens = TokenCounts {
             prompt,
             output: 100.0,
         };
-        load.record_first_part(&work, Millis(50 + u64::from(number)));
-        load.record_pause(110.0);
+        latency_model.record_first_part(&tokens, Millis(50 + u64::from(number)));
+        latency_model.record_pause(110.0);
     }
-    assert!(load.expected_pause(1_000.0) < load.expected_pause(5_000.0));
-    assert!(load.expected_pause(50_000.0) <= 110.0);
+    assert!(latency_model.expected_pause(1_000.0) < latency_model.expected_pause(5_000.0));
+    assert!(latency_model.expected_pause(50_000.0) <= 110.0);
     let pending = stream(0, 8_000.0, 20.0);
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        latency_model: &load,
+        latency_model: &latency_model,
         can_wait: false,
     };
-    let mut placing = EndpointSelector::new("me", "a");
+    let mut selector = EndpointSelector::new("me", "a");
     let slow = Arc::new(endpoint("slow", 12));
-    placing.record_peer_speeds(&[RunningRow {
-        speed_factor: SLOW,
+    selector.record_peer_speeds(&[RunningRow {
+        speed_factor: SLOW_FACTOR,
         ..running_row("slow", 0)
     }]);
-    let candidate = |left| {
+    let candidate = |free_slots| {
         [Candidate {
             endpoint: slow.clone(),
-            free_slots: left,
+            free_slots,
             queue_slots: 0,
             prefill_tokens: 0.0,
             slow: true,
@@ -277,30 +285,30 @@
             fastest_factor: 1.0,
         }]
     };
-    assert_eq!(placing.select(&query, &candidate(4), true), None);
-    assert_eq!(placing.select(&query, &candidate(12), true), Some(0));
+    assert_eq!(selector.select(&query, &candidate(4), true), None);
+    assert_eq!(selector.select(&query, &candidate(12), true), Some(0));
 }
 
-// A long answer goes to an endpoint that is a little slower than usual, and its caller leaves before it is whole. At a
-// fast endpoint, whose slots come free a moment later, it would have been.
+// Guards against sending a long response to an endpoint slightly slower than usual, where it misses
+// its deadline, although a faster endpoint would complete it in time after a short wait.
 #[test]
-fn a_long_answer_waits_for_an_endpoint_that_is_fast_enough() {
-    let load = LatencyModel::default();
+fn a_long_response_waits_for_an_endpoint_that_is_fast_enough() {
+    let latency_model = LatencyModel::default();
     let pending = stream(0, 100.0, 1_500.0);
-    let whole = load.service_time_of(&pending.tokens);
-    let left = Millis(whole.0 * 3 / 2);
+    let service_time = latency_model.service_time_of(&pending.tokens);
+    let deadline = Millis(service_time.0 * 3 / 2);
     let pending = ScheduledRequest {
-        deadline: left,
+        deadline,
         ..pending
     };
     let query = PlacementQuery {
         now: Millis(0),
         pending: &pending,
-        latency_model: &load,
+        latency_model: &latency_model,
         can_wait: true,
     };
-    let placing = EndpointSelector::new("me", "a");
-    let candidates = |fastest| {
+    let selector = EndpointSelector::new("me", "a");
+    let candidates = |fastest_factor| {
         [Candidate {
             endpoint: Arc::new(endpoint("usual", 6)),
             free_slots: 6,
@@ -308,35 +316,35 @@
             prefill_tokens: 0.0,
             slow: false,
             reserved: false,
-            fastest_factor: fastest,
+            fastest_factor,
         }]
     };
     assert_eq!(
-        placing.select(&query, &candidates(1.0), true),
+        selector.select(&query, &candidates(1.0), true),
         Some(0),
-        "enough time"
+        "there is enough time"
     );
     let short = ScheduledRequest {
-        deadline: Millis(left.0 - 100),
+        deadline: Millis(deadline.0 - 100),
         ..pending.clone()
     };
     let query = PlacementQuery {
         pending: &short,
         ..query
     };
-    assert_eq!(placing.select(&query, &candidates(0.5), true), None);
+    assert_eq!(selector.select(&query, &candidates(0.5), true), None);
     assert_eq!(
-        placing.select(&query, &candidates(1.0), true),
+        selector.select(&query, &candidates(1.0), true),
         Some(0),
-        "none is faster"
+        "no endpoint is faster"
     );
-    let late = PlacementQuery {
+    let cannot_wait = PlacementQuery {
         can_wait: false,
         ..query
     };
     assert_eq!(
-        placing.select(&late, &candidates(0.5), true),
+        selector.select(&cannot_wait, &candidates(0.5), true),
         Some(0),
-        "it cannot wait"
+        "the request cannot wait"
     );
 }
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Orders that are out of the ordinary: what becomes of them, and of their service's traffic.
+//! Outcomes and traffic of unusual rollout orders.
 
 mod common;
 
@@ -15,87 +15,88 @@
 use siskinyoke_dispatch::rollout::State;
 use siskinyoke_dispatch::rollout::Status;
 
-const SPAN: Millis = Millis(10_000);
+const DURATION: Millis = Millis(10_000);
 
 fn order(version: &str, revision: u64) -> Order {
     Order {
         service: "lm".into(),
         version: version.into(),
-        duration: SPAN,
+        duration: DURATION,
         revision,
     }
 }
 
-fn of(version: &str) -> Endpoint {
+fn endpoint_of(version: &str) -> Endpoint {
     Endpoint {
         version: version.into(),
         ..endpoint(version, 6)
     }
 }
 
-// A rollout that began at 0 with an endpoint of each of these versions.
-fn begun(version: &str, versions: &[&str]) -> Rollout {
+// Starts a rollout at time 0 with one endpoint of each of `versions`.
+fn start_rollout(version: &str, versions: &[&str]) -> Rollout {
     let mut rollout = Rollout::begin(Millis(0), order(version, 5), None, 0.5);
-    let endpoints: Vec<_> = versions.iter().map(|it| of(it)).collect();
+    let endpoints: Vec<_> = versions.iter().map(|it| endpoint_of(it)).collect();
     rollout.update_slots(endpoints.iter());
     rollout.advance(Millis(1));
     rollout
 }
 
-fn ends(rollout: &mut Rollout) -> Option<State> {
-    rollout.advance(SPAN);
-    rollout.due_state(SPAN, 0)
+fn final_state(rollout: &mut Rollout) -> Option<State> {
+    rollout.advance(DURATION);
+    rollout.due_state(DURATION, 0)
 }
 
-// Traffic was taken from the only version there is, as it was on trial.
+// Guards against evaluating the only version there is as a canary, which takes the traffic from it.
 #[test]
 fn an_order_for_the_version_in_force_takes_no_traffic_away() {
-    let mut rollout = begun("v1", &["v1"]);
-    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
-    assert_eq!(ends(&mut rollout), Some(State::Completed));
-    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
+    let mut rollout = start_rollout("v1", &["v1"]);
+    assert_eq!(rollout.role(&endpoint_of("v1")), EndpointRole::Serving);
+    assert_eq!(final_state(&mut rollout), Some(State::Completed));
+    assert_eq!(rollout.role(&endpoint_of("v1")), EndpointRole::Serving);
 }
 
-// Completed without its endpoints, the old ones would stop and nobody would be served.
+// Guards against completing such a rollout: the old endpoints would stop and none would be left.
 #[test]
 fn an_order_whose_endpoints_never_come_is_rolled_back() {
-    let mut rollout = begun("v2", &["v1"]);
+    let mut rollout = start_rollout("v2", &["v1"]);
     assert!(!rollout.select_canary(Millis(1), 1.0));
-    assert_eq!(ends(&mut rollout), Some(State::RolledBack));
-    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
+    assert_eq!(final_state(&mut rollout), Some(State::RolledBack));
+    assert_eq!(rollout.role(&endpoint_of("v1")), EndpointRole::Serving);
 }
 
-// One endpoint of the new version would get the traffic of ten.
+// Guards against sending the traffic of many endpoints to a single one of the new version.
 #[test]
 fn traffic_does_not_move_to_far_fewer_slots() {
-    let mut rollout = begun("v2", &["v1", "v1", "v1", "v2"]);
-    assert_eq!(ends(&mut rollout), Some(State::RolledBack));
+    let mut rollout = start_rollout("v2", &["v1", "v1", "v1", "v2"]);
+    assert_eq!(final_state(&mut rollout), Some(State::RolledBack));
 }
 
 #[test]
 fn a_withdrawn_order_takes_the_traffic_back() {
-    let mut rollout = begun("v2", &["v1", "v2"]);
+    let mut rollout = start_rollout("v2", &["v1", "v2"]);
     rollout.advance(Millis(9_000));
     assert_eq!(rollout.phase(), Phase::Moved);
-    assert_eq!(rollout.role(&of("v1")), EndpointRole::Excluded);
+    assert_eq!(rollout.role(&endpoint_of("v1")), EndpointRole::Excluded);
     rollout.withdraw();
     rollout.advance(Millis(9_001));
-    assert_eq!(rollout.role(&of("v1")), EndpointRole::Serving);
-    assert_eq!(rollout.role(&of("v2")), EndpointRole::Excluded);
+    assert_eq!(rollout.role(&endpoint_of("v1")), EndpointRole::Serving);
+    assert_eq!(rollout.role(&endpoint_of("v2")), EndpointRole::Excluded);
     assert_eq!(rollout.due_state(Millis(9_001), 0), Some(State::RolledBack));
 }
 
-// A second order comes before the first has an outcome. The version that was on trial is not taken for the standing one.
+// A second order is placed before the first has an outcome. Guards against treating the version
+// under evaluation as the stable one.
 #[test]
 fn a_version_whose_order_was_replaced_gets_nothing() {
-    let before = begun("v2", &["v1", "v2"]);
-    let mut rollout = Rollout::begin(Millis(10), order("v3", 9), Some(before), 0.5);
-    let endpoints = [of("v1"), of("v2"), of("v3")];
+    let previous = start_rollout("v2", &["v1", "v2"]);
+    let mut rollout = Rollout::begin(Millis(10), order("v3", 9), Some(previous), 0.5);
+    let endpoints = [endpoint_of("v1"), endpoint_of("v2"), endpoint_of("v3")];
     rollout.update_slots(endpoints.iter());
     rollout.advance(Millis(11));
-    let uses = endpoints.each_ref().map(|it| rollout.role(it));
+    let roles = endpoints.each_ref().map(|it| rollout.role(it));
     assert_eq!(
-        uses,
+        roles,
         [
             EndpointRole::Serving,
             EndpointRole::Excluded,
@@ -104,21 +105,22 @@
     );
 }
 
-// Guards against a service without any endpoint: the way back was ordered and then withdrawn.
+// Guards against excluding every endpoint when a rollback is ordered and that order is withdrawn.
 #[test]
-fn the_standing_version_stays_in_use_when_an_order_for_it_is_withdrawn() {
-    let before = begun("v2", &["v1", "v2"]);
-    let mut rollout = Rollout::begin(Millis(10), order("v1", 9), Some(before), 0.5);
-    let endpoints = [of("v1"), of("v2")];
+fn the_stable_version_stays_in_use_when_an_order_for_it_is_withdrawn() {
+    let previous = start_rollout("v2", &["v1", "v2"]);
+    let mut rollout = Rollout::begin(Millis(10), order("v1", 9), Some(previous), 0.5);
+    let endpoints = [endpoint_of("v1"), endpoint_of("v2")];
     rollout.update_slots(endpoints.iter());
     rollout.advance(Millis(11));
     rollout.withdraw();
     rollout.advance(Millis(12));
-    let uses = endpoints.each_ref().map(|it| rollout.role(it));
-    assert_eq!(uses, [EndpointRole::Serving, EndpointRole::Excluded]);
+    let roles = endpoints.each_ref().map(|it| rollout.role(it));
+    assert_eq!(roles, [EndpointRole::Serving, EndpointRole::Excluded]);
 }
 
-// A process starts after the outcome. In the store's order of keys a state may come before its order.
+// A process starts after the outcome was written. In the key order of the store, a rollout's state
+// may precede its order.
 #[test]
 fn a_process_that_starts_later_takes_the_outcome_from_the_store() {
     for state in [State::Completed, State::RolledBack] {
@@ -128,44 +130,45 @@
             version: "v2".into(),
             revision: 8,
         };
-        let news = vec![
+        let updates = vec![
             StoreUpdate::RolloutStatus("lm".into(), status),
             StoreUpdate::RolloutOrder(order("v2", 5)),
-            StoreUpdate::Endpoint(of("v1")),
-            StoreUpdate::Endpoint(of("v2")),
+            StoreUpdate::Endpoint(endpoint_of("v1")),
+            StoreUpdate::Endpoint(endpoint_of("v2")),
         ];
-        core.apply_updates(Millis(0), 9, news);
+        core.apply_updates(Millis(0), 9, updates);
         core.advance_rollouts(Millis(1));
-        let fit = core.registry().eligible("lm");
+        let eligible = core.registry().eligible("lm");
         let version = if state == State::Completed {
             "v2"
         } else {
             "v1"
         };
-        assert_eq!(fit.len(), 1);
-        assert_eq!(&*fit[0].version, version);
-        assert!(core.status_writes(SPAN).is_empty());
+        assert_eq!(eligible.len(), 1);
+        assert_eq!(&*eligible[0].version, version);
+        assert!(core.status_writes(DURATION).is_empty());
     }
 }
 
-// Guards against the outcome of an order, written late, being taken for that of the next order of the same version.
+// Guards against a late write of one order's outcome being taken for that of the next order for the
+// same version.
 #[test]
 fn a_state_is_written_only_while_its_order_stands() {
     let mut core = Core::new(identity("i1", 1));
-    let news = vec![
+    let updates = vec![
         StoreUpdate::RolloutOrder(order("v2", 5)),
-        StoreUpdate::Endpoint(of("v1")),
+        StoreUpdate::Endpoint(endpoint_of("v1")),
     ];
-    core.apply_updates(Millis(0), 6, news);
+    core.apply_updates(Millis(0), 6, updates);
     core.advance_rollouts(Millis(1));
-    let due = core.status_writes(SPAN).remove(0);
-    assert_eq!(due.state, State::RolledBack);
-    assert_eq!((due.order_revision, due.status_revision), (5, 0));
+    let write = core.status_writes(DURATION).remove(0);
+    assert_eq!(write.state, State::RolledBack);
+    assert_eq!((write.order_revision, write.status_revision), (5, 0));
     core.apply_updates(
         Millis(1),
         7,
         vec![StoreUpdate::RolloutOrderRemoved("lm".into())],
     );
-    let due = core.status_writes(SPAN).remove(0);
-    assert_eq!((due.order_revision, due.status_revision), (0, 0));
+    let write = core.status_writes(DURATION).remove(0);
+    assert_eq!((write.order_revision, write.status_revision), (0, 0));
 }
--- a/crates/siskinyoke-dispatch/tests/rollouts/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/main.rs
@@ -1,154 +1,179 @@
-//! Rollouts of good and bad versions by whole fleets, played in virtual time.
+//! Simulated rollouts of good and bad versions by whole fleets, in virtual time.
 
 #[path = "../common/mod.rs"]
 mod common;
 mod world;
 
 use self::common::seeds;
+use self::world::DURATION_MS;
 use self::world::Fault;
-use self::world::ORDERED;
-use self::world::SPAN;
-use self::world::Trouble;
-use self::world::World;
+use self::world::ORDERED_MS;
+use self::world::Scenario;
+use self::world::Simulation;
 use siskinyoke_dispatch::rollout::State;
 
-/// Instances of one shard, and of several.
-const SMALL: usize = 8;
-const LARGE: usize = 40;
+/// Fleet sizes: one shard, and several.
+const SMALL_FLEET: usize = 8;
+const LARGE_FLEET: usize = 40;
 
-/// Requests a second that take a quarter of the endpoints' slots, and three quarters.
-const CALM: f64 = 220.0;
-const FULL: f64 = 650.0;
+/// Requests per second that take a quarter and three quarters of the endpoints' slots.
+const LOW_RATE_PER_SECOND: f64 = 220.0;
+const HIGH_RATE_PER_SECOND: f64 = 650.0;
 
-const FAULTS: [Fault; 6] = [
+const ALL_FAULTS: [Fault; 6] = [
     Fault::Fails(0.3),
     Fault::Fails(1.0),
     Fault::Slow(5.0),
-    Fault::Later(0.4, 3_000),
-    Fault::OneRoute(0.8),
-    Fault::Loaded(0.6),
+    Fault::FailsLater(0.4, 3_000),
+    Fault::FailsOnOneRoute(0.8),
+    Fault::FailsUnderLoad(0.6),
 ];
 
-fn play(seed: u64, size: usize, rate: f64, fault: Fault, trouble: Trouble) -> World {
-    let mut world = World::new(seed, size, rate, fault, trouble);
-    world.run();
-    world
+fn simulate(seed: u64, size: usize, rate: f64, fault: Fault, scenario: Scenario) -> Simulation {
+    let mut simulation = Simulation::new(seed, size, rate, fault, scenario);
+    simulation.run();
+    simulation
 }
 
-// A good version that is rolled back, or left on trial, has to be rolled out again by hand.
+// Guards against rolling back a good version, or never completing its rollout: it must then be
+// rolled out again by hand.
 #[test]
 fn a_good_version_is_in_force_by_its_deadline() {
     for seed in seeds(0..1) {
-        for (size, rate) in [(SMALL, CALM), (SMALL, FULL), (LARGE, FULL)] {
-            let world = play(seed, size, rate, Fault::None, Trouble::None);
+        for (size, rate) in [
+            (SMALL_FLEET, LOW_RATE_PER_SECOND),
+            (SMALL_FLEET, HIGH_RATE_PER_SECOND),
+            (LARGE_FLEET, HIGH_RATE_PER_SECOND),
+        ] {
+            let simulation = simulate(seed, size, rate, Fault::None, Scenario::None);
             let case = format!("seed {seed}, {size} instances at {rate}");
-            let Some((at, state)) = world.outcome() else {
+            let Some((at, state)) = simulation.outcome() else {
                 panic!("{case}: no outcome");
             };
             assert_eq!(state, State::Completed, "{case}");
-            assert!(at <= ORDERED + SPAN, "{case}: {at}");
-            assert_eq!(world.seen.cut, 0, "{case}: cut off");
+            assert!(at <= ORDERED_MS + DURATION_MS, "{case}: {at}");
+            assert_eq!(simulation.observed.aborted, 0, "{case}: requests aborted");
             assert!(
-                world.seen.broken.is_empty(),
+                simulation.observed.violations.is_empty(),
                 "{case}: {:?}",
-                world.seen.broken
+                simulation.observed.violations
             );
         }
     }
 }
 
-// All endpoints slow down while a good version takes over. Its answers were compared with those that the standing one
-// had given before, and it was rolled back.
+// All endpoints slow down while a good version takes over. Guards against comparing its responses
+// with earlier ones of the stable version, which rolls it back.
 #[test]
-fn a_good_version_is_not_blamed_for_what_slows_all_down() {
+fn a_good_version_is_not_rolled_back_for_a_general_slowdown() {
     for seed in seeds(0..2) {
         for from in [20, 60, 72, 78, 85] {
-            let world = play(seed, SMALL, CALM / 4.0, Fault::None, Trouble::Slow(from));
-            let state = world.outcome().map(|it| it.1);
+            let simulation = simulate(
+                seed,
+                SMALL_FLEET,
+                LOW_RATE_PER_SECOND / 4.0,
+                Fault::None,
+                Scenario::GeneralSlowdown(from),
+            );
+            let state = simulation.outcome().map(|it| it.1);
             assert_eq!(state, Some(State::Completed), "seed {seed}, from {from}");
         }
     }
 }
 
-// A bad version gets a large part of the traffic, or gets some for long.
+// Guards against sending a bad version too large a share of the traffic, or traffic for too long.
 #[test]
 fn a_bad_version_is_rolled_back_within_the_bounds() {
     for seed in seeds(0..1) {
-        for fault in FAULTS {
-            check_bad(seed, SMALL, CALM, fault);
+        for fault in ALL_FAULTS {
+            check_rolled_back(seed, SMALL_FLEET, LOW_RATE_PER_SECOND, fault);
         }
     }
 }
 
-// Each shard of a large fleet sees a small part of the answers, and nobody sees enough.
+// Guards against missing a bad version because each shard of a large fleet sees only a few of its
+// responses.
 #[test]
 fn a_bad_version_is_found_by_a_fleet_of_many_shards() {
     for seed in seeds(0..1) {
-        check_bad(seed, LARGE, FULL, Fault::Fails(0.3));
+        check_rolled_back(seed, LARGE_FLEET, HIGH_RATE_PER_SECOND, Fault::Fails(0.3));
     }
 }
 
-// Two instances write different outcomes, or one takes back what another wrote.
+// Guards against instances writing different outcomes, or reverting an outcome that was written.
 #[test]
-fn there_is_one_outcome_whatever_happens() {
+fn random_faults_lead_to_exactly_one_outcome() {
     for seed in seeds(0..3) {
         for fault in [Fault::None, Fault::Fails(0.3)] {
-            let world = play(seed, SMALL, CALM, fault, Trouble::Wild);
-            let broken = &world.seen.broken;
+            let simulation = simulate(
+                seed,
+                SMALL_FLEET,
+                LOW_RATE_PER_SECOND,
+                fault,
+                Scenario::RandomFaults,
+            );
+            let violations = &simulation.observed.violations;
             let case = format!("seed {seed}, {fault:?}");
-            assert!(world.outcome().is_some(), "{case}: no outcome");
-            assert!(broken.is_empty(), "{case}: {broken:?}");
+            assert!(simulation.outcome().is_some(), "{case}: no outcome");
+            assert!(violations.is_empty(), "{case}: {violations:?}");
         }
     }
 }
 
-// Prints how often verdicts are false, how long they take and what they cost: by hand, with `--ignored` and SEEDS.
+// Prints how often the outcome is wrong, how long it takes and how many requests are exposed. Run
+// it by hand with `--ignored` and SEEDS.
 #[test]
-#[ignore = "a table, not a check"]
+#[ignore = "prints a table and checks nothing"]
 fn table_of_verdicts() {
-    for (size, rate) in [(SMALL, CALM), (SMALL, FULL), (LARGE, FULL)] {
-        for fault in [Fault::None].iter().chain(&FAULTS) {
+    for (size, rate) in [
+        (SMALL_FLEET, LOW_RATE_PER_SECOND),
+        (SMALL_FLEET, HIGH_RATE_PER_SECOND),
+        (LARGE_FLEET, HIGH_RATE_PER_SECOND),
+    ] {
+        for fault in [Fault::None].iter().chain(&ALL_FAULTS) {
             let mut times = Vec::new();
-            let mut parts = Vec::new();
-            let mut broken = 0;
+            let mut exposures = Vec::new();
+            let mut violating_runs = 0;
             let mut states = [0, 0, 0];
             for seed in seeds(0..20) {
-                let world = play(seed, size, rate, *fault, Trouble::None);
-                let Some((at, state)) = world.outcome() else {
+                let simulation = simulate(seed, size, rate, *fault, Scenario::None);
+                let Some((at, state)) = simulation.outcome() else {
                     states[0] += 1;
                     continue;
                 };
                 states[if state == State::Completed { 1 } else { 2 }] += 1;
-                times.push(at - ORDERED);
-                parts.push(world.seen.exposed * 1_000 / world.seen.all);
-                broken += usize::from(!world.seen.broken.is_empty());
+                times.push(at - ORDERED_MS);
+                exposures.push(simulation.observed.exposed * 1_000 / simulation.observed.total);
+                violating_runs += usize::from(!simulation.observed.violations.is_empty());
             }
             times.sort_unstable();
-            parts.sort_unstable();
+            exposures.sort_unstable();
             println!(
-                "{size} at {rate}, {fault:?}: none, completed, rolled back {states:?}; ms {:?} {:?}; exposed, in thousandths {:?} {:?}; broken {broken}",
+                "{size} instances at {rate}/s, {fault:?}: no outcome, completed, rolled back \
+                 {states:?}; median and maximum ms {:?} {:?}; median and maximum exposure in \
+                 thousandths {:?} {:?}; runs with violations {violating_runs}",
                 times.get(times.len() / 2),
                 times.last(),
-                parts.get(parts.len() / 2),
-                parts.last(),
+                exposures.get(exposures.len() / 2),
+                exposures.last(),
             );
         }
     }
 }
 
-fn check_bad(seed: u64, size: usize, rate: f64, fault: Fault) {
-    let world = play(seed, size, rate, fault, Trouble::None);
-    let state = world.outcome().map(|it| it.1);
+fn check_rolled_back(seed: u64, size: usize, rate: f64, fault: Fault) {
+    let simulation = simulate(seed, size, rate, fault, Scenario::None);
+    let state = simulation.outcome().map(|it| it.1);
     let case = format!("seed {seed}, {fault:?}, {size} instances at {rate}");
     assert_eq!(
         state,
         Some(State::RolledBack),
         "{case}: {:?}",
-        world.seen.states
+        simulation.observed.states
     );
     assert!(
-        world.seen.broken.is_empty(),
+        simulation.observed.violations.is_empty(),
         "{case}: {:?}",
-        world.seen.broken
+        simulation.observed.violations
     );
 }
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -1,10 +1,10 @@
-//! A fleet that moves a service to another version, in virtual time.
+//! Simulation of a fleet that rolls out a new version of a service, in virtual time.
 
 #![expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "counts and spans of a short play"
+    reason = "counts and times of a short simulation"
 )]
 
 use rand::Rng;
@@ -29,204 +29,210 @@
 use siskinyoke_dispatch::rollout::State;
 use siskinyoke_dispatch::rollout::Status;
 
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
-/// When the order is placed, and how long it gives.
-pub const ORDERED: u64 = 4_000;
-pub const SPAN: u64 = 12_000;
+/// When the order is placed, and its duration.
+pub const ORDERED_MS: u64 = 4_000;
+pub const DURATION_MS: u64 = 12_000;
 
 /// Endpoints of each version, and their slots.
-const ENDPOINTS: usize = 24;
-const SLOTS: u32 = 6;
+const ENDPOINTS_PER_VERSION: usize = 24;
+const SLOTS_PER_ENDPOINT: u32 = 6;
 
-/// The operators' bounds: the part of requests that a bad version may get, some besides, and how long after its
-/// 50th bad answer it may still get any.
-const SHARE: f64 = 0.1;
-const SLACK: usize = 50;
-const ROLLBACK: u64 = 5_000;
-const EVIDENCE: usize = 50;
+/// The operators' bounds: the share of requests that a bad version may get, plus a constant number,
+/// and how long it may still get requests after its 50th bad response.
+const MAX_EXPOSURE_RATIO: f64 = 0.1;
+const EXPOSURE_SLACK: usize = 50;
+const ROLLBACK_TIME_MS: u64 = 5_000;
+const EVIDENT_RESPONSES: usize = 50;
 
 /// What is wrong with the new version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// Nothing.
     None,
-    /// This part of its answers fail.
+    /// This share of its responses fail.
     Fails(f64),
-    /// Its answers take so many times as long.
+    /// Its service times are this many times as long.
     Slow(f64),
-    /// This part of its answers fail, from so many ms after the order on.
-    Later(f64, u64),
-    /// This part of its answers fail on one route.
-    OneRoute(f64),
-    /// This part of its answers fail where more than half of an endpoint's slots are taken.
-    Loaded(f64),
+    /// This share of its responses fail, starting this many ms after the order.
+    FailsLater(f64, u64),
+    /// This share of its responses fail on one route.
+    FailsOnOneRoute(f64),
+    /// This share of its responses fail if more than half of the endpoint's slots are taken.
+    FailsUnderLoad(f64),
 }
 
 /// What happens around the rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Scenario {
     /// Nothing.
     None,
-    /// Instances are killed and start again, the store goes away for some instances and for all, answers of its
-    /// writes are lost, and endpoints of both versions fail for some seconds.
-    Wild,
-    /// All endpoints take five times as long from this part of the order's time on, in hundredths.
-    Slow(u64),
+    /// Instances are killed and restarted, the store is unreachable for some or all instances,
+    /// responses to writes are lost, and endpoints of both versions fail for some seconds.
+    RandomFaults,
+    /// All endpoints take five times as long, starting at this percentage of the order's duration.
+    GeneralSlowdown(u64),
 }
 
-struct Run {
-    due: u64,
+struct RunningRequest {
+    ends_at: u64,
     ticket: Ticket,
     endpoint: usize,
     outcome: Outcome,
 }
 
-struct Node {
+struct Instance {
     core: Core,
     name: String,
-    runs: Vec<Run>,
-    // Down until then.
-    down: u64,
-    // The store cannot be reached until then.
-    away: u64,
-    // Changes of the store that are known, and when the next one is.
-    known: usize,
-    learns: u64,
+    running: Vec<RunningRequest>,
+    // The instance is down until this time.
+    down_until: u64,
+    // The store cannot be reached until this time.
+    store_down_until: u64,
+    // The number of store changes that the instance has read, and when it reads next.
+    known_changes: usize,
+    next_read: u64,
 }
 
-/// What was seen of a rollout.
+/// Observations of a rollout.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Each state that was written, and when.
     pub states: Vec<(u64, State)>,
-    /// Each broken promise, in words.
-    pub broken: Vec<String>,
-    /// Requests that were sent to the new version while it could be judged, and to the service.
+    /// Descriptions of violated guarantees.
+    pub violations: Vec<String>,
+    /// Requests sent to the new version and to all endpoints, for the duration of the order.
     pub exposed: usize,
-    pub all: usize,
-    /// Bad answers of the new version.
+    pub total: usize,
+    /// Bad responses of the new version.
     pub bad: usize,
-    /// Requests that ran at old endpoints when these stopped.
-    pub cut: usize,
+    /// Requests that were running on old endpoints when these stopped.
+    pub aborted: usize,
     /// Requests that were rejected.
     pub rejected: usize,
 }
 
-/// A fleet that moves a service to another version.
-pub struct World {
+/// A fleet that rolls out a new version of a service.
+pub struct Simulation {
     rng: ChaCha8Rng,
     now: u64,
     fault: Fault,
-    trouble: Trouble,
+    scenario: Scenario,
     rate: f64,
-    nodes: Vec<Node>,
+    instances: Vec<Instance>,
     endpoints: Vec<Endpoint>,
-    busy: Vec<u32>,
-    // Endpoints fail everything until then.
-    sick: Vec<u64>,
+    slots_in_use: Vec<u32>,
+    // All requests fail at an endpoint until this time.
+    failing_until: Vec<u64>,
     reports: Vec<(u64, usize, Report)>,
     changes: Vec<StoreUpdate>,
-    status: u64,
-    // When the 50th bad answer came.
-    evident: Option<u64>,
-    started: u64,
-    /// What was seen.
-    pub seen: Seen,
+    status_revision: u64,
+    // When the 50th bad response occurred.
+    evident_since: Option<u64>,
+    start_count: u64,
+    /// What was observed.
+    pub observed: Observations,
 }
 
-impl World {
-    /// Starts a fleet under so many requests a second.
-    pub fn new(seed: u64, size: usize, rate: f64, fault: Fault, trouble: Trouble) -> Self {
+impl Simulation {
+    /// Creates a fleet that gets `rate` requests per second.
+    pub fn new(seed: u64, size: usize, rate: f64, fault: Fault, scenario: Scenario) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let endpoints: Vec<_> = (0..2 * ENDPOINTS).map(entry).collect();
-        let mut world = Self {
+        let endpoints: Vec<_> = (0..2 * ENDPOINTS_PER_VERSION)
+            .map(simulated_endpoint)
+            .collect();
+        let mut simulation = Self {
             rng,
             now: 0,
             fault,
-            trouble,
+            scenario,
             rate,
-            nodes: Vec::new(),
-            busy: vec![0; endpoints.len()],
-            sick: vec![0; endpoints.len()],
+            instances: Vec::new(),
+            slots_in_use: vec![0; endpoints.len()],
+            failing_until: vec![0; endpoints.len()],
             changes: Vec::new(),
             endpoints,
             reports: Vec::new(),
-            status: 0,
-            evident: None,
-            started: 0,
-            seen: Seen::default(),
+            status_revision: 0,
+            evident_since: None,
+            start_count: 0,
+            observed: Observations::default(),
         };
         for at in 0..size {
             let name = format!("i{at}");
-            world
+            simulation
                 .changes
                 .push(StoreUpdate::Instance(name.clone(), location(&name, "a")));
         }
-        for at in 0..ENDPOINTS {
-            world
+        for at in 0..ENDPOINTS_PER_VERSION {
+            simulation
                 .changes
-                .push(StoreUpdate::Endpoint(world.endpoints[at].clone()));
+                .push(StoreUpdate::Endpoint(simulation.endpoints[at].clone()));
         }
         for at in 0..size {
-            let node = world.start(at);
-            world.nodes.push(node);
+            let instance = simulation.start_instance(at);
+            simulation.instances.push(instance);
         }
-        world
+        simulation
     }
 
-    /// Plays until some seconds after the order's time.
+    /// Runs the simulation until some seconds after the order's duration.
     pub fn run(&mut self) {
-        while self.now < ORDERED + SPAN + 6_000 {
-            self.now += STEP;
-            if self.now == ORDERED {
-                self.order();
+        while self.now < ORDERED_MS + DURATION_MS + 6_000 {
+            self.now += STEP_MS;
+            if self.now == ORDERED_MS {
+                self.place_order();
             }
-            if self.trouble == Trouble::Wild {
-                self.harm();
+            if self.scenario == Scenario::RandomFaults {
+                self.inject_faults();
             }
-            self.deliver();
-            self.arrive();
-            for at in 0..self.nodes.len() {
-                if self.nodes[at].down <= self.now {
-                    self.act(at);
+            self.deliver_reports();
+            self.generate_arrivals();
+            for at in 0..self.instances.len() {
+                if self.instances[at].down_until <= self.now {
+                    self.step_instance(at);
                 }
             }
         }
         self.check_exposure();
     }
 
-    /// Returns the outcome of the order.
+    /// Returns the outcome of the order and when it was written.
     pub fn outcome(&self) -> Option<(u64, State)> {
-        let ends = self.seen.states.iter().filter(|it| it.1 != State::Running);
-        ends.copied().next()
+        let outcomes = self
+            .observed
+            .states
+            .iter()
+            .filter(|it| it.1 != State::Running);
+        outcomes.copied().next()
     }
 
-    fn start(&mut self, at: usize) -> Node {
-        self.started += 1;
+    fn start_instance(&mut self, at: usize) -> Instance {
+        self.start_count += 1;
         let name = format!("i{at}");
-        let mut core = Core::new(identity(&name, self.started));
+        let mut core = Core::new(identity(&name, self.start_count));
         core.configure(Millis(self.now), configuration(1, organisation(0.0, 0.0)));
-        Node {
+        Instance {
             core,
             name,
-            runs: Vec::new(),
-            down: 0,
-            away: 0,
-            known: 0,
-            learns: self.now + self.rng.random_range(10..100),
+            running: Vec::new(),
+            down_until: 0,
+            store_down_until: 0,
+            known_changes: 0,
+            next_read: self.now + self.rng.random_range(10..100),
         }
     }
 
-    fn order(&mut self) {
+    fn place_order(&mut self) {
         let order = Order {
             service: "lm".into(),
             version: "v2".into(),
-            duration: Millis(SPAN),
+            duration: Millis(DURATION_MS),
             revision: self.revision() + 1,
         };
         self.changes.push(StoreUpdate::RolloutOrder(order));
-        for at in ENDPOINTS..2 * ENDPOINTS {
+        for at in ENDPOINTS_PER_VERSION..2 * ENDPOINTS_PER_VERSION {
             self.changes
                 .push(StoreUpdate::Endpoint(self.endpoints[at].clone()));
         }
@@ -236,236 +242,244 @@
         self.changes.len() as u64
     }
 
-    fn harm(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.01) {
-            let at = self.rng.random_range(0..self.nodes.len());
-            let down = self.now + self.rng.random_range(200..2_000);
-            for run in std::mem::take(&mut self.nodes[at].runs) {
-                self.busy[run.endpoint] -= 1;
+            let at = self.rng.random_range(0..self.instances.len());
+            let down_until = self.now + self.rng.random_range(200..2_000);
+            for request in std::mem::take(&mut self.instances[at].running) {
+                self.slots_in_use[request.endpoint] -= 1;
             }
-            self.nodes[at] = self.start(at);
-            self.nodes[at].down = down;
+            self.instances[at] = self.start_instance(at);
+            self.instances[at].down_until = down_until;
         }
         if self.rng.random_bool(0.01) {
-            let at = self.rng.random_range(0..self.nodes.len());
-            self.nodes[at].away = self.now + self.rng.random_range(500..3_000);
+            let at = self.rng.random_range(0..self.instances.len());
+            self.instances[at].store_down_until = self.now + self.rng.random_range(500..3_000);
         }
         if self.rng.random_bool(0.001) {
-            let away = self.now + self.rng.random_range(500..3_000);
-            for node in &mut self.nodes {
-                node.away = away;
+            let store_down_until = self.now + self.rng.random_range(500..3_000);
+            for instance in &mut self.instances {
+                instance.store_down_until = store_down_until;
             }
         }
         if self.rng.random_bool(0.002) {
             let at = self.rng.random_range(0..self.endpoints.len());
-            self.sick[at] = self.now + self.rng.random_range(500..3_000);
+            self.failing_until[at] = self.now + self.rng.random_range(500..3_000);
         }
     }
 
-    fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.reports)
+    fn deliver_reports(&mut self) {
+        let (arrived, in_flight) = std::mem::take(&mut self.reports)
             .into_iter()
             .partition(|it: &(u64, usize, Report)| it.0 <= self.now);
-        self.reports = later;
-        for (_, to, report) in due {
-            if self.nodes[to].down <= self.now {
-                self.nodes[to].core.receive_report(Millis(self.now), report);
+        self.reports = in_flight;
+        for (_, to, report) in arrived {
+            if self.instances[to].down_until <= self.now {
+                self.instances[to]
+                    .core
+                    .receive_report(Millis(self.now), report);
             }
         }
     }
 
-    fn arrive(&mut self) {
-        let mean = self.rate * STEP as f64 / 1_000.0;
+    fn generate_arrivals(&mut self) {
+        let mean = self.rate * STEP_MS as f64 / 1_000.0;
         let count = mean as usize + usize::from(self.rng.random_bool(mean.fract()));
         for _ in 0..count {
-            let at = self.rng.random_range(0..self.nodes.len());
-            if self.nodes[at].down <= self.now {
-                self.pending(at);
+            let at = self.rng.random_range(0..self.instances.len());
+            if self.instances[at].down_until <= self.now {
+                self.admit_request(at);
             }
         }
     }
 
-    fn pending(&mut self, at: usize) {
+    fn admit_request(&mut self, at: usize) {
         let now = Millis(self.now);
         let path = if self.rng.random_bool(0.1) {
             "/unsafe/x"
         } else {
             "/safe/x"
         };
-        let print = self.rng.random();
-        let core = &mut self.nodes[at].core;
-        if let Ok(pass) = core.route(now, request(path)) {
-            self.seen.rejected += usize::from(core.admit(now, &pass, print).is_err());
+        let fingerprint = self.rng.random();
+        let core = &mut self.instances[at].core;
+        if let Ok(routed) = core.route(now, request(path)) {
+            self.observed.rejected += usize::from(core.admit(now, &routed, fingerprint).is_err());
         }
     }
 
-    fn act(&mut self, at: usize) {
-        self.learn(at);
-        self.end(at);
+    fn step_instance(&mut self, at: usize) {
+        self.read_store(at);
+        self.finish_requests(at);
         let now = Millis(self.now);
-        for decision in self.nodes[at].core.decide(now) {
+        for decision in self.instances[at].core.decide(now) {
             if let Decision::Start(ticket, endpoint) = decision {
-                self.send(at, ticket, &endpoint);
+                self.start_request(at, ticket, &endpoint);
             }
         }
-        if (self.now / STEP + at as u64).is_multiple_of(10) {
-            self.tell(at);
+        if (self.now / STEP_MS + at as u64).is_multiple_of(10) {
+            self.send_reports(at);
         }
-        if (self.now / STEP + at as u64).is_multiple_of(20) {
-            self.nodes[at].core.sweep(now);
-            self.nodes[at].core.advance_rollouts(now);
-            self.write(at);
+        if (self.now / STEP_MS + at as u64).is_multiple_of(20) {
+            self.instances[at].core.sweep(now);
+            self.instances[at].core.advance_rollouts(now);
+            self.write_states(at);
         }
     }
 
-    fn learn(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
-        if node.away > self.now {
-            node.core.store_call_failed(Millis(self.now));
+    fn read_store(&mut self, at: usize) {
+        let instance = &mut self.instances[at];
+        if instance.store_down_until > self.now {
+            instance.core.store_call_failed(Millis(self.now));
             return;
         }
-        node.core.store_call_succeeded();
-        if node.learns > self.now || node.known == self.changes.len() {
+        instance.core.store_call_succeeded();
+        if instance.next_read > self.now || instance.known_changes == self.changes.len() {
             return;
         }
-        let news = self.changes[node.known..].to_vec();
-        node.known = self.changes.len();
-        node.learns = self.now + self.rng.random_range(10..600);
-        node.core
-            .apply_updates(Millis(self.now), self.changes.len() as u64, news);
-        node.core.advance_rollouts(Millis(self.now));
+        let updates = self.changes[instance.known_changes..].to_vec();
+        instance.known_changes = self.changes.len();
+        instance.next_read = self.now + self.rng.random_range(10..600);
+        instance
+            .core
+            .apply_updates(Millis(self.now), self.changes.len() as u64, updates);
+        instance.core.advance_rollouts(Millis(self.now));
     }
 
-    fn end(&mut self, at: usize) {
-        let runs = std::mem::take(&mut self.nodes[at].runs);
-        let (done, rest): (Vec<_>, Vec<_>) = runs.into_iter().partition(|it| it.due <= self.now);
-        self.nodes[at].runs = rest;
-        for run in done {
-            self.busy[run.endpoint] -= 1;
-            let outcome = run.outcome;
-            self.nodes[at]
+    fn finish_requests(&mut self, at: usize) {
+        let running = std::mem::take(&mut self.instances[at].running);
+        let (done, rest): (Vec<_>, Vec<_>) =
+            running.into_iter().partition(|it| it.ends_at <= self.now);
+        self.instances[at].running = rest;
+        for request in done {
+            self.slots_in_use[request.endpoint] -= 1;
+            let outcome = request.outcome;
+            self.instances[at]
                 .core
-                .attempt_ended(Millis(self.now), run.ticket, outcome, false);
+                .attempt_ended(Millis(self.now), request.ticket, outcome, false);
         }
     }
 
-    fn send(&mut self, at: usize, ticket: Ticket, endpoint: &Endpoint) {
+    fn start_request(&mut self, at: usize, ticket: Ticket, endpoint: &Endpoint) {
         let index = self
             .endpoints
             .iter()
             .position(|it| it.id == endpoint.id)
             .unwrap();
-        let new = index >= ENDPOINTS;
-        self.busy[index] += 1;
-        let route = self.nodes[at]
+        let new = index >= ENDPOINTS_PER_VERSION;
+        self.slots_in_use[index] += 1;
+        let route = self.instances[at]
             .core
             .scheduler()
             .running(ticket)
             .unwrap()
             .route
             .clone();
-        let loaded = self.busy[index] * 2 > SLOTS;
-        let age = self.now.saturating_sub(ORDERED);
-        let (part, slow) = match self.fault {
+        let under_load = self.slots_in_use[index] * 2 > SLOTS_PER_ENDPOINT;
+        let age = self.now.saturating_sub(ORDERED_MS);
+        let (failure_ratio, slow_factor) = match self.fault {
             _ if !new => (0.01, 1.0),
             Fault::None => (0.01, 1.0),
-            Fault::Fails(part) => (part, 1.0),
-            Fault::Slow(times) => (0.01, times),
-            Fault::Later(part, from) => (if age >= from { part } else { 0.01 }, 1.0),
-            Fault::OneRoute(part) => (if &*route.name == "safe" { 0.01 } else { part }, 1.0),
-            Fault::Loaded(part) => (if loaded { part } else { 0.01 }, 1.0),
+            Fault::Fails(ratio) => (ratio, 1.0),
+            Fault::Slow(factor) => (0.01, factor),
+            Fault::FailsLater(ratio, start) => (if age >= start { ratio } else { 0.01 }, 1.0),
+            Fault::FailsOnOneRoute(ratio) => {
+                (if &*route.name == "safe" { 0.01 } else { ratio }, 1.0)
+            }
+            Fault::FailsUnderLoad(ratio) => (if under_load { ratio } else { 0.01 }, 1.0),
         };
-        let failed = self.rng.random_bool(part) || self.sick[index] > self.now;
-        let all = match self.trouble {
-            Trouble::Slow(from) if age * 100 >= from * SPAN => 5.0,
+        let failed = self.rng.random_bool(failure_ratio) || self.failing_until[index] > self.now;
+        let slowdown = match self.scenario {
+            Scenario::GeneralSlowdown(start) if age * 100 >= start * DURATION_MS => 5.0,
             _ => 1.0,
         };
-        let took = (self.rng.random_range(80.0..240.0) * slow * all) as u64;
+        let service_time = (self.rng.random_range(80.0..240.0) * slow_factor * slowdown) as u64;
         let outcome = if failed {
             Outcome::Failed
         } else {
             Outcome::Completed {
-                to_first_part: Millis(took),
-                total: Millis(took),
+                to_first_part: Millis(service_time),
+                total: Millis(service_time),
                 parts: 0,
                 longest_pause: Millis::ZERO,
             }
         };
-        self.observe(at, new, failed || slow > 1.0);
-        self.nodes[at].runs.push(Run {
-            due: self.now + took,
+        self.record_request(at, new, failed || slow_factor > 1.0);
+        self.instances[at].running.push(RunningRequest {
+            ends_at: self.now + service_time,
             ticket,
             endpoint: index,
             outcome,
         });
     }
 
-    // Takes note of a request that reaches an endpoint, with whether its answer will be bad.
-    fn observe(&mut self, at: usize, new: bool, bad: bool) {
-        let window = ORDERED..ORDERED + SPAN;
+    // Records a request that is sent to an endpoint, and whether its response will be bad.
+    fn record_request(&mut self, at: usize, new: bool, bad: bool) {
+        let window = ORDERED_MS..ORDERED_MS + DURATION_MS;
         if window.contains(&self.now) {
-            self.seen.all += 1;
-            self.seen.exposed += usize::from(new);
+            self.observed.total += 1;
+            self.observed.exposed += usize::from(new);
         }
         if !new || self.fault == Fault::None {
             return;
         }
-        let touch = self.nodes[at].away + 4_000 < self.now;
-        if let Some(evident) = self.evident
-            && touch
-            && self.now > evident + ROLLBACK
+        let store_recovered = self.instances[at].store_down_until + 4_000 < self.now;
+        if let Some(evident_since) = self.evident_since
+            && store_recovered
+            && self.now > evident_since + ROLLBACK_TIME_MS
         {
-            self.seen.broken.push(format!(
-                "{}: sent to a bad version at {}",
-                self.nodes[at].name, self.now
+            self.observed.violations.push(format!(
+                "{}: request sent to a bad version at {} ms",
+                self.instances[at].name, self.now
             ));
         }
-        self.seen.bad += usize::from(bad);
-        if self.seen.bad >= EVIDENCE {
-            self.evident.get_or_insert(self.now);
+        self.observed.bad += usize::from(bad);
+        if self.observed.bad >= EVIDENT_RESPONSES {
+            self.evident_since.get_or_insert(self.now);
         }
     }
 
-    fn tell(&mut self, at: usize) {
-        let whole = self.rng.random_bool(0.2);
-        let report = self.nodes[at].core.next_report(Millis(self.now), whole);
-        for to in 0..self.nodes.len() {
+    fn send_reports(&mut self, at: usize) {
+        let include_info = self.rng.random_bool(0.2);
+        let report = self.instances[at]
+            .core
+            .next_report(Millis(self.now), include_info);
+        for to in 0..self.instances.len() {
             if to != at && !self.rng.random_bool(0.02) {
-                let due = self.now + self.rng.random_range(1..20);
-                self.reports.push((due, to, report.clone()));
+                let arrives_at = self.now + self.rng.random_range(1..20);
+                self.reports.push((arrives_at, to, report.clone()));
             }
         }
     }
 
-    fn write(&mut self, at: usize) {
-        let node = &self.nodes[at];
-        if node.away > self.now {
+    fn write_states(&mut self, at: usize) {
+        let instance = &self.instances[at];
+        if instance.store_down_until > self.now {
             return;
         }
-        for due in node.core.status_writes(Millis(self.now)) {
-            // Nobody waits for the answer here, as if each were lost.
-            if due.status_revision != self.status {
+        for write in instance.core.status_writes(Millis(self.now)) {
+            // The result of a write is not awaited, as if every one were lost.
+            if write.status_revision != self.status_revision {
                 continue;
             }
-            if self.seen.states.iter().any(|it| it.1 != State::Running) {
-                self.seen
-                    .broken
-                    .push(format!("a second outcome: {:?}", due.state));
+            if self.observed.states.iter().any(|it| it.1 != State::Running) {
+                self.observed
+                    .violations
+                    .push(format!("a second outcome: {:?}", write.state));
             }
-            self.seen.states.push((self.now, due.state));
-            if due.state == State::Completed {
-                self.seen.cut = self
-                    .nodes
+            self.observed.states.push((self.now, write.state));
+            if write.state == State::Completed {
+                self.observed.aborted = self
+                    .instances
                     .iter()
-                    .flat_map(|it| &it.runs)
-                    .filter(|it| it.endpoint < ENDPOINTS)
+                    .flat_map(|it| &it.running)
+                    .filter(|it| it.endpoint < ENDPOINTS_PER_VERSION)
                     .count();
             }
             let revision = self.revision() + 1;
-            self.status = revision;
+            self.status_revision = revision;
             let status = Status {
-                state: due.state,
-                version: due.order.version,
+                state: write.state,
+                version: write.order.version,
                 revision,
             };
             self.changes
@@ -474,21 +488,26 @@
     }
 
     fn check_exposure(&mut self) {
-        let most = (self.seen.all as f64 * SHARE) as usize + SLACK;
-        if self.fault != Fault::None && self.seen.exposed > most {
+        let max_exposed =
+            (self.observed.total as f64 * MAX_EXPOSURE_RATIO) as usize + EXPOSURE_SLACK;
+        if self.fault != Fault::None && self.observed.exposed > max_exposed {
             let text = format!(
                 "{} of {} requests exposed",
-                self.seen.exposed, self.seen.all
+                self.observed.exposed, self.observed.total
             );
-            self.seen.broken.push(text);
+            self.observed.violations.push(text);
         }
     }
 }
 
-fn entry(at: usize) -> Endpoint {
-    let version = if at < ENDPOINTS { "v1" } else { "v2" };
+fn simulated_endpoint(at: usize) -> Endpoint {
+    let version = if at < ENDPOINTS_PER_VERSION {
+        "v1"
+    } else {
+        "v2"
+    };
     Endpoint {
         version: version.into(),
-        ..endpoint(&format!("e{at}"), SLOTS)
+        ..endpoint(&format!("e{at}"), SLOTS_PER_ENDPOINT)
     }
 }
