--- a/crates/siskinyoke-dispatch/src/configuration.rs
+++ b/crates/siskinyoke-dispatch/src/configuration.rs
@@ -5,44 +5,44 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// The shortest silence after which callers leave a stream.
+/// Minimum time callers wait for the next event of a stream.
 const MIN_STREAM_TIMEOUT: Millis = Millis(2_000);
 
-/// What may be repeated of a request, and what its answer looks like.
+/// Whether requests on a route may be repeated, and the form of their responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Idempotent: may run more than once.
     Safe,
     /// Non-idempotent: runs at most once.
     Unsafe,
-    /// An event stream; idempotent only where the route lets it resume.
+    /// An event stream; idempotent only if the route is resumable.
     Stream,
 }
 
-/// One route: which requests it takes and how they are served.
+/// A route: which requests it matches and how they are served.
 #[derive(Debug, Clone)]
 pub struct Route {
     /// The route's name.
     pub name: Arc<str>,
     /// The path prefix, with a slash at both ends.
     pub prefix: Box<str>,
-    /// What may be repeated.
+    /// Whether its requests may be repeated, and the form of their responses.
     pub kind: Kind,
-    /// How long the operator lets a request take in all.
+    /// Maximum total duration of a request.
     pub timeout: Millis,
-    /// The latency objective: to the whole answer, or to a stream's first event.
+    /// Latency target for the complete response, or for the first event of a stream.
     pub latency_target: Millis,
-    /// The longest pause between a stream's events for which its answer is on time.
+    /// Target for the longest gap between two events of a stream.
     pub gap_target: Millis,
-    /// The priority, 0 first; an organisation's own priority goes before it.
+    /// Priority, 0 being the highest; an organisation's own priority takes precedence.
     pub priority: u8,
-    /// The services that serve it, with weights.
+    /// Services that serve it, with their weights.
     pub targets: Vec<(Arc<str>, u32)>,
-    /// The most endpoints that one request may be sent to.
+    /// Maximum number of endpoints one request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub auth_exempt: bool,
-    /// Whether a stream may go on at another endpoint.
+    /// Whether a stream may be continued at another endpoint.
     pub resumable: bool,
 }
 
@@ -56,84 +56,84 @@
         }
     }
 
-    /// Returns how long a caller waits for the first part of an answer.
+    /// Returns how long a caller waits for the first part of a response.
     ///
-    /// Callers leave a stream that is silent for two seconds, four times its objective or eight
-    /// times its longest pause, whichever is longest, as their platform tells them to. What waits
-    /// here for longer would hold a place in the queue for nobody.
+    /// The platform tells callers to abandon a stream after two seconds without an event, four
+    /// times the latency target or eight times the gap target, whichever is longest. A request
+    /// that waits longer would occupy the queue after its caller has left.
     pub fn caller_timeout(&self) -> Millis {
         if self.kind != Kind::Stream {
             return self.timeout;
         }
-        let silence = MIN_STREAM_TIMEOUT
+        let stream_timeout = MIN_STREAM_TIMEOUT
             .max(Millis(self.latency_target.0 * 4))
             .max(Millis(self.gap_target.0 * 8));
-        silence.min(self.timeout)
+        stream_timeout.min(self.timeout)
     }
 
-    /// Picks the service for a request, spreading by weight; `draw` is any evenly spread number.
+    /// Picks the service for a request by weight; `draw` is a uniformly distributed number.
     pub fn pick_service(&self, draw: u64) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.1)).sum();
         if total == 0 {
             return self.targets.first().map(|target| &target.0);
         }
-        let mut left = draw % total;
+        let mut remaining = draw % total;
         for (service, weight) in &self.targets {
             let weight = u64::from(*weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// One service: a set of endpoints that serve the same routes.
+/// A service: a set of endpoints that serve the same routes.
 #[derive(Debug, Clone)]
 pub struct Service {
     /// The service's name.
     pub name: Arc<str>,
-    /// The most connections that one of its endpoints takes from all callers.
+    /// Maximum number of connections that each of its endpoints accepts from all callers.
     pub max_connections: usize,
 }
 
-/// One organisation: who may call, how urgent it is and what it may use.
+/// An organisation: its priority and its quota.
 #[derive(Debug, Clone)]
 pub struct Organisation {
     /// The organisation's name.
     pub name: Arc<str>,
-    /// The priority that goes before its routes' own, if it has one.
+    /// Its priority, if any; compared before the priority of the route.
     pub priority: Option<u8>,
-    /// Units a second over all instances; zero is no limit.
+    /// Quota units per second over all instances; zero means unlimited.
     pub rate: f64,
-    /// Units that may be used at once after a pause.
+    /// Quota units that may be used at once after an idle period.
     pub burst: f64,
-    /// Whether a unit is a token; else it is a request.
+    /// Whether quota units are tokens; otherwise they are requests.
     pub counts_tokens: bool,
-    /// The units of a request that names no tokens.
+    /// Cost of a request that states no token counts, in quota units.
     pub default_cost: f64,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size limits and timeouts for callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// The longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// How long a head may take to arrive.
+    /// Time within which a request head must arrive.
     pub head_timeout: Millis,
-    /// How long a connection may stay open between requests.
+    /// How long a connection may stay idle between requests.
     pub keepalive_timeout: Millis,
 }
 
-/// One version of the configuration, ready for look-ups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// The operators' version; a higher one replaces a lower one.
+    /// Version set by the operators; a higher one replaces a lower one.
     pub version: u64,
-    /// The limits on callers.
+    /// Size limits and timeouts for callers.
     pub limits: Limits,
     hosts: Map<Box<str>, Vec<Arc<Route>>>,
     services: Map<Arc<str>, Service>,
@@ -142,7 +142,7 @@
 }
 
 impl Configuration {
-    /// Makes an empty configuration of a version.
+    /// Creates an empty configuration.
     pub fn new(version: u64, limits: Limits) -> Self {
         Self {
             version,
@@ -154,11 +154,11 @@
         }
     }
 
-    /// Adds a route under its host, longest prefix first.
+    /// Adds a route to a host, keeping routes sorted by decreasing prefix length.
     pub fn add_route(&mut self, host: &str, route: Route) {
         let routes = self.hosts.entry(host.into()).or_default();
-        let at = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
-        routes.insert(at, Arc::new(route));
+        let index = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
+        routes.insert(index, Arc::new(route));
     }
 
     /// Adds a service.
@@ -166,29 +166,29 @@
         self.services.insert(service.name.clone(), service);
     }
 
-    /// Adds an organisation with its keys.
+    /// Adds an organisation with its API keys.
     pub fn add_organisation(&mut self, organisation: Organisation, keys: &[String]) {
-        let at = self.organisations.len();
+        let index = self.organisations.len();
         self.organisations.push(Arc::new(organisation));
         for key in keys {
-            self.keys.insert(key.as_str().into(), at);
+            self.keys.insert(key.as_str().into(), index);
         }
     }
 
-    /// Finds the route of a request: the longest prefix of its path among the host's routes.
+    /// Finds the host's route with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns whether any organisation is configured, so that requests need a key.
+    /// Returns whether requests need an API key, which they do if any organisation is configured.
     pub fn requires_key(&self) -> bool {
         !self.organisations.is_empty()
     }
 
-    /// Finds the organisation that holds a key.
+    /// Finds the organisation that owns an API key.
     pub fn organisation_by_key(&self, key: &str) -> Option<&Arc<Organisation>> {
-        self.keys.get(key).map(|at| &self.organisations[*at])
+        self.keys.get(key).map(|index| &self.organisations[*index])
     }
 
     /// Returns the organisations.
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -1,4 +1,4 @@
-//! One instance's state: what it believes, what waits and what runs.
+//! The state of one instance: its cluster view, its queued requests and its running requests.
 
 mod fleet;
 mod identity;
@@ -39,10 +39,10 @@
 pub use self::routing::IncomingRequest;
 pub use self::routing::RoutedRequest;
 
-/// When a caller should come back whose work crashed endpoints: not soon.
+/// Retry delay for requests that crashed endpoints; long, so that they cannot crash more of them.
 const QUARANTINE_RETRY_AFTER: Millis = Millis::from_secs(30);
 
-/// One instance's state.
+/// The state of one instance.
 #[derive(Debug)]
 pub struct Core {
     identity: Identity,
@@ -51,7 +51,7 @@
     scheduler: Scheduler,
     peers: Peers,
     instances: LeasedEntries<InstanceLocation>,
-    // Instances that went, with when: most of them are back in a moment.
+    // Instances removed from the list, with the time of removal; most of them are restarting.
     departed: BTreeMap<String, Millis>,
     shard: usize,
     shard_count: usize,
@@ -65,9 +65,9 @@
 }
 
 impl Core {
-    /// Makes the state of an instance that knows nothing yet.
-    pub fn new(me: Identity) -> Self {
-        let scheduler = Scheduler::new(&me.name, &me.location.centre);
+    /// Creates the state of an instance that has read nothing from the store yet.
+    pub fn new(identity: Identity) -> Self {
+        let scheduler = Scheduler::new(&identity.name, &identity.location.centre);
         Self {
             configuration: None,
             registry: Registry::default(),
@@ -77,20 +77,19 @@
             departed: BTreeMap::new(),
             shard: 0,
             shard_count: 1,
-            quotas: Quotas::new(me.quota_policy),
+            quotas: Quotas::new(identity.quota_policy),
             budgets: Map::default(),
             quarantine: Quarantine::default(),
             store_view: store::StoreView::default(),
             leaving: false,
             report_number: 0,
             configured_at: None,
-            identity: me,
+            identity,
         }
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
-    ///
-    /// Returns whether it is in force now and was not before.
+    /// Applies a configuration if it is newer than the current one, and returns whether it was
+    /// applied.
     pub fn configure(&mut self, now: Millis, configuration: Configuration) -> bool {
         if self.configuration_version() >= configuration.version {
             return false;
@@ -103,9 +102,9 @@
         true
     }
 
-    /// Returns the version in force, 0 for none.
+    /// Returns the version of the configuration in force, or 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |known| known.version)
+        self.configuration.as_ref().map_or(0, |it| it.version)
     }
 
     /// Returns the configuration in force.
@@ -113,11 +112,11 @@
         self.configuration.as_ref()
     }
 
-    /// Returns the configuration in force, or the refusal of whoever asks before one is known.
+    /// Returns the configuration in force.
     ///
     /// # Errors
     ///
-    /// The refusal; the request has not run and never will.
+    /// A refusal with reason `NotReady` if no configuration has been received yet.
     pub fn require_configuration(&self) -> Result<&Arc<Configuration>, Refusal> {
         self.configuration.as_ref().ok_or(Refusal {
             reason: RefusalReason::NotReady,
@@ -125,7 +124,7 @@
         })
     }
 
-    /// Returns the endpoints that are known.
+    /// Returns the registry of known endpoints.
     pub fn registry(&mut self) -> &mut Registry {
         &mut self.registry
     }
@@ -135,58 +134,58 @@
         &self.peers
     }
 
-    /// Returns the queues.
+    /// Returns the scheduler.
     pub fn scheduler(&self) -> &Scheduler {
         &self.scheduler
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether this instance accepts callers.
     pub fn ready(&self) -> bool {
         self.configuration.is_some() && !self.leaving && self.registry.all().next().is_some()
     }
 
-    /// Starts to leave: no callers are sent here any more.
+    /// Starts to leave the fleet: no new callers are directed here.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Returns whether this instance is leaving.
+    /// Returns whether this instance is leaving the fleet.
     pub fn leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Passes a request through the filters that need only its head.
+    /// Routes and authenticates a request by its head and charges its organisation's quota.
     ///
     /// # Errors
     ///
-    /// The refusal; the request has not run and never will.
+    /// A refusal; the request has not run and will not.
     pub fn route(
         &mut self,
         now: Millis,
         request: IncomingRequest<'_>,
     ) -> Result<RoutedRequest, Refusal> {
-        let pass = self.resolve(now, request)?;
-        self.retry_budget(&pass.service).record_request(now);
-        self.charge_quota(now, &pass, routing::unit_fraction(request.draw), 0)?;
-        Ok(pass)
+        let routed = self.resolve(now, request)?;
+        self.retry_budget(&routed.service).record_request(now);
+        self.charge_quota(now, &routed, routing::unit_fraction(request.draw), 0)?;
+        Ok(routed)
     }
 
-    /// Passes a request that was refused for its organisation's quota, once other shards gave units.
+    /// Routes a request refused for its organisation's quota again, with units lent by other shards.
     ///
-    /// What the request does not use of them is its shard's.
+    /// Units that the request does not use stay with this shard.
     ///
     /// # Errors
     ///
-    /// As [`Self::pass`].
+    /// As [`Self::route`].
     pub fn route_with_borrowed_quota(
         &mut self,
         now: Millis,
         request: IncomingRequest<'_>,
-        given: u64,
+        borrowed: u64,
     ) -> Result<RoutedRequest, Refusal> {
-        let pass = self.resolve(now, request)?;
-        self.charge_quota(now, &pass, routing::unit_fraction(request.draw), given)?;
-        Ok(pass)
+        let routed = self.resolve(now, request)?;
+        self.charge_quota(now, &routed, routing::unit_fraction(request.draw), borrowed)?;
+        Ok(routed)
     }
 
     fn resolve(&self, now: Millis, request: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
@@ -196,44 +195,44 @@
         routing::route_request(now, route, organisation, request)
     }
 
-    /// Lets a whole request wait for an endpoint.
+    /// Queues a fully received request for an endpoint.
     ///
     /// # Errors
     ///
-    /// The refusal; the request has not run, and its quota is given back.
+    /// A refusal; the request has not run, and its quota cost is refunded.
     pub fn admit(
         &mut self,
         now: Millis,
-        pass: &RoutedRequest,
-        print: u64,
+        request: &RoutedRequest,
+        fingerprint: u64,
     ) -> Result<Ticket, Refusal> {
-        let result = if self.quarantine.is_quarantined(now, print) {
+        let result = if self.quarantine.is_quarantined(now, fingerprint) {
             Err(Refusal {
                 reason: RefusalReason::Quarantined,
                 retry_after: QUARANTINE_RETRY_AFTER,
             })
         } else {
-            let mut pending = routing::scheduled_request(pass, print);
-            let exposure = self.identity.max_exposure;
+            let mut pending = routing::scheduled_request(request, fingerprint);
+            let max_exposure = self.identity.max_exposure;
             let rollout = self.registry.rollout(&pending.service);
-            pending.canary = rollout.is_some_and(|it| it.select_canary(now, exposure));
+            pending.canary = rollout.is_some_and(|it| it.select_canary(now, max_exposure));
             self.scheduler
                 .admit(now, pending, &self.registry, &self.peers)
         };
         if result.is_err() {
-            self.refund(pass);
+            self.refund(request);
         }
         result
     }
 
-    /// Gives back the quota of a request that did not run.
-    pub fn refund(&mut self, pass: &RoutedRequest) {
-        if let Some(organisation) = &pass.organisation {
-            self.quotas.refund(organisation, pass.quota_cost);
+    /// Refunds the quota cost of a request that did not run.
+    pub fn refund(&mut self, request: &RoutedRequest) {
+        if let Some(organisation) = &request.organisation {
+            self.quotas.refund(organisation, request.quota_cost);
         }
     }
 
-    /// Decides what can be decided now.
+    /// Starts or refuses queued requests where that is possible now.
     pub fn decide(&mut self, now: Millis) -> Vec<Decision> {
         let mut decisions = Vec::new();
         if !self.quarantine.is_empty() {
@@ -251,14 +250,16 @@
         decisions
     }
 
-    /// Takes note of how a stay ended, and lets the request wait for another endpoint if
-    /// `more` is set and both its route and the retry budget allow one.
+    /// Records the outcome of an attempt at an endpoint.
+    ///
+    /// Queues the request for another endpoint and returns its new ticket if `retry` is set and
+    /// both its route and the retry budget allow it.
     pub fn attempt_ended(
         &mut self,
         now: Millis,
         ticket: Ticket,
         outcome: Outcome,
-        more: bool,
+        retry: bool,
     ) -> Option<Ticket> {
         let pending = self.scheduler.attempt_ended(now, ticket, outcome)?;
         self.record_sample(now, &pending, outcome);
@@ -272,25 +273,25 @@
             Outcome::Completed { .. } => self.quarantine.clear(pending.fingerprint),
             _ => {}
         }
-        if !more || !self.may_retry(now, &pending, outcome) {
+        if !retry || !self.may_retry(now, &pending, outcome) {
             return None;
         }
         Some(self.scheduler.requeue(pending))
     }
 
-    /// Takes note that the first part of a running request's answer came.
+    /// Records that the first part of a running request's response arrived.
     pub fn first_part_received(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.first_part_received(now, ticket);
     }
 
-    /// Takes out a request, waiting or running, whose caller left.
+    /// Cancels a queued or running request.
     pub fn cancel(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.cancel(ticket);
         self.scheduler
             .attempt_ended(now, ticket, Outcome::Cancelled);
     }
 
-    /// Does what is due with time: drops what is gone.
+    /// Removes expired endpoints, instances, peers and loans.
     pub fn sweep(&mut self, now: Millis) {
         self.registry.remove_expired(now);
         self.expire_departed(now);
@@ -304,26 +305,27 @@
     fn charge_quota(
         &mut self,
         now: Millis,
-        pass: &RoutedRequest,
-        chance: f64,
-        given: u64,
+        request: &RoutedRequest,
+        sample: f64,
+        borrowed: u64,
     ) -> Result<(), Refusal> {
-        let Some(organisation) = &pass.organisation else {
+        let Some(organisation) = &request.organisation else {
             return Ok(());
         };
         let share = self.peers.fleet_share(now);
-        let crowd = f64::from(u32::try_from(self.peers.instance_count(now)).unwrap_or(u32::MAX));
-        let wanted = QuotaRequest {
-            units: pass.quota_cost,
-            instances: crowd,
-            sample: chance,
-            borrowed: quota::u64_to_f64(given),
+        let instances =
+            f64::from(u32::try_from(self.peers.instance_count(now)).unwrap_or(u32::MAX));
+        let quota_request = QuotaRequest {
+            units: request.quota_cost,
+            instances,
+            sample,
+            borrowed: quota::u64_to_f64(borrowed),
         };
         self.quotas
-            .take(now, organisation, wanted, share)
-            .map_err(|after| Refusal {
+            .take(now, organisation, quota_request, share)
+            .map_err(|retry_after| Refusal {
                 reason: RefusalReason::QuotaExceeded,
-                retry_after: after,
+                retry_after,
             })
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -1,4 +1,4 @@
-//! Which instances there are, and which of them share endpoints with this one.
+//! Membership of the fleet and its division into shards.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,66 +10,67 @@
 use crate::watch;
 use siskinyoke_base::Millis;
 
-/// The fewest instances among which the retries beside the budget's ratio are shared out.
+/// Minimum fleet size assumed when the retry slack is divided among instances.
 ///
-/// A few more than the smallest deployments have, as the list may lag behind machines added.
+/// Slightly above the size of the smallest deployments, as the list may lag behind added machines.
 const MIN_FLEET_SIZE: usize = 12;
 
-/// How long changes of the store are gathered before the next look.
+/// Minimum time between two watch calls, in which changes of the store are batched.
 ///
 /// Changes come in bursts: when a fleet starts, each instance's entry is a change.
 const UPDATE_BATCH_DELAY: Millis = Millis(500);
 
-/// How much longer each shard's watcher waits than that of the shard before it in turn.
+/// Additional delay of each shard's watcher after that of the preceding shard.
 ///
-/// If all looked again at once, each change would cost a call for each shard. One shard looks at a time, and
-/// the others hear of it from there; where its watcher is gone, the next one's turn comes soon.
+/// If all watchers called at once, each change would cost one call per shard. With staggered calls
+/// one shard reads a change and forwards it to the others. If its watcher is gone, that of the next
+/// shard follows shortly.
 const SHARD_STAGGER: Millis = Millis(500);
 
-/// How long an instance that went still counts for the making of shards.
+/// How long a removed instance still counts as a member when shards are computed.
 ///
-/// A restart takes some seconds. If shards changed with each one, a rolling restart of the fleet
-/// would move endpoints several times a second, and no count of what runs there would hold.
+/// A restart takes several seconds. If each one changed the shards, a rolling restart of the fleet
+/// would move endpoints several times a second and make the counts of running requests wrong.
 const RESTART_GRACE: Millis = Millis::from_secs(15);
 
-/// Peers that one report names, so that it stays short.
+/// Maximum number of peer addresses in one report, which limits its size.
 const MAX_REPORTED_PEERS: usize = 8;
 
 impl Core {
-    /// Takes note of an instance's entry in the store.
-    pub fn add_instance(&mut self, name: &str, place: InstanceLocation) {
-        self.instance_listed(name, place);
+    /// Adds or updates a listed instance and recomputes the shards.
+    pub fn add_instance(&mut self, name: &str, location: InstanceLocation) {
+        self.instance_listed(name, location);
         self.update_shards();
     }
 
-    /// Takes note that an instance's entry is gone.
+    /// Removes a listed instance and recomputes the shards.
     pub fn remove_instance(&mut self, now: Millis, name: &str) {
         self.instance_unlisted(now, name);
         self.update_shards();
     }
 
-    /// Returns the listed instances, with whether each belongs to this one's shard.
+    /// Returns the other listed instances, each with whether it belongs to this instance's shard.
     pub fn other_instances(&self) -> impl Iterator<Item = (&InstanceLocation, bool)> {
         let others = self
             .instances
             .iter()
             .filter(|row| row.0 != self.identity.name);
-        others.map(|(name, place)| (place, self.in_shard(name)))
+        others.map(|(name, location)| (location, self.in_shard(name)))
     }
 
-    /// Returns the listed instances of the other shards, shard by shard.
+    /// Returns the listed instances of the other shards, grouped by shard.
     pub fn instances_by_other_shard(&self) -> Vec<Vec<&InstanceLocation>> {
         let mut shards: BTreeMap<usize, Vec<&InstanceLocation>> = BTreeMap::new();
-        for (name, place) in self.instances.iter() {
-            let home = shards::shard_of(name, self.shard_count);
-            if home != self.shard {
-                shards.entry(home).or_default().push(place);
+        for (name, location) in self.instances.iter() {
+            let shard = shards::shard_of(name, self.shard_count);
+            if shard != self.shard {
+                shards.entry(shard).or_default().push(location);
             }
         }
         shards.into_values().collect()
     }
 
-    /// Chooses the instances that a caller of a data centre is told to use.
+    /// Selects the instance addresses returned to a caller in a data centre.
     pub fn caller_addresses(&self, now: Millis, centre: &str) -> Vec<String> {
         let own = self.instance_info(now);
         let peers = self
@@ -85,7 +86,7 @@
         directory::select_instances(centre, ready)
     }
 
-    /// Returns how long the store may hold a watch.
+    /// Returns how long the store may keep a watch call open.
     pub fn watch_timeout(&self) -> Millis {
         watch::watch_timeout(
             self.identity.settling_time,
@@ -94,18 +95,18 @@
         )
     }
 
-    /// Returns how long changes of the store should be gathered before the next look.
+    /// Returns how long to batch changes of the store before the next watch call.
     ///
-    /// Cells take turns, another one first after each change.
+    /// Shards call in a rotating order, a different one first after each change.
     pub fn update_batch_delay(&self) -> Millis {
         let shards = u64::try_from(self.shard_count).unwrap_or(1).max(1);
         let own = u64::try_from(self.shard).unwrap_or(0);
         UPDATE_BATCH_DELAY + Millis(SHARD_STAGGER.0 * ((own + self.store_revision()) % shards))
     }
 
-    pub(super) fn instance_listed(&mut self, name: &str, place: InstanceLocation) {
+    pub(super) fn instance_listed(&mut self, name: &str, location: InstanceLocation) {
         self.departed.remove(name);
-        self.instances.put(name, place);
+        self.instances.put(name, location);
     }
 
     pub(super) fn instance_unlisted(&mut self, now: Millis, name: &str) {
@@ -113,7 +114,7 @@
         self.instances.remove(now, name);
     }
 
-    // A few peers, others with each report, so that all get to know all.
+    // Returns a few peer addresses, rotating with each report so that all peers are named in turn.
     pub(super) fn reported_peers(&self, now: Millis) -> Vec<String> {
         let all: Vec<&String> = self
             .peers
@@ -129,7 +130,7 @@
             .collect()
     }
 
-    // The instances that shards are made of: those listed, and those that may be restarting.
+    // Returns the instances that shards consist of: those listed and those that may be restarting.
     pub(super) fn fleet_members(&self) -> BTreeSet<&str> {
         let listed = self.instances.iter().map(|row| row.0);
         listed
@@ -137,7 +138,7 @@
             .collect()
     }
 
-    // Finds out which shard of the fleet this instance belongs to.
+    // Recomputes the shards of the fleet and the shard of this instance.
     pub(super) fn update_shards(&mut self) {
         self.peers.set_listed_count(self.fleet_members().len());
         let shards = shards::count(self.fleet_members().len());
@@ -149,9 +150,9 @@
         self.shard_count = shards;
         self.registry.set_shards(self.shard, sizes);
         if shards > 1 {
-            let own = self.shard;
+            let shard = self.shard;
             self.peers
-                .retain(|name| shards::shard_of(name, shards) == own);
+                .retain(|name| shards::shard_of(name, shards) == shard);
         }
     }
 
@@ -159,13 +160,13 @@
         shards::shard_of(name, self.shard_count) == self.shard
     }
 
-    // The part of the retries beside the budget's ratio that is this instance's.
+    // Returns this instance's part of the retry slack, which is allowed beside the budget's ratio.
     pub(super) fn min_retries(&self) -> f64 {
         let fleet = self.instances.iter().count().max(MIN_FLEET_SIZE);
         self.identity.retry_slack / 2.0 / f64::from(u32::try_from(fleet).unwrap_or(u32::MAX))
     }
 
-    // Drops instances whose time is over.
+    // Removes instances whose grace period has ended.
     pub(super) fn expire_departed(&mut self, now: Millis) {
         let before = self.departed.len();
         self.departed
--- a/crates/siskinyoke-dispatch/src/core/identity.rs
+++ b/crates/siskinyoke-dispatch/src/core/identity.rs
@@ -1,26 +1,26 @@
-//! What an instance is.
+//! Identity and fixed settings of an instance.
 
 use crate::quota::QuotaPolicy;
 use crate::report::InstanceLocation;
 use siskinyoke_base::Millis;
 
-/// What an instance is, fixed for the life of its process.
+/// Identity and settings of an instance, fixed for the lifetime of its process.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its name.
+    /// The instance's name.
     pub name: String,
-    /// Where it is found.
+    /// Its addresses and data centre.
     pub location: InstanceLocation,
-    /// Names this start of its process; drawn at random.
+    /// Random identifier of this process, distinguishing it from earlier ones of the same name.
     pub incarnation: u64,
-    /// The part of a service's requests that may be sent again, over all instances.
+    /// Maximum ratio of retries to a service's requests, over all instances.
     pub retry_ratio: f64,
-    /// Retries allowed beside that part, over all instances.
+    /// Retries allowed beyond that ratio, over all instances.
     pub retry_slack: f64,
-    /// The part of a service's requests that a version on trial may get, over all instances.
+    /// Maximum share of a service's requests that a canary version may receive, over all instances.
     pub max_exposure: f64,
-    /// The time from the end of a disturbance until changes must be in force as usual.
+    /// Time from the end of a disturbance until changes must take effect as fast as usual.
     pub settling_time: Millis,
-    /// How quotas are measured.
+    /// How compliance with quotas is measured.
     pub quota_policy: QuotaPolicy,
 }
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -1,4 +1,4 @@
-//! What this instance asks other shards for, and what it gives them.
+//! Borrowing slots and quota from other instances, and lending them.
 
 use std::sync::Arc;
 
@@ -15,36 +15,36 @@
 use siskinyoke_base::Millis;
 
 impl Core {
-    /// Returns what other shards may be asked for, so that a request finds its quota.
+    /// Returns the quota units to borrow from other shards for a request, if it can borrow any.
     pub fn missing_quota(&self, now: Millis, request: IncomingRequest<'_>) -> Option<UnitsRequest> {
         if !self.registry.is_sharded() {
             return None;
         }
-        let pass = self.resolve(now, request).ok()?;
-        let organisation = pass.organisation.as_ref()?;
+        let routed = self.resolve(now, request).ok()?;
+        let organisation = routed.organisation.as_ref()?;
         Some(UnitsRequest {
             organisation: short_hash(&organisation.name),
-            units: pass.quota_units(),
+            units: routed.quota_units(),
         })
     }
 
-    /// Answers an instance of another shard that asks for something.
+    /// Handles a borrow request of another instance.
     ///
-    /// `id` names the question, by which a place is returned.
-    pub fn lend(&mut self, now: Millis, id: u64, need: BorrowRequest) -> Grant {
+    /// `id` identifies the request, and later the return of a lent slot.
+    pub fn lend(&mut self, now: Millis, id: u64, request: BorrowRequest) -> Grant {
         let view = ClusterView {
             now,
             registry: &self.registry,
             peers: &self.peers,
         };
-        match need {
-            BorrowRequest::Slot(need) => {
-                let given = self.scheduler.lend_slot(&view, id, &need);
-                given.map_or(Grant::Denied, Grant::Slot)
+        match request {
+            BorrowRequest::Slot(request) => {
+                let endpoint = self.scheduler.lend_slot(&view, id, &request);
+                endpoint.map_or(Grant::Denied, Grant::Slot)
             }
-            BorrowRequest::RateLimitedSlot(need) => {
-                let given = self.scheduler.lend_token(&view, &need);
-                given.map_or(Grant::Denied, Grant::Slot)
+            BorrowRequest::RateLimitedSlot(request) => {
+                let endpoint = self.scheduler.lend_token(&view, &request);
+                endpoint.map_or(Grant::Denied, Grant::Slot)
             }
             BorrowRequest::Units(UnitsRequest {
                 organisation,
@@ -59,7 +59,9 @@
         }
     }
 
-    /// Returns requests that cannot start yet, with what to ask other shards for, or holders of rate limits.
+    /// Returns the borrow requests to send for queued requests that cannot start here.
+    ///
+    /// Slots are borrowed from other shards, tokens of rate limits from the holders in this shard.
     pub fn borrow_requests(&mut self, now: Millis) -> Vec<(Ticket, BorrowRequest)> {
         if !self.registry.is_sharded() && self.scheduler.rate_limits().active_count() == 0 {
             return Vec::new();
@@ -72,8 +74,9 @@
         self.scheduler.borrow_requests(&view)
     }
 
-    /// Starts a waiting request at a place that another shard gave, and returns its endpoint; nothing if
-    /// the request waits no more or the endpoint is not to be used.
+    /// Starts a queued request at a slot lent by another instance, and returns its endpoint.
+    ///
+    /// Returns `None` if the request is no longer queued or the endpoint is not eligible.
     pub fn slot_granted(
         &mut self,
         now: Millis,
@@ -85,12 +88,12 @@
         started.then_some(endpoint)
     }
 
-    /// Takes note that the shards that were asked had no place for a request.
+    /// Records that the queried shards had no slot for a request.
     pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.slot_declined(now, ticket);
     }
 
-    /// Takes a place back that was given to another shard.
+    /// Takes back a slot lent to another shard.
     pub fn reclaim_slot(&mut self, id: u64) {
         self.scheduler.reclaim_slot(id);
     }
--- a/crates/siskinyoke-dispatch/src/core/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/core/rate_limits.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of endpoints' rate limits, and who holds them.
+//! Rate limits announced by endpoints, and the peers that hold parts of them.
 
 use std::sync::Arc;
 
@@ -12,8 +12,10 @@
 use siskinyoke_base::Millis;
 
 impl Core {
-    /// Takes in an answer of an endpoint to a request that was sent at `sent`: the requests a second that it takes from
-    /// all instances together, if it names that.
+    /// Records the rate limit in an endpoint's response to a request sent at `sent`.
+    ///
+    /// `rate` is the limit in requests per second over all instances, or `None` if the response
+    /// states none.
     pub fn record_limit(
         &mut self,
         now: Millis,
@@ -24,12 +26,12 @@
         self.scheduler.record_limit(now, endpoint.key(), sent, rate);
     }
 
-    /// Returns the endpoint of a shortened key, if it is known.
-    pub fn endpoint_by_hash(&self, key: u32) -> Option<&Arc<Endpoint>> {
-        self.registry.all().find(|it| it.key().short() == key)
+    /// Finds an endpoint by the hash of its key.
+    pub fn endpoint_by_hash(&self, hash: u32) -> Option<&Arc<Endpoint>> {
+        self.registry.all().find(|it| it.key().short() == hash)
     }
 
-    // A limit of an endpoint that is not known here, or gone, would be forgotten and heard again without end.
+    // Ignores limits of unknown endpoints: they would be dropped and received again in every report.
     pub(super) fn record_peer_limits(&mut self, now: Millis, rows: &[LimitRow]) {
         let known = rows
             .iter()
@@ -38,12 +40,12 @@
         self.scheduler.record_peer_limits(now, &known);
     }
 
-    /// Returns the limits that were named, changed or lifted since this was last asked.
+    /// Returns the limits announced, changed or lifted since the last call.
     pub fn take_limit_changes(&mut self) -> Vec<LimitChange> {
         self.scheduler.take_limit_changes()
     }
 
-    /// Returns the peers that may give a token of a rate limit for a service's requests, by its hashed name.
+    /// Returns the peers that may lend a rate limit token for a service, given by its hashed name.
     pub fn token_holders(&self, now: Millis, service: u32) -> Vec<&InstanceLocation> {
         let view = ClusterView {
             now,
@@ -53,7 +55,7 @@
         self.scheduler.token_holders(&view, service)
     }
 
-    /// Takes note that the holders that were asked had no token for a request.
+    /// Records that the queried holders had no token for a request.
     pub fn token_declined(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.token_declined(now, ticket);
     }
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -1,4 +1,4 @@
-//! What this instance tells its peers, and what it takes from them.
+//! Reports sent to peers and received from them.
 
 use crate::Report;
 use crate::core::Core;
@@ -7,28 +7,28 @@
 use crate::report::InstanceInfo;
 use siskinyoke_base::Millis;
 
-/// Suspect work and addresses told in one report, so that it fits a datagram.
+/// Maximum number of quarantined requests in one report, so that it fits into a datagram.
 const MAX_REPORTED_QUARANTINE: usize = 8;
 
-/// How long the use of an organisation, or a rate limit, stands in each report after it changed.
+/// How long a changed quota use or rate limit is included in every report.
 ///
-/// Some reports are lost; five in a row are not, and the rest stands in every whole report.
+/// Single reports may be lost, but five in a row are not; full reports include unchanged values.
 const CHANGE_REPORT_PERIOD: Millis = Millis(250);
 
-/// By how much longer than this instance a peer may run and still count as no older.
+/// How much longer than this instance a peer may have run and still count as started with it.
 const START_SKEW: Millis = Millis(1_500);
 
 impl Core {
-    /// Takes in a peer's report; returns whether the peer, or its start, is new.
+    /// Handles a peer's report, and returns whether it is the first one of a peer's process.
     pub fn receive_report(&mut self, now: Millis, report: Report) -> bool {
         let source = report.source;
         let mut in_shard = true;
-        if let Some(about) = &report.info {
-            if about.name == self.identity.name {
+        if let Some(info) = &report.info {
+            if info.name == self.identity.name {
                 return false;
             }
-            self.apply_info(now, about);
-            in_shard = self.in_shard(&about.name);
+            self.apply_info(now, info);
+            in_shard = self.in_shard(&info.name);
         }
         self.receive_canaries(now, &report, in_shard);
         self.record_peer_limits(now, &report.limits);
@@ -36,38 +36,38 @@
             self.peers.remove(source);
             return false;
         }
-        let spent = report.quota_used.clone();
+        let quota_used = report.quota_used.clone();
         self.scheduler.record_peer_usage(&report.running);
-        let young = Millis(report.age) <= self.age(now) + START_SKEW;
+        let no_older = Millis(report.age) <= self.age(now) + START_SKEW;
         match self.peers.receive(now, report) {
             Received::Ignored => return false,
-            Received::NewProcess(before) => {
-                if let Some(before) = before {
-                    self.quotas.forget_peer(before);
+            Received::NewProcess(previous) => {
+                if let Some(previous) = previous {
+                    self.quotas.forget_peer(previous);
                 }
-                self.quotas.record_peer_usage(source, young, &spent);
+                self.quotas.record_peer_usage(source, no_older, &quota_used);
                 return true;
             }
-            Received::Update => self.quotas.record_peer_usage(source, young, &spent),
+            Received::Update => self.quotas.record_peer_usage(source, no_older, &quota_used),
         }
         false
     }
 
-    pub(super) fn apply_info(&mut self, now: Millis, about: &InstanceInfo) {
-        for key in &about.leaving_endpoints {
+    pub(super) fn apply_info(&mut self, now: Millis, info: &InstanceInfo) {
+        for key in &info.leaving_endpoints {
             self.registry.left(now, *key);
         }
-        for (print, endpoints) in &about.quarantine {
+        for (fingerprint, endpoints) in &info.quarantine {
             for endpoint in endpoints {
-                self.quarantine.record_crash(now, *print, *endpoint);
+                self.quarantine.record_crash(now, *fingerprint, *endpoint);
             }
         }
     }
 
-    /// Makes the next report to peers, with what seldom changes if `whole` is set.
-    pub fn next_report(&mut self, now: Millis, whole: bool) -> Report {
+    /// Builds the next report to peers, including rarely changing information if `full` is set.
+    pub fn next_report(&mut self, now: Millis, full: bool) -> Report {
         self.report_number += 1;
-        let since = if whole {
+        let since = if full {
             Millis::ZERO
         } else {
             Millis(now.0.saturating_sub(CHANGE_REPORT_PERIOD.0))
@@ -86,7 +86,7 @@
             quota_used: self.quotas.usage(since),
             limits: self.scheduler.rate_limits().report_rows(now, since),
             canaries: self.canaries(now),
-            info: whole.then(|| self.instance_info(now)),
+            info: full.then(|| self.instance_info(now)),
         }
     }
 
@@ -106,7 +106,6 @@
     }
 
     pub(super) fn age(&self, now: Millis) -> Millis {
-        self.configured_at
-            .map_or(Millis::ZERO, |started| now.since(started))
+        self.configured_at.map_or(Millis::ZERO, |at| now.since(at))
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go to another endpoint.
+//! Decides whether a request may be retried at another endpoint.
 
 use std::sync::Arc;
 
@@ -9,33 +9,36 @@
 use crate::core::Core;
 use siskinyoke_base::Millis;
 
-/// The part of the operators' retry ratio that is used.
+/// Share of the operators' retry ratio that is used.
 ///
-/// Instances count in windows of their own; a fifth covers where these differ from the operators'.
+/// Each instance counts in its own time windows; the margin covers their offset from the operators'
+/// windows.
 const USED_RETRY_RATIO: f64 = 0.8;
 
-/// Endpoints tried for one request when none can be reached; no part of it was sent to them.
+/// Maximum number of endpoints tried for one request while no connection can be made.
 const MAX_CONNECT_ATTEMPTS: usize = 4;
 
 impl Core {
-    /// Returns whether a running request whose endpoint is silent may be given up for another.
+    /// Returns whether a running request at a stalled endpoint may be abandoned for another endpoint.
     ///
-    /// Only where another has a place for it: an endpoint's silence alone is no reason to end its
-    /// work. It takes the retry from the budget, so that another surely may follow.
+    /// It may only if another endpoint has a free slot: a stall alone is no reason to abandon a
+    /// request. The retry is taken from the budget here, so that it is certain to be allowed later.
     pub fn try_abandon(&mut self, now: Millis, ticket: Ticket) -> bool {
-        let Some(pending) = self.scheduler.running(ticket).cloned() else {
+        let Some(request) = self.scheduler.running(ticket).cloned() else {
             return false;
         };
         let allowed =
-            pending.route.idempotent() && pending.attempts + 1 < pending.route.max_attempts;
-        let elsewhere = self
-            .scheduler
-            .has_alternative(now, &pending, &self.registry, &self.peers);
-        let floor = self.min_retries();
+            request.route.idempotent() && request.attempts + 1 < request.route.max_attempts;
+        let has_alternative =
+            self.scheduler
+                .has_alternative(now, &request, &self.registry, &self.peers);
+        let min_retries = self.min_retries();
         allowed
-            && elsewhere
-            && now < pending.deadline
-            && self.retry_budget(&pending.service).try_take(now, floor)
+            && has_alternative
+            && now < request.deadline
+            && self
+                .retry_budget(&request.service)
+                .try_take(now, min_retries)
     }
 
     pub(super) fn retry_budget(&mut self, service: &Arc<str>) -> &mut RetryBudget {
@@ -48,28 +51,31 @@
     pub(super) fn may_retry(
         &mut self,
         now: Millis,
-        pending: &ScheduledRequest,
+        request: &ScheduledRequest,
         outcome: Outcome,
     ) -> bool {
-        let unsent = outcome == Outcome::ConnectFailed;
-        let unrun = unsent || matches!(outcome, Outcome::Full | Outcome::Misdirected);
-        if !unrun && !pending.route.idempotent() {
+        let not_sent = outcome == Outcome::ConnectFailed;
+        let not_run = not_sent || matches!(outcome, Outcome::Full | Outcome::Misdirected);
+        if !not_run && !request.route.idempotent() {
             return false;
         }
-        if !unrun && self.quarantine.is_quarantined(now, pending.fingerprint) {
+        if !not_run && self.quarantine.is_quarantined(now, request.fingerprint) {
             return false;
         }
-        if now >= pending.deadline {
+        if now >= request.deadline {
             return false;
         }
-        if unsent {
-            return pending.tried.len() < MAX_CONNECT_ATTEMPTS;
+        if not_sent {
+            return request.tried.len() < MAX_CONNECT_ATTEMPTS;
         }
+        // Its retry was taken from the budget when it was abandoned.
         if outcome == Outcome::Stalled {
             return true;
         }
-        let floor = self.min_retries();
-        pending.attempts < pending.route.max_attempts
-            && self.retry_budget(&pending.service).try_take(now, floor)
+        let min_retries = self.min_retries();
+        request.attempts < request.route.max_attempts
+            && self
+                .retry_budget(&request.service)
+                .try_take(now, min_retries)
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts, as this instance takes part in them.
+//! This instance's part in rollouts: canary samples, traffic shifts and status writes.
 
 use std::sync::Arc;
 
@@ -17,42 +17,42 @@
 use crate::stable_hash;
 use siskinyoke_base::Millis;
 
-/// How many times longer than usual an answer takes that counts as bad.
+/// Factor over the usual time from which a response counts as bad.
 ///
-/// Endpoints of one version differ threefold; those of a bad one take several times as long.
+/// Endpoints of one version differ up to threefold; those of a bad one take several times as long.
 const SLOWDOWN_RATIO: u64 = 3;
 
-/// By how much longer than usual it takes at the least: less is the noise of processes.
+/// Minimum excess over the usual time for a response to count as bad; less is process noise.
 const MIN_SLOWDOWN: Millis = Millis(50);
 
-/// A change of where a service's traffic goes.
+/// A change in how a service's traffic is split between versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrafficShift {
-    /// The service.
+    /// The service's name.
     pub service: Arc<str>,
-    /// The version that was ordered.
+    /// The version ordered by the rollout.
     pub version: Arc<str>,
-    /// Where the traffic goes now.
+    /// The phase the rollout is in now.
     pub phase: Phase,
 }
 
-/// A state of an order that this instance is to write.
+/// A rollout state that this instance has to write to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatusWrite {
-    /// The order.
+    /// The rollout order.
     pub order: Order,
-    /// Its state.
+    /// The state to write.
     pub state: State,
-    /// The revision that the status must still have, 0 if there must be none.
+    /// Expected revision of the stored status, or 0 if none must exist.
     pub status_revision: u64,
-    /// The revision that the order must still have, 0 if it was withdrawn.
+    /// Expected revision of the stored order, or 0 if it was withdrawn.
     ///
-    /// A write may take effect late, when the same version has been ordered again.
+    /// Guards against a delayed write taking effect after the same version was ordered again.
     pub order_revision: u64,
 }
 
 impl Core {
-    /// Lets the time act on rollouts, and returns whose traffic goes elsewhere now.
+    /// Advances rollouts to their phase at `now`, and returns those that changed phase.
     pub fn advance_rollouts(&mut self, now: Millis) -> Vec<TrafficShift> {
         let changed = self.registry.advance_rollouts(now);
         let rollouts = self.registry.rollouts();
@@ -66,9 +66,10 @@
             .collect()
     }
 
-    /// Returns the states that this instance is to write.
+    /// Returns the rollout states that this instance has to write to the store.
     ///
-    /// Instances that watch the store do so, those of one shard after those of another.
+    /// States are written by the instance of each shard that watches the store, one shard after
+    /// another.
     pub fn status_writes(&self, now: Millis) -> Vec<StatusWrite> {
         let rollouts = self.registry.rollouts();
         let due = rollouts.filter_map(|it| {
@@ -89,46 +90,48 @@
         self.registry.apply_order(now, order, unit_fraction(draw));
     }
 
-    // Reports of other shards count for no endpoint, but what they know of a rollout counts for all.
-    pub(super) fn receive_canaries(&mut self, now: Millis, report: &Report, shard: bool) {
+    // Handles the canary reports of a peer, including those of other shards: these do not share
+    // endpoints with this instance, but their knowledge of a rollout's state applies to all.
+    pub(super) fn receive_canaries(&mut self, now: Millis, report: &Report, in_shard: bool) {
         for canary in &report.canaries {
             let mut rollouts = self.registry.rollouts_mut();
             let rollout = rollouts.find(|it| short_hash(&it.order().service) == canary.service);
             if let Some(rollout) = rollout {
-                rollout.record_peer(now, report.source, canary, shard);
+                rollout.record_peer(now, report.source, canary, in_shard);
             }
         }
     }
 
-    // Counts the answer of a service while the versions of its endpoints are compared.
+    // Records a response as a sample while the versions of its service are compared.
     pub(super) fn record_sample(
         &mut self,
         now: Millis,
-        pending: &ScheduledRequest,
+        request: &ScheduledRequest,
         outcome: Outcome,
     ) {
-        let Some(key) = pending.tried.last() else {
+        let Some(key) = request.tried.last() else {
             return;
         };
-        let Some(new) = self.is_new_version(&pending.service, *key) else {
+        let Some(new) = self.is_new_version(&request.service, *key) else {
             return;
         };
-        let load = self.scheduler.latency_model(&pending.service);
-        let Some(bad) = is_bad_answer(outcome, pending, load) else {
+        let latencies = self.scheduler.latency_model(&request.service);
+        let Some(bad) = is_bad_response(outcome, request, latencies) else {
             return;
         };
         let sample = Sample {
-            route: short_hash(&pending.route.name),
+            route: short_hash(&request.route.name),
             new,
             bad,
             endpoint: key.short(),
         };
-        if let Some(rollout) = self.registry.rollout(&pending.service) {
+        if let Some(rollout) = self.registry.rollout(&request.service) {
             rollout.record_answer(now, sample);
         }
     }
 
-    // Whether an endpoint is of the new version, where its service's versions are compared.
+    // Returns whether an endpoint runs the new version, or `None` if its service's versions are not
+    // compared.
     fn is_new_version(&mut self, service: &str, key: EndpointKey) -> Option<bool> {
         let rollout = self.registry.rollout(service)?;
         if !rollout.is_comparing() {
@@ -140,27 +143,31 @@
     }
 }
 
-// Whether an answer speaks against its endpoint's version; nothing if it says nothing of it.
-fn is_bad_answer(outcome: Outcome, pending: &ScheduledRequest, load: LatencyModel) -> Option<bool> {
+// Returns whether a response counts against its endpoint's version, or `None` if it does not count.
+fn is_bad_response(
+    outcome: Outcome,
+    request: &ScheduledRequest,
+    latencies: LatencyModel,
+) -> Option<bool> {
     match outcome {
         Outcome::Failed | Outcome::ConnectionLost | Outcome::Stalled => Some(true),
         Outcome::Completed {
             total, parts: 0, ..
-        } => Some(is_slow(total, load.mean_service_time())),
+        } => Some(is_slow(total, latencies.mean_service_time())),
         Outcome::Completed {
             to_first_part,
             total,
             parts,
             ..
         } => {
-            let late = is_slow(to_first_part, load.first_part_time(&pending.tokens));
-            let rest = load.remaining_time(f64::from(parts));
-            Some(late || is_slow(total.since(to_first_part), rest))
+            let late = is_slow(to_first_part, latencies.first_part_time(&request.tokens));
+            let usual_rest = latencies.remaining_time(f64::from(parts));
+            Some(late || is_slow(total.since(to_first_part), usual_rest))
         }
         Outcome::Full | Outcome::Misdirected | Outcome::ConnectFailed | Outcome::Cancelled => None,
     }
 }
 
-fn is_slow(took: Millis, usual: Millis) -> bool {
-    took.0 > usual.0 * SLOWDOWN_RATIO && took > usual + MIN_SLOWDOWN
+fn is_slow(duration: Millis, usual: Millis) -> bool {
+    duration.0 > usual.0 * SLOWDOWN_RATIO && duration > usual + MIN_SLOWDOWN
 }
--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -1,4 +1,4 @@
-//! The filters that need only a request's head.
+//! Routing and authentication of requests by their heads.
 
 use std::sync::Arc;
 
@@ -14,61 +14,61 @@
 use crate::quota;
 use siskinyoke_base::Millis;
 
-/// What a caller asks for, before anything is decided.
+/// A request as received, before it is routed.
 #[derive(Debug, Clone, Copy)]
 pub struct IncomingRequest<'a> {
-    /// The host it names.
+    /// The requested host.
     pub host: &'a str,
-    /// Its path.
+    /// The requested path.
     pub path: &'a str,
-    /// How long it was held before it came to the filters.
+    /// Time since it arrived, in which it was held.
     pub hold_time: Millis,
-    /// Its key, if it has one.
+    /// API key, if present.
     pub key: Option<&'a str>,
-    /// How long its caller waits, if it says so.
+    /// How long the caller waits for the response, if stated.
     pub deadline: Option<Millis>,
-    /// Prompt tokens and the most output tokens, if it names them.
+    /// Number of prompt tokens and maximum number of output tokens, if stated.
     pub tokens: Option<(u64, u64)>,
-    /// Output tokens that its caller expects, if it says so.
+    /// Number of output tokens the caller expects, if stated.
     pub output_estimate: Option<u64>,
-    /// An evenly spread number of its own, to split traffic by.
+    /// Uniformly distributed number derived from the request, used to split traffic.
     pub draw: u64,
 }
 
-/// A request that may go on: who sent it and how it is to be served.
+/// A routed and authenticated request.
 #[derive(Debug, Clone)]
 pub struct RoutedRequest {
     /// Its route.
     pub route: Arc<Route>,
-    /// The service that has to run it.
+    /// The service that runs it.
     pub service: Arc<str>,
-    /// Its organisation, where one is needed.
+    /// The organisation that sent it, if known.
     pub organisation: Option<Arc<Organisation>>,
-    /// How urgent it is.
+    /// Its priority.
     pub priority: Priority,
     /// When it arrived.
     pub arrived: Millis,
-    /// When nobody waits for it any more.
+    /// When its caller stops waiting.
     pub deadline: Millis,
-    /// What it asks of an endpoint.
+    /// Its token counts.
     pub tokens: TokenCounts,
-    /// What it takes of its organisation's quota.
+    /// Its cost in units of the organisation's quota.
     pub quota_cost: f64,
 }
 
 impl RoutedRequest {
-    /// Returns the units it takes, as they stand in messages.
+    /// Returns its quota cost as a whole number, as sent in messages.
     pub fn quota_units(&self) -> u64 {
         quota::to_u64(self.quota_cost)
     }
 
-    /// Returns whether the answer comes as events.
+    /// Returns whether the response is an event stream.
     pub fn is_stream(&self) -> bool {
         self.route.kind == Kind::Stream
     }
 }
 
-// Turns an evenly spread number into one from 0 to 1, by its upper half.
+// Maps a uniformly distributed number to one from 0 to 1, by its upper 32 bits.
 pub(super) fn unit_fraction(draw: u64) -> f64 {
     let upper = u32::try_from(draw >> 32).unwrap_or(u32::MAX);
     f64::from(upper) / f64::from(u32::MAX)
@@ -93,16 +93,16 @@
     if !configuration.requires_key() {
         return Ok(None);
     }
-    let holder = request
+    let organisation = request
         .key
         .and_then(|key| configuration.organisation_by_key(key));
-    if holder.is_none() && !route.auth_exempt {
+    if organisation.is_none() && !route.auth_exempt {
         return Err(Refusal {
             reason: RefusalReason::UnknownKey,
             retry_after: Millis::ZERO,
         });
     }
-    Ok(holder.cloned())
+    Ok(organisation.cloned())
 }
 
 pub(super) fn route_request(
@@ -117,17 +117,17 @@
             retry_after: Millis(1000),
         });
     };
-    let span = request.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = request.deadline.unwrap_or(route.timeout).min(route.timeout);
     let arrived = now.since(request.hold_time);
-    let rank = Priority::new(
+    let priority = Priority::new(
         organisation.as_ref().and_then(|it| it.priority),
         route.priority,
     );
     Ok(RoutedRequest {
         service,
-        priority: rank,
+        priority,
         arrived,
-        deadline: arrived + span,
+        deadline: arrived + timeout,
         tokens: TokenCounts::new(request.tokens, request.output_estimate),
         quota_cost: quota_cost(organisation.as_deref(), request.tokens),
         organisation,
@@ -149,15 +149,15 @@
     }
 }
 
-pub(super) fn scheduled_request(pass: &RoutedRequest, fingerprint: u64) -> ScheduledRequest {
+pub(super) fn scheduled_request(request: &RoutedRequest, fingerprint: u64) -> ScheduledRequest {
     ScheduledRequest {
-        service: pass.service.clone(),
-        route: pass.route.clone(),
-        priority: pass.priority,
-        arrived: pass.arrived,
-        virtual_arrival: pass.arrived,
-        deadline: pass.deadline,
-        tokens: pass.tokens,
+        service: request.service.clone(),
+        route: request.route.clone(),
+        priority: request.priority,
+        arrived: request.arrived,
+        virtual_arrival: request.arrived,
+        deadline: request.deadline,
+        tokens: request.tokens,
         fingerprint,
         tried: Vec::new(),
         attempts: 0,
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of the store, and whether it watches it itself.
+//! This instance's view of the store, and whether it watches the store itself.
 
 use crate::StoreUpdate;
 use crate::core::Core;
@@ -7,65 +7,66 @@
 use crate::watchers::select_watcher;
 use siskinyoke_base::Millis;
 
-/// How long a process that started waits to hear of its peers before it watches the store itself.
+/// How long a new process waits for reports of peers before it watches the store itself.
 ///
-/// Reports of those that the first reading named come within a tenth of a second, and instances that
-/// start together do so within three tenths.
+/// Peers listed in the first read report within 100 ms, and instances that start together report
+/// within 300 ms.
 const PEER_DISCOVERY_TIME: Millis = Millis(300);
 
-/// How often an instance that is not the first of its shard tries the store while nobody there
-/// reaches it: the store may be back for some instances and not for the first.
+/// Interval at which the other instances of a shard also call the store while none can reach it.
+///
+/// The store may come back for some instances but not for the selected watcher.
 const STORE_RETRY_INTERVAL: Millis = Millis::from_secs(3);
 
-/// How long a peer may know more than this instance before it asks the store itself.
+/// How long a peer's revision may be ahead before this instance reads the store itself.
 ///
-/// Taking changes from a peer takes some tens of milliseconds; where it fails for so long, the peer
-/// is heard but cannot be asked.
+/// Fetching changes from a peer takes tens of milliseconds. If it fails for this long, the peer's
+/// reports arrive but the peer cannot be called.
 const MAX_PEER_LAG: Millis = Millis(1_500);
 
-/// What an instance knows of the store.
+/// An instance's view of the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StoreView {
-    /// The store's revision up to which everything is known.
+    /// Store revision up to which all changes are known.
     pub(super) revision: u64,
-    /// Whether the last call of the store succeeded.
+    /// Whether the last call to the store succeeded.
     pub(super) reachable: bool,
-    // Whether nobody of the shard reaches the store.
+    // Whether no instance of the shard reaches the store.
     unavailable: bool,
-    // When something of the store was first known.
+    // When the first changes were received.
     first_known: Option<Millis>,
-    // When the store was last asked in vain.
+    // When a call to the store last failed.
     last_failure: Option<Millis>,
-    // Since when a peer has been known to know more.
+    // Since when a peer's revision has been ahead.
     behind_since: Option<Millis>,
-    // Whether no peer could say what it knows more.
+    // Whether peers ahead of this instance could not provide the changes.
     read_requested: bool,
 }
 
 impl Core {
-    /// Takes in what changed in the store up to a revision.
+    /// Applies the changes of the store up to a revision.
     ///
-    /// All changes are taken in before shards and endpoints are worked out anew: that takes time for
-    /// each endpoint, and the first reading names hundreds.
-    pub fn apply_updates(&mut self, now: Millis, revision: u64, news: Vec<StoreUpdate>) {
+    /// Shards and eligible endpoints are recomputed once after all changes: this takes time for each
+    /// endpoint, and the first read contains hundreds.
+    pub fn apply_updates(&mut self, now: Millis, revision: u64, updates: Vec<StoreUpdate>) {
         self.store_view.first_known.get_or_insert(now);
         if revision > self.store_view.revision {
             self.store_view.revision = revision;
             self.store_view.behind_since = None;
             self.store_view.read_requested = false;
         }
-        let mut fleet = false;
+        let mut fleet_changed = false;
         let mut endpoints = Vec::new();
-        let mut progress = Vec::new();
-        for item in news {
-            match item {
+        let mut statuses = Vec::new();
+        for update in updates {
+            match update {
                 StoreUpdate::Instance(name, place) => {
                     self.instance_listed(&name, place);
-                    fleet = true;
+                    fleet_changed = true;
                 }
                 StoreUpdate::InstanceRemoved(name) => {
                     self.instance_unlisted(now, &name);
-                    fleet = true;
+                    fleet_changed = true;
                 }
                 StoreUpdate::RolloutOrder(order) => self.begin_rollout(now, order),
                 StoreUpdate::RolloutOrderRemoved(service) => {
@@ -73,15 +74,17 @@
                         rollout.withdraw();
                     }
                 }
-                StoreUpdate::RolloutStatus(service, status) => progress.push((service, status)),
-                StoreUpdate::Endpoint(_) | StoreUpdate::EndpointRemoved(_) => endpoints.push(item),
+                StoreUpdate::RolloutStatus(service, status) => statuses.push((service, status)),
+                StoreUpdate::Endpoint(_) | StoreUpdate::EndpointRemoved(_) => {
+                    endpoints.push(update)
+                }
             }
         }
-        // A state says nothing before its order is known.
-        for (service, status) in progress {
+        // A status has no effect before its order is known.
+        for (service, status) in statuses {
             self.registry.apply_status(&service, status);
         }
-        if fleet {
+        if fleet_changed {
             self.update_shards();
         }
         if !endpoints.is_empty() {
@@ -89,34 +92,34 @@
         }
     }
 
-    /// Returns the store's revision up to which everything is known.
+    /// Returns the store revision up to which all changes are known.
     pub fn store_revision(&self) -> u64 {
         self.store_view.revision
     }
 
-    /// Returns whether anybody of the shard reaches the store.
+    /// Returns whether any instance of the shard reaches the store.
     pub fn store_available(&self) -> bool {
         !self.store_view.unavailable
     }
 
-    /// Returns whether this instance's last call of the store succeeded.
+    /// Returns whether this instance's last call to the store succeeded.
     pub fn reaches_store(&self) -> bool {
         self.store_view.reachable
     }
 
-    /// Takes note that a call of the store succeeded.
+    /// Records that a call to the store succeeded.
     pub fn store_call_succeeded(&mut self) {
         self.store_view.reachable = true;
     }
 
-    /// Takes note that a call of the store failed.
+    /// Records that a call to the store failed.
     pub fn store_call_failed(&mut self, now: Millis) {
         self.store_view.reachable = false;
         self.store_view.last_failure = Some(now);
     }
 
-    /// Takes note that a peer knows the store up to a revision; returns whether that is more than is
-    /// known here.
+    /// Records the store revision that a peer has reached, and returns whether it is ahead of this
+    /// instance.
     pub fn record_peer_revision(&mut self, now: Millis, revision: u64) -> bool {
         let ahead = revision > self.store_view.revision;
         if ahead {
@@ -125,19 +128,19 @@
         ahead
     }
 
-    /// Returns whether the store is being read for the first time, as far as it is not known to be away.
+    /// Returns whether the first read of the store is in progress and no call has failed yet.
     pub fn is_first_read(&self) -> bool {
         self.store_view.revision == 0 && self.store_view.last_failure.is_none()
     }
 
-    /// Takes note that a peer which knows more cannot say what: the store is asked.
+    /// Requests a read of the store because a peer that is ahead cannot provide the changes.
     pub fn request_store_read(&mut self) {
         self.store_view.read_requested = true;
     }
 
-    /// Returns the instance that watches the store for this one, which may be this one.
+    /// Returns the name of the instance that watches the store for this one, possibly this one.
     pub fn watcher(&self, now: Millis) -> &str {
-        let me = Candidate {
+        let own = Candidate {
             name: &self.identity.name,
             store_reachable: self.store_view.reachable,
         };
@@ -146,13 +149,13 @@
             name: &peer.info.name,
             store_reachable: peer.report.store_reachable,
         });
-        select_watcher(me, peers)
+        select_watcher(own, peers)
     }
 
     /// Decides whether this instance watches the store itself.
     ///
-    /// The only shard of a small fleet has no other to hear of changes from if its watcher's connection
-    /// goes silent, so each of its instances watches.
+    /// In a fleet of a single shard every instance watches: there is no other shard that would report
+    /// changes if the watcher's connection stalled.
     pub fn store_role(&self, now: Millis) -> StoreRole {
         let view = &self.store_view;
         let within = |since: Option<Millis>, span| since.is_some_and(|it| now.since(it) < span);
@@ -176,23 +179,23 @@
         }
     }
 
-    /// Works out whether the store is away for the whole shard, and returns it if that changed.
+    /// Updates whether the store is unavailable to the whole shard, and returns that if it changed.
     ///
-    /// What goes from the list while it is away may be back: its lease ran out in the meantime.
+    /// Entries that are missing after an outage may return, as their leases expired during it.
     pub fn update_store_availability(&mut self, now: Millis) -> Option<bool> {
-        let away = self.store_unreachable(now);
-        if away == self.store_view.unavailable {
+        let unavailable = self.store_unreachable(now);
+        if unavailable == self.store_view.unavailable {
             return None;
         }
-        self.store_view.unavailable = away;
-        if away {
+        self.store_view.unavailable = unavailable;
+        if unavailable {
             self.registry.store_unreachable();
             self.instances.store_unreachable();
         } else {
             self.registry.store_reachable(now);
             self.instances.store_reachable(now);
         }
-        Some(away)
+        Some(unavailable)
     }
 
     fn store_unreachable(&self, now: Millis) -> bool {
--- a/crates/siskinyoke-dispatch/src/lib.rs
+++ b/crates/siskinyoke-dispatch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decides which request runs on which endpoint, when it waits, and when it is refused.
+//! Decides on which endpoint a request runs, and whether it is queued or refused.
 //!
-//! Everything here is pure: events and the time go in, decisions come out. No socket, no thread,
-//! no wall clock and no header of any wire is known here.
+//! The crate is free of I/O: it receives events together with the time and returns decisions. It
+//! uses no sockets, threads or clocks and knows no wire format's headers.
 
 pub mod budget;
 pub mod cold_start;
@@ -19,7 +19,6 @@
 pub mod outcome;
 mod overload_window;
 pub mod peers;
-pub mod pending;
 pub mod placement;
 pub mod quarantine;
 pub mod queue;
@@ -30,6 +29,7 @@
 mod regression;
 pub mod report;
 pub mod rollout;
+pub mod scheduled_request;
 pub mod scheduler;
 pub mod shards;
 pub mod stall_timeout;
@@ -52,12 +52,12 @@
 pub use message::Grant;
 pub use message::Message;
 pub use outcome::Outcome;
-pub use pending::Priority;
-pub use pending::ScheduledRequest;
-pub use pending::Ticket;
 pub use refusal::Refusal;
 pub use refusal::RefusalReason;
 pub use report::Report;
+pub use scheduled_request::Priority;
+pub use scheduled_request::ScheduledRequest;
+pub use scheduled_request::Ticket;
 pub use scheduler::Decision;
 pub use scheduler::Scheduler;
 pub use store_update::StoreUpdate;
@@ -66,7 +66,7 @@
 use std::hash::Hash;
 use std::hash::Hasher;
 
-/// Returns a hash that is the same in every instance, for names that travel in reports.
+/// Returns a hash that is the same in every instance, for names in reports.
 pub fn stable_hash(value: &impl Hash) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     value.hash(&mut hasher);
--- a/crates/siskinyoke-dispatch/src/outcome.rs
+++ b/crates/siskinyoke-dispatch/src/outcome.rs
@@ -1,33 +1,33 @@
-//! How a request's stay at an endpoint ended.
+//! Outcomes of attempts at endpoints.
 
 use siskinyoke_base::Millis;
 
-/// How a request's stay at an endpoint ended.
+/// Outcome of an attempt to run a request at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
-    /// A whole answer arrived.
+    /// The complete response arrived.
     Completed {
-        /// From the sending to the first part of the answer.
+        /// Time from sending the request to the first part of the response.
         to_first_part: Millis,
-        /// From the sending to its end.
+        /// Time from sending the request to the end of the response.
         total: Millis,
-        /// The parts in which a streamed answer came; 0 for a whole one.
+        /// Number of parts of a streamed response, or 0 if it was not streamed.
         parts: u32,
-        /// The longest pause between two parts.
+        /// Longest pause between two parts.
         longest_pause: Millis,
     },
-    /// The endpoint answered with a failure of its own after it ran the request.
+    /// The endpoint ran the request and responded with an error.
     Failed,
-    /// The endpoint had no room and did not run it.
+    /// The endpoint was at capacity and did not run the request.
     Full,
-    /// Another endpoint holds that address now; nothing ran.
+    /// The address now belongs to another endpoint; the request did not run.
     Misdirected,
-    /// No connection could be made; nothing was sent.
+    /// No connection could be established; nothing was sent.
     ConnectFailed,
-    /// The connection broke after something was sent; it may have run.
+    /// The connection broke after data was sent; the request may have run.
     ConnectionLost,
-    /// Nothing came for so long that the attempt was given up.
+    /// No data arrived within the stall timeout, and the attempt was abandoned.
     Stalled,
-    /// The caller left, or its time ran out.
+    /// The caller disconnected, or its deadline passed.
     Cancelled,
 }
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use crate::Ticket;
-use crate::pending::QueueOrder;
 use crate::report::WaitingRow;
+use crate::scheduled_request::QueueOrder;
 use siskinyoke_base::Millis;
 
 /// The sort key of a queued request: order, then position, then ticket.
--- a/crates/siskinyoke-dispatch/src/refusal.rs
+++ b/crates/siskinyoke-dispatch/src/refusal.rs
@@ -1,39 +1,39 @@
-//! Why a request is turned away, and when its caller should come back.
+//! Refusals of requests, with a reason and a retry delay.
 
 use siskinyoke_base::Millis;
 
-/// Why a request is turned away.
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No configuration is known yet.
+    /// No configuration has been received yet.
     NotReady,
-    /// No route takes it.
+    /// No route matches it.
     NoRoute,
-    /// Its key is unknown.
+    /// Its API key is missing or unknown.
     UnknownKey,
-    /// Its organisation has used its quota.
+    /// Its organisation has used up its quota.
     QuotaExceeded,
-    /// It would wait longer than it can use.
+    /// Its expected wait is longer than its queue timeout.
     Overload,
-    /// It waited as long as it could.
+    /// It reached its queue timeout.
     QueueTimeout,
-    /// More urgent work took its place in the queue.
+    /// A request of higher priority displaced it from the queue.
     Displaced,
-    /// No endpoint of its service is known or fit.
+    /// No endpoint of its service is known or eligible.
     NoEndpoint,
-    /// The same work crashed endpoints before.
+    /// The same request crashed endpoints before.
     Quarantined,
-    /// An endpoint turned it away unrun, and no other may be asked.
+    /// An endpoint rejected it without running it, and it may not be retried at another one.
     EndpointRejected,
 }
 
 impl RefusalReason {
-    /// Returns whether the same request would be turned away whenever it came back.
+    /// Returns whether a retry of the same request would be refused for the same reason.
     pub fn is_permanent(self) -> bool {
         matches!(self, Self::NoRoute | Self::UnknownKey)
     }
 
-    /// Returns the reason's name in logs and metrics.
+    /// Returns the name of the reason in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotReady => "unready",
@@ -50,11 +50,11 @@
     }
 }
 
-/// A request turned away before any part of it ran.
+/// A refusal of a request of which no part has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// How long the caller should wait before it comes back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Millis,
 }
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::EndpointKey;
-use crate::pending::QueueOrder;
+use crate::scheduled_request::QueueOrder;
 use crate::stable_hash;
 
 /// The current state of one instance, sent to its peers many times a second.
--- a/crates/siskinyoke-dispatch/src/scheduler/starting.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/starting.rs
@@ -11,13 +11,13 @@
 use crate::Endpoint;
 use crate::Ticket;
 use crate::latency_model::LatencyModel;
-use crate::pending::QueueOrder;
 use crate::placement::Candidate;
 use crate::placement::EndpointSelector;
 use crate::placement::PlacementQuery;
 use crate::queue::QueueKey;
 use crate::report::WaitingRow;
 use crate::report::short_hash;
+use crate::scheduled_request::QueueOrder;
 use crate::wait;
 use siskinyoke_base::Millis;
 
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -18,10 +18,10 @@
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::peers::Peers;
-use siskinyoke_dispatch::pending::QueueOrder;
 use siskinyoke_dispatch::registry::Registry;
 use siskinyoke_dispatch::report::WaitingRow;
 use siskinyoke_dispatch::report::short_hash;
+use siskinyoke_dispatch::scheduled_request::QueueOrder;
 
 fn registry(endpoints: &[(&str, u32)]) -> Registry {
     let mut registry = Registry::default();
