--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -55,7 +55,7 @@
 
     pub(super) fn apply_info(&mut self, now: Millis, info: &InstanceInfo) {
         for key in &info.leaving_endpoints {
-            self.registry.left(now, *key);
+            self.registry.record_departure(now, *key);
         }
         for (fingerprint, endpoints) in &info.quarantine {
             for endpoint in endpoints {
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -5,11 +5,11 @@
 //! what cannot start waits in the order of its rank. Every instance decides alone, from the same
 //! reports, whose request the next free place is for: the most urgent, then the longest waiting.
 
+mod dispatch;
 mod expiry;
 mod lending;
 mod observations;
 mod rate_limits;
-mod starting;
 mod wait_estimate;
 
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 // A request at an endpoint.
 #[derive(Debug)]
 struct RunningRequest {
-    pending: ScheduledRequest,
+    request: ScheduledRequest,
     endpoint: EndpointKey,
     sent_at: Millis,
     // What went before it at its endpoint when it was sent.
@@ -86,7 +86,7 @@
 /// The queues before the endpoints.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    placing: EndpointSelector,
+    selector: EndpointSelector,
     queues: BTreeMap<Arc<str>, Queue>,
     waiting: Map<Ticket, ScheduledRequest>,
     running: Map<Ticket, RunningRequest>,
@@ -109,7 +109,7 @@
     /// Makes empty queues for an instance of this name in a data centre.
     pub fn new(name: &str, centre: &str) -> Self {
         Self {
-            placing: EndpointSelector::new(name, centre),
+            selector: EndpointSelector::new(name, centre),
             rate_limits: RateLimits::new(name),
             ..Self::default()
         }
@@ -123,50 +123,54 @@
     pub fn admit(
         &mut self,
         now: Millis,
-        pending: ScheduledRequest,
+        request: ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> Result<Ticket, Refusal> {
-        let places = slot_count(&pending.service, registry);
+        let places = slot_count(&request.service, registry);
         if places == 0 {
             return Err(Refusal {
                 reason: RefusalReason::NoEndpoint,
                 retry_after: NO_ENDPOINT_RETRY_AFTER,
             });
         }
-        let load = self.latency_model(&pending.service);
-        let pending = ScheduledRequest {
-            virtual_arrival: wait::queue_position(&pending, load),
-            ..pending
+        let latency = self.latency_model(&request.service);
+        let request = ScheduledRequest {
+            virtual_arrival: wait::virtual_arrival(&request, latency),
+            ..request
         };
-        let demand = self.demands.entry(pending.service.clone()).or_default();
-        demand.record(now, pending.priority, load.service_time_of(&pending.tokens));
+        let demand = self.demands.entry(request.service.clone()).or_default();
+        demand.record(
+            now,
+            request.priority,
+            latency.service_time_of(&request.tokens),
+        );
         let view = ClusterView {
             now,
             registry,
             peers,
         };
-        if self.expected_on_time(&view, &pending) {
-            return Ok(self.enqueue(pending));
+        if self.expected_on_time(&view, &request) {
+            return Ok(self.enqueue(request));
         }
         // Another shard may have a place: it is asked before the request is refused.
-        if registry.is_sharded() && !self.recently_declined(now, &pending.service) {
+        if registry.is_sharded() && !self.recently_declined(now, &request.service) {
             return Ok(self.enqueue(ScheduledRequest {
                 needs_loan: true,
-                ..pending
+                ..request
             }));
         }
-        let pending = self.admit_late(&view, pending)?;
-        Ok(self.enqueue(pending))
+        let request = self.admit_late(&view, request)?;
+        Ok(self.enqueue(request))
     }
 
     /// Lets a request wait for another endpoint after one did not serve it.
-    pub fn requeue(&mut self, pending: ScheduledRequest) -> Ticket {
+    pub fn requeue(&mut self, request: ScheduledRequest) -> Ticket {
         self.enqueue(ScheduledRequest {
             late: false,
             needs_loan: false,
             canary: false,
-            ..pending
+            ..request
         })
     }
 
@@ -196,21 +200,21 @@
         outcome: Outcome,
     ) -> Option<ScheduledRequest> {
         let RunningRequest {
-            mut pending,
+            mut request,
             endpoint,
             sent_at,
             first_part_at,
             ..
         } = self.running.remove(&ticket)?;
-        pending.attempts += u32::from(outcome != Outcome::ConnectFailed);
+        request.attempts += u32::from(outcome != Outcome::ConnectFailed);
         if first_part_at.is_none() {
-            self.remove_prefill_tokens(endpoint, &pending);
+            self.remove_prefill_tokens(endpoint, &request);
         }
-        if let Some(busy) = self.in_flight.get_mut(&endpoint) {
-            busy.count = busy.count.saturating_sub(1);
+        if let Some(row) = self.in_flight.get_mut(&endpoint) {
+            row.count = row.count.saturating_sub(1);
         }
-        self.in_flight.retain(|_, busy| busy.count > 0);
-        self.placing.record_outcome(now, endpoint, outcome);
+        self.in_flight.retain(|_, row| row.count > 0);
+        self.selector.record_outcome(now, endpoint, outcome);
         if let Outcome::Completed {
             to_first_part,
             total,
@@ -219,19 +223,19 @@
         } = outcome
         {
             if first_part_at.is_none() {
-                self.record_first_part(endpoint, &pending, now.since(sent_at));
+                self.record_first_part(endpoint, &request, now.since(sent_at));
             }
             self.record_remaining_parts(
                 endpoint,
-                &pending,
+                &request,
                 total.since(to_first_part),
                 parts,
                 longest_pause,
             );
-            let load = self.latencies.entry(pending.service.clone()).or_default();
-            load.record_completion(&pending.tokens, to_first_part, total, parts);
+            let latency = self.latencies.entry(request.service.clone()).or_default();
+            latency.record_completion(&request.tokens, to_first_part, total, parts);
         }
-        Some(pending)
+        Some(request)
     }
 
     /// Takes note that the first part of a request's answer came.
@@ -241,9 +245,9 @@
         };
         running.first_part_at = Some(now);
         let (key, first) = (running.endpoint, now.since(running.sent_at));
-        let pending = running.pending.clone();
-        self.remove_prefill_tokens(key, &pending);
-        self.record_first_part(key, &pending, first);
+        let request = running.request.clone();
+        self.remove_prefill_tokens(key, &request);
+        self.record_first_part(key, &request, first);
     }
 
     /// Returns how long the endpoint of a running request may stay silent.
@@ -252,27 +256,27 @@
             return stall_timeout::STREAM_STALL_TIMEOUT;
         };
         let RunningRequest {
-            pending,
+            request,
             endpoint,
             backlog,
             ..
         } = running;
         let usual = self
-            .latency_model(&pending.service)
-            .first_part_time(&pending.tokens.with_backlog(backlog.prefill_tokens))
+            .latency_model(&request.service)
+            .first_part_time(&request.tokens.with_backlog(backlog.prefill_tokens))
             + backlog.slot_wait;
         stall_timeout::first_part_timeout(millis_from_f64(
-            millis_to_f64(usual) * self.placing.speed_factor(*endpoint),
+            millis_to_f64(usual) * self.selector.speed_factor(*endpoint),
         ))
     }
 
     /// Takes a waiting request out, as its caller left.
     pub fn cancel(&mut self, ticket: Ticket) {
-        let Some(pending) = self.waiting.remove(&ticket) else {
+        let Some(request) = self.waiting.remove(&ticket) else {
             return;
         };
-        if let Some(queue) = self.queues.get_mut(&pending.service) {
-            queue.remove(queue_key(ticket, &pending));
+        if let Some(queue) = self.queues.get_mut(&request.service) {
+            queue.remove(queue_key(ticket, &request));
         }
     }
 
@@ -288,14 +292,14 @@
 
     /// Returns the request that runs under a ticket.
     pub fn running(&self, ticket: Ticket) -> Option<&ScheduledRequest> {
-        self.running.get(&ticket).map(|running| &running.pending)
+        self.running.get(&ticket).map(|running| &running.request)
     }
 
     /// Returns whether an endpoint that was not tried has a place for a request.
     pub fn has_alternative(
         &self,
         now: Millis,
-        pending: &ScheduledRequest,
+        request: &ScheduledRequest,
         registry: &Registry,
         peers: &Peers,
     ) -> bool {
@@ -304,21 +308,21 @@
             registry,
             peers,
         };
-        let free = self.free_endpoints(&view, &pending.service);
+        let free = self.free_endpoints(&view, &request.service);
         free.iter()
-            .any(|candidate| !pending.tried.contains(&candidate.endpoint.key()))
+            .any(|candidate| !request.tried.contains(&candidate.endpoint.key()))
     }
 
     /// Takes in what a peer says of the endpoints that it uses.
     pub fn record_peer_usage(&mut self, rows: &[RunningRow]) {
-        self.placing.record_peer_speeds(rows);
+        self.selector.record_peer_speeds(rows);
     }
 
     /// Returns this instance's requests at each endpoint.
     pub fn endpoint_usage(&self) -> Vec<RunningRow> {
-        let counts = self.in_flight.iter().map(|(key, busy)| RunningRow {
-            speed_factor: self.placing.reported_speed(*key),
-            ..*busy
+        let counts = self.in_flight.iter().map(|(key, row)| RunningRow {
+            speed_factor: self.selector.reported_speed(*key),
+            ..*row
         });
         counts.collect()
     }
@@ -328,8 +332,8 @@
         self.queues
             .iter()
             .flat_map(|(service, queue)| {
-                let load = self.latency_model(service);
-                let stay = |ticket| load.service_time_of(&self.waiting[&ticket].tokens);
+                let latency = self.latency_model(service);
+                let stay = |ticket| latency.service_time_of(&self.waiting[&ticket].tokens);
                 queue.summary(now, short_hash(service), stay)
             })
             .collect()
@@ -348,7 +352,7 @@
     /// Forgets endpoints that are gone.
     pub fn prune_endpoints(&mut self, registry: &Registry) {
         let known: Vec<EndpointKey> = registry.all().map(|endpoint| endpoint.key()).collect();
-        self.placing.retain_known(&known);
+        self.selector.retain_known(&known);
         self.rate_limits.retain_endpoints(&known);
     }
 
@@ -362,12 +366,12 @@
         })
     }
 
-    fn enqueue(&mut self, pending: ScheduledRequest) -> Ticket {
+    fn enqueue(&mut self, request: ScheduledRequest) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
-        let queue = self.queues.entry(pending.service.clone()).or_default();
-        queue.push(queue_key(ticket, &pending));
-        self.waiting.insert(ticket, pending);
+        let queue = self.queues.entry(request.service.clone()).or_default();
+        queue.push(queue_key(ticket, &request));
+        self.waiting.insert(ticket, request);
         ticket
     }
 }
@@ -380,6 +384,6 @@
         .sum()
 }
 
-fn queue_key(ticket: Ticket, pending: &ScheduledRequest) -> QueueKey {
-    (pending.queue_order(), pending.virtual_arrival, ticket)
+fn queue_key(ticket: Ticket, request: &ScheduledRequest) -> QueueKey {
+    (request.queue_order(), request.virtual_arrival, ticket)
 }
