--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -26,7 +26,7 @@
     /// API key, if present.
     pub key: Option<&'a str>,
     /// How long the caller waits for the response, if stated.
-    pub deadline: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// Number of prompt tokens and maximum number of output tokens, if stated.
     pub tokens: Option<(u64, u64)>,
     /// Number of output tokens the caller expects, if stated.
@@ -117,7 +117,7 @@
             retry_after: Millis(1000),
         });
     };
-    let timeout = request.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = request.timeout.unwrap_or(route.timeout).min(route.timeout);
     let arrived = now.since(request.hold_time);
     let priority = Priority::new(
         organisation.as_ref().and_then(|it| it.priority),
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -150,7 +150,7 @@
         path,
         hold_time: Millis::ZERO,
         key: Some("k"),
-        deadline: Some(Millis(5_000)),
+        timeout: Some(Millis(5_000)),
         tokens: Some((900, 100)),
         output_estimate: None,
         draw: 0,
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -344,7 +344,7 @@
         let now = Millis(self.now);
         let number = self.requests.len();
         let incoming = IncomingRequest {
-            deadline: Some(Millis(self.rng.random_range(500..=MAX_DEADLINE_MS))),
+            timeout: Some(Millis(self.rng.random_range(500..=MAX_DEADLINE_MS))),
             ..request(path)
         };
         let core = &mut self.cores[instance];
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -178,7 +178,7 @@
             path: &path,
             hold_time: Millis::ZERO,
             key: None,
-            deadline: Some(Millis(TIMEOUT_MS)),
+            timeout: Some(Millis(TIMEOUT_MS)),
             tokens: Some((prompt as u64, 3_800)),
             output_estimate: Some(estimate),
             draw: 0,
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -254,7 +254,7 @@
             }
             let now = Millis(self.now);
             let incoming = IncomingRequest {
-                deadline: Some(Millis(3_000)),
+                timeout: Some(Millis(3_000)),
                 ..request("/safe/")
             };
             let core = &mut self.cores[index];
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -222,7 +222,7 @@
         path: &head.path,
         hold_time: shell.now().since(arrival.at),
         key: head.key.as_deref(),
-        deadline: head.deadline,
+        timeout: head.deadline,
         tokens: head.tokens,
         output_estimate: head.estimate,
         draw: stable_hash(&head.id),
