--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -76,7 +76,7 @@
                 }
                 StoreUpdate::RolloutStatus(service, status) => statuses.push((service, status)),
                 StoreUpdate::Endpoint(_) | StoreUpdate::EndpointRemoved(_) => {
-                    endpoints.push(update)
+                    endpoints.push(update);
                 }
             }
         }
--- a/crates/siskinyoke-dispatch/tests/cold_start.rs
+++ b/crates/siskinyoke-dispatch/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! What clients get while instances that started do not know a configuration yet, played in virtual time.
+//! Requests that arrive before the first configuration, simulated in virtual time.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -7,118 +7,132 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::cold_start;
 
-/// How many clients of each kind are played.
+/// Simulated clients per case.
 const CLIENT_COUNT: u64 = 400;
 
-/// The kinds of request: how long a client waits, in ms.
+/// How long clients wait for a response.
 const DEADLINES_MS: [u64; 3] = [1_000, 5_000, 15_000];
 
-/// What an instance does with a request that arrives before the configuration.
+/// How an instance handles requests that arrive before the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// It holds the request for a part of the client's time.
+    /// Holds the request for part of its deadline.
     Hold,
-    /// It rejects the request at once.
+    /// Rejects the request immediately.
     Reject,
 }
 
-/// What became of one client.
+/// The result of one client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClientOutcome {
-    /// Served, after so long.
+    /// Served, after this time.
     Served(Millis),
-    /// Rejected twice; it has no retry left.
+    /// Rejected twice, with no retry left.
     Lost,
 }
 
-/// A client that arrives at some time after a restart of all instances, with one retry.
+/// Simulates a client with one retry that arrives after a restart of all instances.
 ///
-/// The configuration is known `known` after the start of the instance. The client keeps to the time that it is
-/// told, up to a third of what it has left, as the platform's callers do.
-fn simulate_client(way: Policy, arrived: Millis, deadline: Millis, known: Millis) -> ClientOutcome {
+/// The instance receives its configuration `configured` after its start. The client waits for the
+/// requested retry delay, but at most for a third of its remaining time, like the platform's
+/// callers.
+fn simulate_client(
+    policy: Policy,
+    arrived: Millis,
+    deadline: Millis,
+    configured: Millis,
+) -> ClientOutcome {
     let mut at = arrived;
     for _ in 0..2 {
-        let left = (arrived + deadline).since(at);
-        let hold = match way {
-            Policy::Hold => cold_start::hold_timeout(Some(left)),
+        let remaining = (arrived + deadline).since(at);
+        let hold = match policy {
+            Policy::Hold => cold_start::hold_timeout(Some(remaining)),
             Policy::Reject => Millis::ZERO,
         };
-        if known <= at + hold {
-            return ClientOutcome::Served(known.max(at).since(arrived));
+        if configured <= at + hold {
+            return ClientOutcome::Served(configured.max(at).since(arrived));
         }
         let rejected = at + hold;
-        let left = (arrived + deadline).since(rejected);
-        let after = cold_start::retry_after(rejected);
-        at = rejected + after.min(Millis(left.0 / 3));
+        let remaining = (arrived + deadline).since(rejected);
+        let retry_after = cold_start::retry_after(rejected);
+        at = rejected + retry_after.min(Millis(remaining.0 / 3));
     }
     ClientOutcome::Lost
 }
 
-fn count_lost(way: Policy, deadline: u64, known: Millis) -> u64 {
+fn count_lost(policy: Policy, deadline: u64, configured: Millis) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(deadline);
-    let ends = (0..CLIENT_COUNT).map(|_| {
-        let arrived = Millis(rng.random_range(0..known.0));
-        simulate_client(way, arrived, Millis(deadline), known)
+    let outcomes = (0..CLIENT_COUNT).map(|_| {
+        let arrived = Millis(rng.random_range(0..configured.0));
+        simulate_client(policy, arrived, Millis(deadline), configured)
     });
-    ends.filter(|it| *it == ClientOutcome::Lost).count() as u64
+    outcomes.filter(|it| *it == ClientOutcome::Lost).count() as u64
 }
 
-// All instances stop under full load. The store is silent for half a second more, and every request is rejected;
-// its client comes back too early and is rejected for good.
+// All instances restart under full load and the store does not answer for a moment. If every
+// request is rejected at once, clients retry too early and are lost.
 #[test]
 fn holding_serves_every_client_through_a_short_store_outage() {
-    for known in [200, 500, 1_000] {
+    for configured in [200, 500, 1_000] {
         for deadline in &DEADLINES_MS[1..] {
             assert_eq!(
-                count_lost(Policy::Hold, *deadline, Millis(known)),
+                count_lost(Policy::Hold, *deadline, Millis(configured)),
                 0,
-                "{deadline} after {known}"
+                "clients lost with a deadline of {deadline} ms, configured after {configured} ms"
             );
         }
     }
-    // Half a second is half of a short deadline; most of these clients are served as well.
+    // 500 ms is half of the shortest deadline, which at least three quarters of the clients meet.
     assert!(count_lost(Policy::Hold, DEADLINES_MS[0], Millis(500)) <= CLIENT_COUNT / 4);
 }
 
-// Rejecting at once loses clients where holding does not.
+// Compares the loss of clients by immediate rejection with the loss by holding.
 #[test]
 fn holding_serves_more_than_rejecting_at_once() {
-    for known in [500, 1_000, 2_000] {
+    for configured in [500, 1_000, 2_000] {
         for deadline in DEADLINES_MS {
-            let [held, rejected] =
-                [Policy::Hold, Policy::Reject].map(|way| count_lost(way, deadline, Millis(known)));
+            let [held, rejected] = [Policy::Hold, Policy::Reject]
+                .map(|policy| count_lost(policy, deadline, Millis(configured)));
             assert!(
                 held <= rejected,
-                "{deadline} after {known}: {held} and {rejected}"
+                "deadline of {deadline} ms, configured after {configured} ms: \
+                 {held} lost by holding, {rejected} by rejecting"
             );
         }
     }
-    let known = Millis(1_000);
+    let configured = Millis(1_000);
     assert!(
-        count_lost(Policy::Reject, DEADLINES_MS[0], known)
-            > count_lost(Policy::Hold, DEADLINES_MS[0], known)
+        count_lost(Policy::Reject, DEADLINES_MS[0], configured)
+            > count_lost(Policy::Hold, DEADLINES_MS[0], configured)
     );
 }
 
-// A held request that has waited for most of its client's time is lost for certain, and the client learns it last.
+// A request held for most of its deadline cannot be retried elsewhere, and its client learns of the
+// rejection too late.
 #[test]
 fn no_request_is_held_for_more_than_a_quarter_of_its_time() {
     for deadline in [0, 1, 400, 1_000, 5_000, 600_000] {
         let hold = cold_start::hold_timeout(Some(Millis(deadline)));
-        assert!(hold.0 * 4 <= deadline, "{deadline}: {hold}");
-        assert!(hold <= Millis(1_500), "{deadline}: {hold}");
+        assert!(
+            hold.0 * 4 <= deadline,
+            "held for {hold} with a deadline of {deadline} ms"
+        );
+        assert!(
+            hold <= Millis(1_500),
+            "held for {hold} with a deadline of {deadline} ms"
+        );
     }
     assert!(cold_start::hold_timeout(None) <= Millis(500));
 }
 
-// In a long outage clients that are told to come back at once do so for nothing.
+// In a long outage, retries after a short delay are futile.
 #[test]
 fn retry_after_grows_with_the_length_of_the_store_outage() {
-    let told: Vec<_> = [0, 300, 700, 1_500, 60_000]
+    let delays: Vec<_> = [0, 300, 700, 1_500, 60_000]
         .map(|age| cold_start::retry_after(Millis(age)))
         .to_vec();
-    assert!(told.is_sorted(), "{told:?}");
-    assert!(told[0] >= Millis(100), "{told:?}");
-    assert_eq!(told[2], Millis(700));
-    assert!(told[4] <= Millis(2_000), "{told:?}");
+    assert!(delays.is_sorted(), "{delays:?}");
+    assert!(delays[0] >= Millis(100), "{delays:?}");
+    assert_eq!(delays[2], Millis(700));
+    assert!(delays[4] <= Millis(2_000), "{delays:?}");
 }
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small things that several tests of the decisions need.
+//! Fixtures shared by the tests of this crate.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -28,7 +28,7 @@
 use siskinyoke_dispatch::report::RunningRow;
 use siskinyoke_dispatch::stable_hash;
 
-/// The window, overage and slack of the tests' quotas.
+/// Quota policy used in tests.
 pub const QUOTA_POLICY: QuotaPolicy = QuotaPolicy {
     window: Millis(8_000),
     overage: 0.1,
@@ -83,11 +83,11 @@
     }
 }
 
-pub fn identity(name: &str, source: u64) -> Identity {
+pub fn identity(name: &str, incarnation: u64) -> Identity {
     Identity {
         name: name.to_owned(),
         location: location(name, "a"),
-        incarnation: source,
+        incarnation,
         retry_ratio: 0.2,
         retry_slack: 54.0,
         max_exposure: 0.1,
@@ -107,7 +107,7 @@
     }
 }
 
-/// A configuration with one route of each kind and one organisation with the key `k`.
+/// Returns a configuration with a route of each kind and an organisation with the key `k`.
 pub fn configuration(version: u64, organisation: Organisation) -> Configuration {
     let limits = Limits {
         max_head: 16_384,
@@ -136,7 +136,7 @@
     configuration
 }
 
-/// An instance with a configuration and one endpoint of so many slots.
+/// Returns an instance with a configuration and one endpoint with this number of slots.
 pub fn core(name: &str, slots: u32) -> Core {
     let mut core = Core::new(identity(name, 1));
     core.configure(Millis(0), configuration(1, organisation(0.0, 0.0)));
@@ -157,7 +157,7 @@
     }
 }
 
-/// An empty report of a peer.
+/// Returns an empty report of a peer.
 pub fn report(name: &str, number: u64) -> Report {
     Report {
         source: stable_hash(&name),
@@ -177,7 +177,7 @@
     }
 }
 
-/// A peer's requests at an endpoint of the usual pace.
+/// Returns a peer's row for an endpoint of usual speed that runs `count` requests.
 pub fn running_row(id: &str, count: u16) -> RunningRow {
     RunningRow {
         endpoint: endpoint(id, 1).key().short(),
@@ -187,7 +187,7 @@
     }
 }
 
-/// Where an instance of a data centre is found.
+/// Returns the location of an instance in a data centre.
 pub fn location(name: &str, centre: &str) -> InstanceLocation {
     InstanceLocation {
         caller_address: format!("{name}:1"),
@@ -196,22 +196,22 @@
     }
 }
 
-/// The number of the instance `iN` that is found at a place.
-pub fn instance_number(place: &InstanceLocation) -> usize {
-    let name = place.caller_address.trim_start_matches('i');
+/// Returns the number N of the instance `iN` at a location.
+pub fn instance_number(location: &InstanceLocation) -> usize {
+    let name = location.caller_address.trim_start_matches('i');
     name.trim_end_matches(":1").parse().expect("a number")
 }
 
-/// The usual seeds, or those that `SEEDS=FROM..TO` names.
-pub fn seeds(usual: Range<u64>) -> Range<u64> {
+/// Returns the seeds in the environment variable `SEEDS=FROM..TO`, or `default` if it is not set.
+pub fn seeds(default: Range<u64>) -> Range<u64> {
     let Ok(text) = std::env::var("SEEDS") else {
-        return usual;
+        return default;
     };
     let (from, to) = text.split_once("..").expect("SEEDS=FROM..TO");
     from.parse().expect("a number")..to.parse().expect("a number")
 }
 
-/// What a peer of a data centre tells of itself.
+/// Returns the information that a peer in a data centre reports about itself.
 pub fn instance_info(name: &str, centre: &str) -> InstanceInfo {
     InstanceInfo {
         name: name.to_owned(),
@@ -222,7 +222,7 @@
     }
 }
 
-/// A whole answer after a fifth of a second.
+/// Returns the outcome of a complete response after 200 ms.
 pub fn completed() -> Outcome {
     Outcome::Completed {
         to_first_part: Millis(50),
@@ -232,7 +232,7 @@
     }
 }
 
-/// Counts the decisions to start.
+/// Counts the decisions to start a request.
 pub fn count_starts(decisions: &[Decision]) -> usize {
     decisions
         .iter()
--- a/crates/siskinyoke-dispatch/tests/configuration.rs
+++ b/crates/siskinyoke-dispatch/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request, and which configuration is in force.
+//! Route lookup and configuration updates.
 
 mod common;
 
@@ -48,10 +48,10 @@
         targets: vec![("x".into(), 90), ("y".into(), 10)],
         ..route(Kind::Safe, 0)
     };
-    let to_y = (0..1_000)
+    let y_count = (0..1_000)
         .filter(|draw| split.pick_service(*draw).is_some_and(|it| &**it == "y"))
         .count();
-    assert_eq!(to_y, 100);
+    assert_eq!(y_count, 100);
 }
 
 #[test]
@@ -77,20 +77,20 @@
         reason(core.route(Millis(0), request("/nowhere/"))),
         RefusalReason::NoRoute
     );
-    let stranger = IncomingRequest {
+    let unknown_key = IncomingRequest {
         key: Some("x"),
         ..request("/safe/x")
     };
     assert_eq!(
-        reason(core.route(Millis(0), stranger)),
+        reason(core.route(Millis(0), unknown_key)),
         RefusalReason::UnknownKey
     );
-    let nobody = IncomingRequest {
+    let no_key = IncomingRequest {
         key: None,
         ..request("/safe/x")
     };
     assert_eq!(
-        reason(core.route(Millis(0), nobody)),
+        reason(core.route(Millis(0), no_key)),
         RefusalReason::UnknownKey
     );
 }
