--- a/crates/siskinyoke-dispatch/benches/decide.rs
+++ b/crates/siskinyoke-dispatch/benches/decide.rs
@@ -1,4 +1,4 @@
-//! What decisions cost as waiting requests and endpoints grow.
+//! Cost of scheduling decisions by the numbers of waiting requests and endpoints.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -10,7 +10,7 @@
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Decision;
 
-/// Waiting requests, and endpoints.
+/// Pairs of waiting requests and endpoints.
 const SIZES: [(u64, u64); 7] = [
     (0, 10),
     (10, 10),
@@ -21,35 +21,35 @@
     (10, 1_000),
 ];
 
-/// Slots of an endpoint.
+/// The slots of each endpoint.
 const SLOTS: u32 = 6;
 
-/// Other instances of the shard.
+/// The other instances of the shard.
 const PEERS: u64 = 8;
 
 fn main() {
     divan::main();
 }
 
-/// Deciding again while nothing can start, as after each event in an overload.
+/// A decision while no request can start, as after each event in an overload.
 #[divan::bench(args = SIZES)]
 fn decide_when_full(bencher: Bencher<'_, '_>, (waiting, endpoints): (u64, u64)) {
     let mut core = full(waiting, endpoints);
     bencher.bench_local(|| black_box(core.decide(Millis(1))));
 }
 
-/// Deciding again while each endpoint names a rate limit and ten requests wait.
+/// A decision while each endpoint has a rate limit and ten requests wait.
 #[divan::bench(args = [10, 100])]
 fn decide_with_limits(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = full(10, endpoints);
-    for at in 0..endpoints {
-        let endpoint = common::endpoint(&format!("e{at}"), SLOTS);
+    for index in 0..endpoints {
+        let endpoint = common::endpoint(&format!("e{index}"), SLOTS);
         core.record_limit(Millis(0), &endpoint, Millis(0), Some(1.5));
     }
     bencher.bench_local(|| black_box(core.decide(Millis(1))));
 }
 
-/// One request from its head to the end of its answer, with free slots.
+/// One request from its head to the end of its response, with free slots.
 #[divan::bench(args = [10, 100, 1_000])]
 fn serve_one(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = fleet(endpoints);
@@ -60,14 +60,14 @@
     });
 }
 
-/// A report to the peers, and taking one in.
+/// Creation of a report to the peers.
 #[divan::bench(args = [10, 100, 1_000])]
 fn send_report(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = full(10, endpoints);
     bencher.bench_local(|| black_box(core.next_report(Millis(1), false)));
 }
 
-/// Taking in a peer's report, which names each endpoint.
+/// Receipt of a peer's report that names many endpoints.
 #[divan::bench(args = [10, 100, 1_000])]
 fn receive_report(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = fleet(endpoints);
@@ -78,46 +78,46 @@
     });
 }
 
-// An instance whose peers use all endpoints a little.
+// Returns an instance whose peers run one request at each endpoint.
 fn fleet(endpoints: u64) -> Core {
     let mut core = common::core("i0", SLOTS);
-    for at in 1..endpoints {
-        let endpoint = common::endpoint(&format!("e{at}"), SLOTS);
+    for index in 1..endpoints {
+        let endpoint = common::endpoint(&format!("e{index}"), SLOTS);
         core.registry().put(Millis(0), endpoint);
     }
-    for at in 1..=PEERS {
-        core.receive_report(Millis(0), peer(at, 1, endpoints));
+    for index in 1..=PEERS {
+        core.receive_report(Millis(0), peer(index, 1, endpoints));
     }
     core
 }
 
-// An instance that has filled all endpoints, and has so many requests waiting.
+// Returns an instance with all endpoints at capacity and `waiting` queued requests.
 fn full(waiting: u64, endpoints: u64) -> Core {
     let mut core = fleet(endpoints);
     let slots = endpoints * u64::from(SLOTS);
-    for print in 0..slots + waiting {
-        admit(&mut core, Millis(0), print);
-        if print < slots {
+    for fingerprint in 0..slots + waiting {
+        admit(&mut core, Millis(0), fingerprint);
+        if fingerprint < slots {
             core.decide(Millis(0));
         }
     }
     core
 }
 
-fn peer(at: u64, number: u64, endpoints: u64) -> siskinyoke_dispatch::Report {
-    let mut report = common::report(&format!("i{at}"), number);
+fn peer(index: u64, number: u64, endpoints: u64) -> siskinyoke_dispatch::Report {
+    let mut report = common::report(&format!("i{index}"), number);
     report.running = (0..endpoints)
-        .filter(|it| it % PEERS == at % PEERS)
+        .filter(|it| it % PEERS == index % PEERS)
         .map(|it| common::running_row(&format!("e{it}"), 1))
         .collect();
     report
 }
 
 fn admit(core: &mut Core, now: Millis, fingerprint: u64) {
-    let Ok(pass) = core.route(now, common::request("/stream/x")) else {
+    let Ok(request) = core.route(now, common::request("/stream/x")) else {
         return;
     };
-    black_box(core.admit(now, &pass, fingerprint).is_ok());
+    black_box(core.admit(now, &request, fingerprint).is_ok());
 }
 
 fn serve(core: &mut Core, now: Millis) {
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Order, places and refusals before the endpoints.
+//! Queue order, use of slots, refusals and retries.
 
 mod common;
 
@@ -47,9 +47,9 @@
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
     let mut admit = |priority, at| {
-        let pending = pending(Kind::Safe, priority, at);
+        let request = pending(Kind::Safe, priority, at);
         scheduler
-            .admit(Millis(at), pending, &registry, &peers)
+            .admit(Millis(at), request, &registry, &peers)
             .unwrap()
     };
     let late = admit(2, 0);
@@ -62,17 +62,17 @@
     assert_eq!(started(&decisions), [late]);
 }
 
-// Endpoints run what arrives in order of arrival. If instances send more than an endpoint runs at
-// once, urgent work waits inside it behind whatever came before.
+// Endpoints run requests in order of arrival. If the instances together send an endpoint more
+// requests than it has slots, urgent requests wait there behind earlier ones.
 #[test]
 fn an_endpoint_is_given_no_more_than_it_runs_counted_over_all_instances() {
     let registry = registry(&[("e", 4)]);
     let mut peers = Peers::default();
-    let mut told = report("peer", 1);
-    told.running = vec![running_row("e", 3)];
+    let mut peer_report = report("peer", 1);
+    peer_report.running = vec![running_row("e", 3)];
     let mut scheduler = Scheduler::new("me", "a");
-    scheduler.record_peer_speeds(&told.running);
-    peers.receive(Millis(0), told);
+    scheduler.record_peer_speeds(&peer_report.running);
+    peers.receive(Millis(0), peer_report);
     for at in 0..3 {
         scheduler
             .admit(Millis(at), pending(Kind::Safe, 0, at), &registry, &peers)
@@ -82,28 +82,28 @@
         count_starts(&scheduler.decide(Millis(3), &registry, &peers)),
         1
     );
-    // A peer that falls silent no longer counts, so its places come free.
+    // A peer that stops reporting no longer counts, so its slots become free.
     assert_eq!(
         count_starts(&scheduler.decide(Millis(600), &registry, &peers)),
         2
     );
 }
 
-// A place comes free. Two instances hold waiting work; the one with less urgent work saw the
-// place first and took it, and the urgent request waited for another.
+// Two instances have waiting requests when a slot becomes free. The instance with the less urgent
+// request saw the free slot first and took it, and the urgent request kept waiting.
 #[test]
 fn a_free_place_is_left_to_more_urgent_work_elsewhere() {
     let registry = registry(&[("e", 1)]);
     let mut peers = Peers::default();
-    let mut told = report("peer", 1);
-    told.waiting = vec![WaitingRow {
+    let mut peer_report = report("peer", 1);
+    peer_report.waiting = vec![WaitingRow {
         service: short_hash("lm"),
         order: QueueOrder(0),
         count: 1,
         oldest_wait: 5,
         service_time: 200,
     }];
-    peers.receive(Millis(0), told);
+    peers.receive(Millis(0), peer_report);
     let mut scheduler = Scheduler::new("me", "a");
     scheduler
         .admit(Millis(0), pending(Kind::Safe, 1, 0), &registry, &peers)
@@ -112,7 +112,7 @@
         count_starts(&scheduler.decide(Millis(1), &registry, &peers)),
         0
     );
-    // The peer does not take it; a place is not kept for a silent one for long.
+    // The peer does not take the slot; it is not kept for long for a peer that stops reporting.
     assert_eq!(
         count_starts(&scheduler.decide(Millis(100), &registry, &peers)),
         1
@@ -130,10 +130,10 @@
                 .admit(Millis(at), pending(Kind::Safe, 1, at), &registry, &peers)
                 .err()
         })
-        .expect("a long queue refuses");
+        .expect("a request is refused once the queue is long");
     assert_eq!(refusal.reason, RefusalReason::Overload);
     assert!(refusal.retry_after > Millis::ZERO);
-    // The most urgent work is let in all the same.
+    // Requests of the highest priority are still admitted.
     assert!(
         scheduler
             .admit(Millis(60), pending(Kind::Safe, 0, 60), &registry, &peers)
@@ -141,15 +141,15 @@
     );
 }
 
-// In a peak, work that can be on time waits behind work that is late already, and so all of it
-// is late. Late work takes only what nothing else wants, and is refused when half of its time is
-// gone, so that its caller can still try elsewhere.
+// If requests that can be on time wait behind requests that are already late, all of them are late
+// during a peak. Late requests therefore get only slots that no other request needs, and are refused
+// once half of their time is over, so that their callers can still try elsewhere.
 #[test]
 fn late_work_gives_way_to_what_can_be_on_time_and_is_refused_in_the_end() {
     let registry = registry(&[("e", 1)]);
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
-    let runs = scheduler
+    let running = scheduler
         .admit(Millis(0), pending(Kind::Safe, 0, 0), &registry, &peers)
         .unwrap();
     let late = scheduler
@@ -160,7 +160,7 @@
     let fresh = scheduler
         .admit(Millis(601), pending(Kind::Safe, 1, 601), &registry, &peers)
         .unwrap();
-    scheduler.attempt_ended(Millis(602), runs, completed());
+    scheduler.attempt_ended(Millis(602), running, completed());
     assert_eq!(
         started(&scheduler.decide(Millis(602), &registry, &peers)),
         [fresh]
@@ -176,36 +176,36 @@
 #[test]
 fn a_caller_that_leaves_frees_its_place() {
     let mut core = core("i", 1);
-    let pass = core.route(Millis(0), request("/safe/x")).unwrap();
-    let first = core.admit(Millis(0), &pass, 1).unwrap();
-    let second = core.admit(Millis(0), &pass, 2).unwrap();
+    let routed = core.route(Millis(0), request("/safe/x")).unwrap();
+    let first = core.admit(Millis(0), &routed, 1).unwrap();
+    let second = core.admit(Millis(0), &routed, 2).unwrap();
     assert_eq!(started(&core.decide(Millis(0))), [first]);
     core.cancel(Millis(5), first);
     assert_eq!(started(&core.decide(Millis(5))), [second]);
 }
 
-// A non-idempotent request was sent, and the connection broke. Sent to another endpoint, a
-// booking would stand twice.
+// The connection is lost after a non-idempotent request was sent. If it were sent to another
+// endpoint, a booking could be made twice.
 #[test]
 fn what_may_have_run_goes_to_no_other_endpoint_unless_it_is_idempotent() {
-    for (path, again) in [("/unsafe/x", false), ("/safe/x", true), ("/stream/x", true)] {
+    for (path, retried) in [("/unsafe/x", false), ("/safe/x", true), ("/stream/x", true)] {
         let mut core = core("i", 1);
         core.registry().put(Millis(0), endpoint("e2", 1));
-        let pass = core.route(Millis(0), request(path)).unwrap();
-        let ticket = core.admit(Millis(0), &pass, 1).unwrap();
+        let routed = core.route(Millis(0), request(path)).unwrap();
+        let ticket = core.admit(Millis(0), &routed, 1).unwrap();
         core.decide(Millis(0));
         let next = core.attempt_ended(Millis(5), ticket, Outcome::ConnectionLost, true);
-        assert_eq!(next.is_some(), again, "{path}");
+        assert_eq!(next.is_some(), retried, "{path}");
     }
 }
 
-// The only endpoint breaks off, and no other could serve. Held until its caller's deadline, the
-// request would keep its caller from trying anything else.
+// The connection to the only endpoint is lost. If the request were queued until its deadline, its
+// caller could not try anything else in time.
 #[test]
 fn a_request_that_no_endpoint_can_serve_any_more_is_answered_at_once() {
     let mut core = core("i", 1);
-    let pass = core.route(Millis(0), request("/safe/x")).unwrap();
-    let ticket = core.admit(Millis(0), &pass, 1).unwrap();
+    let routed = core.route(Millis(0), request("/safe/x")).unwrap();
+    let ticket = core.admit(Millis(0), &routed, 1).unwrap();
     core.decide(Millis(0));
     core.attempt_ended(Millis(5), ticket, Outcome::ConnectionLost, true)
         .unwrap();
@@ -219,15 +219,15 @@
     for outcome in [Outcome::ConnectFailed, Outcome::Full, Outcome::Misdirected] {
         let mut core = core("i", 1);
         core.registry().put(Millis(0), endpoint("e2", 1));
-        let pass = core.route(Millis(0), request("/unsafe/x")).unwrap();
-        let ticket = core.admit(Millis(0), &pass, 1).unwrap();
+        let routed = core.route(Millis(0), request("/unsafe/x")).unwrap();
+        let ticket = core.admit(Millis(0), &routed, 1).unwrap();
         let Some(Decision::Start(_, first)) = core.decide(Millis(0)).pop() else {
-            panic!("nothing started");
+            panic!("no request started");
         };
         let next = core.attempt_ended(Millis(5), ticket, outcome, true);
         assert!(next.is_some(), "{outcome:?}");
         let Some(Decision::Start(_, second)) = core.decide(Millis(5)).pop() else {
-            panic!("nothing started after {outcome:?}");
+            panic!("no request started after {outcome:?}");
         };
         assert_ne!(first.id, second.id);
     }
@@ -239,8 +239,8 @@
     for id in ["e2", "e3", "e4"] {
         core.registry().put(Millis(0), endpoint(id, 1));
     }
-    let pass = core.route(Millis(0), request("/safe/x")).unwrap();
-    let mut ticket = core.admit(Millis(0), &pass, 1).unwrap();
+    let routed = core.route(Millis(0), request("/safe/x")).unwrap();
+    let mut ticket = core.admit(Millis(0), &routed, 1).unwrap();
     let mut sent = 0;
     loop {
         sent += count_starts(&core.decide(Millis(sent as u64)));
@@ -252,28 +252,28 @@
     assert_eq!(sent, 2);
 }
 
-// A failing service answers everything with errors. Retries without a bound would double its
-// load when it can carry least.
+// A failing service responds to all requests with errors. Unlimited retries would double the load
+// when the service has the least capacity.
 #[test]
 fn retries_keep_to_their_part_of_the_requests() {
     let mut core = core("i", 1_000);
     core.registry().put(Millis(0), endpoint("e2", 1_000));
-    let mut again = 0;
+    let mut retries = 0;
     for at in 0..400_u64 {
         let now = Millis(at * 10);
-        let pass = core.route(now, request("/safe/x")).unwrap();
-        let ticket = core.admit(now, &pass, at).unwrap();
+        let routed = core.route(now, request("/safe/x")).unwrap();
+        let ticket = core.admit(now, &routed, at).unwrap();
         core.decide(now);
         if let Some(next) = core.attempt_ended(now, ticket, Outcome::Failed, true) {
-            again += 1;
+            retries += 1;
             core.cancel(now, next);
         }
     }
-    assert!(again <= 400 / 5 + 2, "{again}");
-    assert!(again >= 400 / 10, "{again}");
+    assert!(retries <= 400 / 5 + 2, "{retries}");
+    assert!(retries >= 400 / 10, "{retries}");
 }
 
-// One request crashes each endpoint that runs it, and its caller sends it again and again.
+// A request crashes every endpoint that runs it, and its caller sends it repeatedly.
 #[test]
 fn work_that_crashed_two_endpoints_runs_no_more_here_or_at_peers() {
     let mut one = core("i1", 10);
@@ -281,8 +281,8 @@
     for id in ["e2", "e3"] {
         one.registry().put(Millis(0), endpoint(id, 10));
     }
-    let pass = one.route(Millis(0), request("/safe/x")).unwrap();
-    let ticket = one.admit(Millis(0), &pass, 77).unwrap();
+    let routed = one.route(Millis(0), request("/safe/x")).unwrap();
+    let ticket = one.admit(Millis(0), &routed, 77).unwrap();
     one.decide(Millis(0));
     let next = one
         .attempt_ended(Millis(1), ticket, Outcome::ConnectionLost, true)
@@ -293,20 +293,20 @@
             .is_none()
     );
     assert_eq!(
-        one.admit(Millis(3), &pass, 77).unwrap_err().reason,
+        one.admit(Millis(3), &routed, 77).unwrap_err().reason,
         RefusalReason::Quarantined
     );
-    let told = one.next_report(Millis(3), true);
-    other.receive_report(Millis(3), told);
+    let peer_report = one.next_report(Millis(3), true);
+    other.receive_report(Millis(3), peer_report);
     assert_eq!(
-        other.admit(Millis(3), &pass, 77).unwrap_err().reason,
+        other.admit(Millis(3), &routed, 77).unwrap_err().reason,
         RefusalReason::Quarantined
     );
-    assert!(other.admit(Millis(3), &pass, 78).is_ok());
+    assert!(other.admit(Millis(3), &routed, 78).is_ok());
 }
 
-// An endpoint starts with all its places free, and is four times as slow as the others. Every instance sends it
-// its next requests at once, and they wait there for seconds.
+// An endpoint that starts has all its slots free, and is four times slower than the others. If every
+// instance sends its next requests there at once, they wait for seconds.
 #[test]
 fn an_endpoint_of_unknown_pace_is_given_few_requests_until_its_first_answer() {
     let registry = registry(&[("e", 12)]);
@@ -314,9 +314,9 @@
     let mut scheduler = Scheduler::new("me", "a");
     let tickets: Vec<Ticket> = (0..12)
         .map(|at| {
-            let pending = pending(Kind::Safe, 0, at);
+            let request = pending(Kind::Safe, 0, at);
             scheduler
-                .admit(Millis(at), pending, &registry, &peers)
+                .admit(Millis(at), request, &registry, &peers)
                 .unwrap()
         })
         .collect();
@@ -329,12 +329,12 @@
         count_starts(&scheduler.decide(Millis(60), &registry, &peers)),
         9
     );
-    // A pace that a peer saw counts as well.
+    // A speed that a peer reports counts as well.
     let mut other = Scheduler::new("me", "a");
     other.record_peer_speeds(&[running_row("e", 1)]);
     for at in 0..12 {
-        let pending = pending(Kind::Safe, 0, at);
-        other.admit(Millis(at), pending, &registry, &peers).unwrap();
+        let request = pending(Kind::Safe, 0, at);
+        other.admit(Millis(at), request, &registry, &peers).unwrap();
     }
     assert_eq!(
         count_starts(&other.decide(Millis(20), &registry, &peers)),
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -1,4 +1,4 @@
-//! Endpoints whose slots stand idle while the end of an answer and the next request are on their way.
+//! Use of an endpoint's slots while responses and the next requests are in transit.
 
 mod common;
 
@@ -18,34 +18,35 @@
 
 const SLOTS: u32 = 6;
 
-/// How long a request or an answer is on its way, with what it waits for a small instance, in ms.
+/// How long a request or a response is in transit, including processing by a small instance.
 const NETWORK_DELAY_MS: u64 = 10;
 
-/// How long a request runs at the fast endpoint, and at the usual one.
+/// The service times at the fast and at the normal endpoint.
 const FAST_SERVICE_MS: u64 = 100;
-const USUAL_SERVICE_MS: u64 = 200;
+const NORMAL_SERVICE_MS: u64 = 200;
 
-/// How long a full load is played, in ms.
+/// The simulated duration.
 const DURATION_MS: u64 = 20_000;
 
-/// An endpoint that runs what arrives in order of arrival.
+/// A simulated endpoint that runs requests in order of arrival.
 struct Engine {
     name: &'static str,
     service_ms: u64,
-    // Arrivals that are on their way or wait, with when they are there.
+    // Requests in transit or waiting for a slot, with their arrival times.
     queue: VecDeque<(u64, Ticket)>,
-    // When each slot is free.
+    // When each slot becomes free.
     slots: Vec<u64>,
-    // Time in which slots ran something, and the longest wait for a slot.
+    // The total time for which slots were in use.
     busy_ms: u64,
+    // The longest wait for a slot.
     max_wait: u64,
 }
 
 impl Engine {
-    fn new(name: &'static str, takes: u64) -> Self {
+    fn new(name: &'static str, service_ms: u64) -> Self {
         Self {
             name,
-            service_ms: takes,
+            service_ms,
             queue: VecDeque::new(),
             slots: vec![0; SLOTS as usize],
             busy_ms: 0,
@@ -53,9 +54,9 @@
         }
     }
 
-    // Starts what can start, and returns it with when its answer is back.
+    // Starts waiting requests on free slots, and returns them with the times when their responses arrive.
     fn start(&mut self, now: u64) -> Vec<(u64, Ticket)> {
-        let mut done = Vec::new();
+        let mut responses = Vec::new();
         while let Some((at, ticket)) = self.queue.front().copied()
             && at <= now
             && let Some(slot) = self.slots.iter_mut().find(|it| **it <= now)
@@ -64,14 +65,14 @@
             *slot = now + self.service_ms;
             self.busy_ms += self.service_ms;
             self.max_wait = self.max_wait.max(now - at);
-            done.push((now + self.service_ms + NETWORK_DELAY_MS, ticket));
+            responses.push((now + self.service_ms + NETWORK_DELAY_MS, ticket));
         }
-        done
+        responses
     }
 }
 
-// A full load on a fast endpoint and a usual one. A sixth of the fast one's time passed with free slots while
-// requests waited for it.
+// A fast and a normal endpoint under full load. Each slot of the fast endpoint was idle for a sixth of the time,
+// although requests waited for it: the next request was sent only after the previous response had arrived.
 #[test]
 fn under_a_full_load_the_slots_of_a_fast_endpoint_are_never_idle_for_long() {
     let mut scheduler = Scheduler::new("me", "a");
@@ -79,17 +80,17 @@
     for id in ["fast", "usual"] {
         registry.put(Millis(0), endpoint(id, SLOTS));
     }
-    for (id, pace) in [("fast", 4), ("usual", 8)] {
+    for (id, speed_factor) in [("fast", 4), ("usual", 8)] {
         let mut row = running_row(id, 0);
-        row.speed_factor = pace;
+        row.speed_factor = speed_factor;
         scheduler.record_peer_speeds(&[row]);
     }
     let peers = Peers::default();
     let mut engines = [
         Engine::new("fast", FAST_SERVICE_MS),
-        Engine::new("usual", USUAL_SERVICE_MS),
+        Engine::new("usual", NORMAL_SERVICE_MS),
     ];
-    let mut answers: Vec<(u64, Ticket)> = Vec::new();
+    let mut responses: Vec<(u64, Ticket)> = Vec::new();
     for now in 1..DURATION_MS {
         while scheduler.request_counts().0 < 20 {
             let request = pending(Kind::Safe, 0, now);
@@ -99,9 +100,9 @@
                     .is_ok()
             );
         }
-        let (back, rest) = answers.into_iter().partition(|it| it.0 <= now);
-        answers = rest;
-        for (_, ticket) in back {
+        let (arrived, rest) = responses.into_iter().partition(|it| it.0 <= now);
+        responses = rest;
+        for (_, ticket) in arrived {
             scheduler.attempt_ended(Millis(now), ticket, outcome());
         }
         for decision in scheduler.decide(Millis(now), &registry, &peers) {
@@ -113,14 +114,14 @@
                     .push_back((now + NETWORK_DELAY_MS, ticket));
             }
         }
-        answers.extend(engines.iter_mut().flat_map(|it| it.start(now)));
+        responses.extend(engines.iter_mut().flat_map(|it| it.start(now)));
     }
-    let used = engines[0].busy_ms * 100 / (DURATION_MS * u64::from(SLOTS));
-    assert!(used >= 92, "{used} in 100");
-    assert_eq!(engines[1].max_wait, 0, "at the usual endpoint");
+    let used_percent = engines[0].busy_ms * 100 / (DURATION_MS * u64::from(SLOTS));
+    assert!(used_percent >= 92, "{used_percent} % of slot time in use");
+    assert_eq!(engines[1].max_wait, 0, "wait at the normal endpoint");
 }
 
-// Whole answers at the pace that peers told.
+// A complete response at the speed that the peers reported.
 fn outcome() -> Outcome {
     Outcome::Completed {
         to_first_part: Millis(100),
