--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn pending(kind: Kind, priority: u8, arrived: u64) -> ScheduledRequest {
+pub fn scheduled_request(kind: Kind, priority: u8, arrived: u64) -> ScheduledRequest {
     let route = route(kind, priority);
     ScheduledRequest {
         service: "lm".into(),
--- a/crates/siskinyoke-dispatch/tests/configuration.rs
+++ b/crates/siskinyoke-dispatch/tests/configuration.rs
@@ -16,7 +16,7 @@
 use siskinyoke_dispatch::core::IncomingRequest;
 
 #[test]
-fn the_longest_prefix_takes_a_request() {
+fn a_request_matches_the_route_with_the_longest_prefix() {
     let mut configuration = configuration(1, organisation(0.0, 0.0));
     for prefix in ["/a/", "/a/b/c/", "/a/b/"] {
         let name = prefix.into();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn nothing_is_denied_before_a_configuration_is_known() {
+fn requests_before_the_first_configuration_are_refused_as_not_ready() {
     let mut core = Core::new(identity("i", 1));
     let refusal = core.route(Millis(0), request("/nowhere/")).unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::NotReady);
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -12,8 +12,8 @@
 use crate::common::identity;
 use crate::common::location;
 use crate::common::organisation;
-use crate::common::pending;
 use crate::common::route;
+use crate::common::scheduled_request;
 use crate::engine::Engine;
 use crate::engine::Run;
 use siskinyoke_base::Millis;
@@ -329,7 +329,7 @@
 fn configuration(classes: &[RequestClass]) -> Configuration {
     let mut configuration = crate::common::configuration(1, organisation(0.0, 0.0));
     for (at, class) in classes.iter().enumerate() {
-        let template = pending(Kind::Stream, class.priority, 0).route;
+        let template = scheduled_request(Kind::Stream, class.priority, 0).route;
         let route = Route {
             name: format!("{at}").into(),
             prefix: format!("/{at}/").into(),
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -6,8 +6,8 @@
 
 use crate::common::completed;
 use crate::common::endpoint;
-use crate::common::pending;
 use crate::common::running_row;
+use crate::common::scheduled_request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
@@ -80,7 +80,7 @@
 fn stream(at: u64, prompt: f64, output: f64) -> ScheduledRequest {
     ScheduledRequest {
         tokens: TokenCounts { prompt, output },
-        ..pending(Kind::Stream, 0, at)
+        ..scheduled_request(Kind::Stream, 0, at)
     }
 }
 
@@ -146,7 +146,7 @@
     for at in 0..1_000 {
         let now = Millis(START + at * 10);
         if at % 30 == 0 {
-            world.admit(pending(Kind::Safe, 1, now.0));
+            world.admit(scheduled_request(Kind::Safe, 1, now.0));
         }
         let decisions = world.scheduler.decide(now, &world.registry, &world.peers);
         told.extend(decisions.into_iter().filter_map(|it| match it {
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -6,10 +6,10 @@
 use crate::common::core;
 use crate::common::count_starts;
 use crate::common::endpoint;
-use crate::common::pending;
 use crate::common::report;
 use crate::common::request;
 use crate::common::running_row;
+use crate::common::scheduled_request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Kind;
@@ -47,7 +47,7 @@
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
     let mut admit = |priority, at| {
-        let request = pending(Kind::Safe, priority, at);
+        let request = scheduled_request(Kind::Safe, priority, at);
         scheduler
             .admit(Millis(at), request, &registry, &peers)
             .unwrap()
@@ -75,7 +75,12 @@
     peers.receive(Millis(0), peer_report);
     for at in 0..3 {
         scheduler
-            .admit(Millis(at), pending(Kind::Safe, 0, at), &registry, &peers)
+            .admit(
+                Millis(at),
+                scheduled_request(Kind::Safe, 0, at),
+                &registry,
+                &peers,
+            )
             .unwrap();
     }
     assert_eq!(
@@ -106,7 +111,12 @@
     peers.receive(Millis(0), peer_report);
     let mut scheduler = Scheduler::new("me", "a");
     scheduler
-        .admit(Millis(0), pending(Kind::Safe, 1, 0), &registry, &peers)
+        .admit(
+            Millis(0),
+            scheduled_request(Kind::Safe, 1, 0),
+            &registry,
+            &peers,
+        )
         .unwrap();
     assert_eq!(
         count_starts(&scheduler.decide(Millis(1), &registry, &peers)),
@@ -127,7 +137,12 @@
     let refusal = (0..50)
         .find_map(|at| {
             scheduler
-                .admit(Millis(at), pending(Kind::Safe, 1, at), &registry, &peers)
+                .admit(
+                    Millis(at),
+                    scheduled_request(Kind::Safe, 1, at),
+                    &registry,
+                    &peers,
+                )
                 .err()
         })
         .expect("a request is refused once the queue is long");
@@ -136,7 +151,12 @@
     // Requests of the highest priority are still admitted.
     assert!(
         scheduler
-            .admit(Millis(60), pending(Kind::Safe, 0, 60), &registry, &peers)
+            .admit(
+                Millis(60),
+                scheduled_request(Kind::Safe, 0, 60),
+                &registry,
+                &peers
+            )
             .is_ok()
     );
 }
@@ -150,15 +170,30 @@
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
     let running = scheduler
-        .admit(Millis(0), pending(Kind::Safe, 0, 0), &registry, &peers)
+        .admit(
+            Millis(0),
+            scheduled_request(Kind::Safe, 0, 0),
+            &registry,
+            &peers,
+        )
         .unwrap();
     let late = scheduler
-        .admit(Millis(0), pending(Kind::Safe, 1, 0), &registry, &peers)
+        .admit(
+            Millis(0),
+            scheduled_request(Kind::Safe, 1, 0),
+            &registry,
+            &peers,
+        )
         .unwrap();
     scheduler.decide(Millis(1), &registry, &peers);
     assert!(scheduler.decide(Millis(600), &registry, &peers).is_empty());
     let fresh = scheduler
-        .admit(Millis(601), pending(Kind::Safe, 1, 601), &registry, &peers)
+        .admit(
+            Millis(601),
+            scheduled_request(Kind::Safe, 1, 601),
+            &registry,
+            &peers,
+        )
         .unwrap();
     scheduler.attempt_ended(Millis(602), running, completed());
     assert_eq!(
@@ -314,7 +349,7 @@
     let mut scheduler = Scheduler::new("me", "a");
     let tickets: Vec<Ticket> = (0..12)
         .map(|at| {
-            let request = pending(Kind::Safe, 0, at);
+            let request = scheduled_request(Kind::Safe, 0, at);
             scheduler
                 .admit(Millis(at), request, &registry, &peers)
                 .unwrap()
@@ -333,7 +368,7 @@
     let mut other = Scheduler::new("me", "a");
     other.record_peer_speeds(&[running_row("e", 1)]);
     for at in 0..12 {
-        let request = pending(Kind::Safe, 0, at);
+        let request = scheduled_request(Kind::Safe, 0, at);
         other.admit(Millis(at), request, &registry, &peers).unwrap();
     }
     assert_eq!(
