--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -6,8 +6,8 @@
 
 use crate::common::completed;
 use crate::common::endpoint;
-use crate::common::pending;
 use crate::common::running_row;
+use crate::common::scheduled_request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
@@ -80,7 +80,7 @@
 fn stream(at: u64, prompt: f64, output: f64) -> ScheduledRequest {
     ScheduledRequest {
         tokens: TokenCounts { prompt, output },
-        ..pending(Kind::Stream, 0, at)
+        ..scheduled_request(Kind::Stream, 0, at)
     }
 }
 
@@ -149,7 +149,7 @@
     for at in 0..1_000 {
         let now = Millis(START_MS + at * 10);
         if at % 30 == 0 {
-            fixture.admit(pending(Kind::Safe, 1, now.0));
+            fixture.admit(scheduled_request(Kind::Safe, 1, now.0));
         }
         let decisions = fixture
             .scheduler
