--- a/crates/siskinyoke-dispatch/src/quarantine.rs
+++ b/crates/siskinyoke-dispatch/src/quarantine.rs
@@ -6,12 +6,12 @@
 /// The number of crashes after which a request is quarantined.
 ///
 /// After one crash the endpoint itself is the likelier cause; a second crash of another endpoint
-/// under the same request points to the request. The platform's rules tolerate three crashes. A limit of two
-/// leaves a margin for retries that start before a crash is reported to all instances.
+/// under the same request points to the request. The platform's rules tolerate three crashes. A
+/// limit of two leaves a margin for retries that start before a crash is reported to all instances.
 const MAX_CRASHES: usize = 2;
 
 /// How long a request stays quarantined after its last crash.
-const QUARANTINE_TIME: Millis = Millis::from_secs(120);
+const RECORD_TTL: Millis = Millis::from_secs(120);
 
 /// The maximum number of fingerprints kept; the one with the oldest crash is evicted first.
 const MAX_FINGERPRINTS: usize = 256;
@@ -22,7 +22,8 @@
     // than a count: if three instances each saw one crash at the same time, merged counts would
     // remain at one.
     endpoints: Vec<u32>,
-    last_crash: Millis,
+    // When the last crash was recorded.
+    last: Millis,
 }
 
 /// Fingerprints of requests that were running when endpoints crashed.
@@ -40,7 +41,7 @@
             return;
         }
         record.endpoints.push(endpoint);
-        record.last_crash = now;
+        record.last = now;
         self.evict_oldest();
     }
 
@@ -51,9 +52,9 @@
 
     /// Returns whether a request must not be run.
     pub fn is_quarantined(&self, now: Millis, fingerprint: u64) -> bool {
-        self.records.get(&fingerprint).is_some_and(|record| {
-            record.endpoints.len() >= MAX_CRASHES && now.since(record.last_crash) < QUARANTINE_TIME
-        })
+        self.records
+            .get(&fingerprint)
+            .is_some_and(|it| it.endpoints.len() >= MAX_CRASHES && now.since(it.last) < RECORD_TTL)
     }
 
     /// Returns whether no crashes are recorded.
@@ -64,9 +65,7 @@
     /// Returns the most recent crashes, which are reported to peers, latest first.
     pub fn recent_crashes(&self, limit: usize) -> Vec<(u64, Vec<u32>)> {
         let mut all: Vec<_> = self.records.iter().collect();
-        all.sort_by_key(|(fingerprint, record)| {
-            (std::cmp::Reverse(record.last_crash), **fingerprint)
-        });
+        all.sort_by_key(|(key, record)| (std::cmp::Reverse(record.last), **key));
         all.iter()
             .take(limit)
             .map(|(fingerprint, record)| (**fingerprint, record.endpoints.clone()))
@@ -80,7 +79,7 @@
         let oldest = self
             .records
             .iter()
-            .min_by_key(|(fingerprint, record)| (record.last_crash, **fingerprint));
+            .min_by_key(|(fingerprint, record)| (record.last, **fingerprint));
         if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
             self.records.remove(&fingerprint);
         }
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -274,10 +274,10 @@
         speed_factor: SLOW_FACTOR,
         ..running_row("slow", 0)
     }]);
-    let candidate = |free_slots| {
+    let candidate = |slots| {
         [Candidate {
             endpoint: slow.clone(),
-            free_slots,
+            free_slots: slots,
             queue_slots: 0,
             prefill_tokens: 0.0,
             slow: true,
@@ -296,9 +296,9 @@
     let latency_model = LatencyModel::default();
     let pending = stream(0, 100.0, 1_500.0);
     let service_time = latency_model.service_time_of(&pending.tokens);
-    let deadline = Millis(service_time.0 * 3 / 2);
+    let enough_time = Millis(service_time.0 * 3 / 2);
     let pending = ScheduledRequest {
-        deadline,
+        deadline: enough_time,
         ..pending
     };
     let query = PlacementQuery {
@@ -325,7 +325,7 @@
         "there is enough time"
     );
     let short = ScheduledRequest {
-        deadline: Millis(deadline.0 - 100),
+        deadline: Millis(enough_time.0 - 100),
         ..pending.clone()
     };
     let query = PlacementQuery {
--- a/crates/siskinyoke-dispatch/tests/rollouts/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/main.rs
@@ -25,7 +25,7 @@
     Fault::Fails(1.0),
     Fault::Slow(5.0),
     Fault::FailsLater(0.4, 3_000),
-    Fault::FailsOnOneRoute(0.8),
+    Fault::FailsOnRoute(0.8),
     Fault::FailsUnderLoad(0.6),
 ];
 
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -58,7 +58,7 @@
     /// This share of its responses fail, starting this many ms after the order.
     FailsLater(f64, u64),
     /// This share of its responses fail on one route.
-    FailsOnOneRoute(f64),
+    FailsOnRoute(f64),
     /// This share of its responses fail if more than half of the endpoint's slots are taken.
     FailsUnderLoad(f64),
 }
@@ -382,9 +382,7 @@
             Fault::Fails(ratio) => (ratio, 1.0),
             Fault::Slow(factor) => (0.01, factor),
             Fault::FailsLater(ratio, start) => (if age >= start { ratio } else { 0.01 }, 1.0),
-            Fault::FailsOnOneRoute(ratio) => {
-                (if &*route.name == "safe" { 0.01 } else { ratio }, 1.0)
-            }
+            Fault::FailsOnRoute(ratio) => (if &*route.name == "safe" { 0.01 } else { ratio }, 1.0),
             Fault::FailsUnderLoad(ratio) => (if under_load { ratio } else { 0.01 }, 1.0),
         };
         let failed = self.rng.random_bool(failure_ratio) || self.failing_until[index] > self.now;
