--- a/crates/siskinyoke-dispatch/src/latency_model.rs
+++ b/crates/siskinyoke-dispatch/src/latency_model.rs
@@ -75,13 +75,13 @@
     pub fn record_completion(
         &mut self,
         tokens: &TokenCounts,
-        first: Millis,
-        took: Millis,
+        to_first_part: Millis,
+        total: Millis,
         parts: u32,
     ) {
-        self.service_time += (millis_to_f64(took) - self.service_time) * MEAN_WEIGHT;
+        self.service_time += (millis_to_f64(total) - self.service_time) * MEAN_WEIGHT;
         if parts > 1 {
-            let interval = millis_to_f64(took.since(first)) / f64::from(parts - 1);
+            let interval = millis_to_f64(total.since(to_first_part)) / f64::from(parts - 1);
             self.part_interval += (interval - self.part_interval) * MEAN_WEIGHT;
         }
         if tokens.output > 0.0 && parts > 0 {
@@ -100,12 +100,12 @@
     }
 
     /// Returns how long responses at an endpoint with a speed factor of 1 pause while it processes
-    /// a prompt of so many tokens.
+    /// a prompt.
     ///
     /// Engines interleave prompt processing with output generation, so the pause grows with the
     /// prompt, up to the long pause observed.
-    pub fn expected_pause(&self, prompt: f64) -> f64 {
-        (self.part_interval + self.first_part.slope() * prompt).min(self.long_pause)
+    pub fn expected_pause(&self, prompt_tokens: f64) -> f64 {
+        (self.part_interval + self.first_part.slope() * prompt_tokens).min(self.long_pause)
     }
 
     /// Returns the mean service time.
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -37,7 +37,7 @@
         self.keys.is_empty()
     }
 
-    /// Summarises the waiting requests by order; `service_time` gives the service time of each.
+    /// Returns a summary of the waiting requests by order, with the sum of their service times.
     pub fn summary(
         &self,
         now: Millis,
@@ -45,7 +45,7 @@
         service_time: impl Fn(Ticket) -> Millis,
     ) -> Vec<WaitingRow> {
         let mut rows: Vec<WaitingRow> = Vec::new();
-        for (order, position, ticket) in &self.keys {
+        for (order, virtual_arrival, ticket) in &self.keys {
             let time_ms = u32::try_from(service_time(*ticket).0).unwrap_or(u32::MAX);
             match rows.last_mut() {
                 Some(row) if row.order == *order => {
@@ -56,7 +56,7 @@
                     service,
                     order: *order,
                     count: 1,
-                    oldest_wait: u32::try_from(now.since(*position).0).unwrap_or(u32::MAX),
+                    oldest_wait: u32::try_from(now.since(*virtual_arrival).0).unwrap_or(u32::MAX),
                     service_time: time_ms,
                 }),
             }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -98,9 +98,9 @@
     rate_limits: RateLimits,
     // Slots lent to other shards, by the id of the borrow request.
     lent_slots: Map<u64, lending::LentSlot>,
-    // When a slot was last requested from other shards, by waiting request.
+    // When other instances were last asked for a slot or a token, by waiting request.
     last_queries: Map<Ticket, Millis>,
-    // The last reply to such a request, by service.
+    // The last reply of other shards to a request for a slot, by service.
     last_replies: Map<Arc<str>, lending::LastReply>,
     // When holders of rate limits last declined to lend a token, by service.
     token_refusals: Map<Arc<str>, Millis>,
@@ -176,7 +176,7 @@
         })
     }
 
-    /// Starts and refuses waiting requests as far as possible now.
+    /// Returns the decisions on waiting requests that can be made now.
     pub fn decide(&mut self, now: Millis, registry: &Registry, peers: &Peers) -> Vec<Decision> {
         let view = ClusterView {
             now,
--- a/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -21,8 +21,8 @@
 use crate::wait;
 use siskinyoke_base::Millis;
 
-/// The share of its slots that an endpoint of unknown speed is used with, as a divisor, and the
-/// smallest number of slots.
+/// The share of its slots that is used at an endpoint of unknown speed, as a divisor, and the smallest
+/// number of slots.
 ///
 /// An endpoint that has just started has all its slots free. Without this limit every instance sends
 /// its next requests there, and if the endpoint is slow, they wait there for seconds. Its first
@@ -202,7 +202,7 @@
             .collect()
     }
 
-    // Moves a waiting request to an endpoint.
+    // Records that a waiting request is sent to an endpoint.
     pub(super) fn send_to(
         &mut self,
         now: Millis,
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    // Returns the refusal of a request that has waited too long. A request that would be late but can
-    // still be served before its caller leaves is marked late instead.
+    // Returns a refusal if a request has waited too long. A request that can no longer be on time, but
+    // can be served within its late timeout, is marked late instead.
     fn check_expired(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let request = &self.waiting[&ticket];
         let latency = self.latency_model(&request.service);
@@ -49,8 +49,8 @@
             return None;
         }
         let late_timeout = wait::late_timeout(request, latency);
-        let final_timeout = request.late || wait::is_retry(request);
-        if final_timeout && waited < late_timeout {
+        let uses_late_timeout = request.late || wait::is_retry(request);
+        if uses_late_timeout && waited < late_timeout {
             return None;
         }
         let late = ScheduledRequest {
@@ -58,7 +58,7 @@
             ..request.clone()
         };
         let wait = self.expected_wait(view, &late);
-        if !final_timeout && waited + wait <= late_timeout {
+        if !uses_late_timeout && waited + wait <= late_timeout {
             self.mark_late(ticket);
             return None;
         }
@@ -84,7 +84,7 @@
         None
     }
 
-    // Moves a request behind those that can still be on time.
+    // Marks a request late, which moves it behind those that can still be on time.
     fn mark_late(&mut self, ticket: Ticket) {
         let Some(request) = self.waiting.get_mut(&ticket) else {
             return;
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -17,12 +17,12 @@
         &mut self,
         key: EndpointKey,
         request: &ScheduledRequest,
-        first: Millis,
+        to_first_part: Millis,
     ) {
         let latency = self.latencies.entry(request.service.clone()).or_default();
         self.selector
-            .record_speed(key, first, latency.first_part_time(&request.tokens));
-        latency.record_first_part(&request.tokens, first);
+            .record_speed(key, to_first_part, latency.first_part_time(&request.tokens));
+        latency.record_first_part(&request.tokens, to_first_part);
     }
 
     // Records the time from the first to the last part of a response, and its longest pause.
