--- a/crates/siskinyoke-dispatch/src/quota.rs
+++ b/crates/siskinyoke-dispatch/src/quota.rs
@@ -16,8 +16,8 @@
 /// Fill ratio of a bucket when the process starts.
 ///
 /// An empty bucket would reject the first requests after a restart of all instances even from
-/// organisations within their quota. A fuller one would let an organisation above its quota use
-/// the burst twice.
+/// organisations within their quota. A fuller one would grant an organisation above its quota these
+/// units on top of what it was granted before the restart.
 const INITIAL_FILL_RATIO: f64 = 0.15;
 
 /// Fill ratio below which a bucket lends nothing to other shards.
@@ -33,7 +33,7 @@
 /// would otherwise be available only once, and steady use within the limit would be rejected.
 const MAX_BURST_SPAN: Millis = Millis(1_000);
 
-/// How compliance with quotas is measured.
+/// How operators measure compliance with quotas.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaPolicy {
     /// Length of the sliding window.
@@ -210,8 +210,8 @@
     ///
     /// A large fleet has one bucket per shard, each worth only a few requests. Requests arrive
     /// unevenly, so without lending a shard's bucket can be empty while the organisation uses half
-    /// of its quota. Lent units leave this bucket at once, so none are granted twice. A quarter of
-    /// the capacity is never lent.
+    /// of its quota. Lent units leave this bucket at once, so none are granted twice.
+    /// `LENDING_RESERVE_RATIO` of the capacity is never lent.
     pub fn lend(&mut self, now: Millis, key: u32, units: u64, fleet_share: f64) -> u64 {
         let Some(bucket) = self.buckets.get_mut(&key) else {
             return 0;
@@ -228,14 +228,14 @@
 
     /// Subtracts what a peer used since its last report.
     ///
-    /// `young` tells whether the peer's process is no older than this one. If so, the total in its
-    /// first report is subtracted as well: after all instances were killed, they grant requests for
-    /// some time before they receive each other's reports. Usage of older peers before their first
-    /// report is ignored, because the buckets here started almost empty.
-    pub fn record_peer_usage(&mut self, peer: u64, young: bool, totals: &[(u32, i64)]) {
+    /// `no_older` tells whether the peer's process is no older than this one. If so, the total in
+    /// its first report is subtracted as well: after all instances were killed, they grant requests
+    /// for some time before they receive each other's reports. Usage of older peers before their
+    /// first report is ignored, because the buckets here started almost empty.
+    pub fn record_peer_usage(&mut self, peer: u64, no_older: bool, totals: &[(u32, i64)]) {
         for (key, total) in totals {
             let previous = self.peer_totals.insert((peer, *key), *total);
-            let previous = if young {
+            let previous = if no_older {
                 previous.or(Some(0))
             } else {
                 previous
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Returns the rows for a report to peers, newest first: limits changed since `since` that are in
-    /// force or were lifted recently.
+    /// Returns the rows for a report to peers, newest first: limits changed since `since` that are
+    /// in force or were lifted recently.
     pub fn report_rows(&self, now: Millis, since: Millis) -> Vec<LimitRow> {
         let limits = self.limits.iter();
         let mut rows: Vec<LimitRow> = limits
@@ -232,7 +232,7 @@
 // Returns the maximum number of holders of a limit: one per whole request a second, at least one.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "a fleet has far fewer instances"
+    reason = "the range far exceeds the number of instances"
 )]
 #[expect(clippy::cast_sign_loss, reason = "rates are not negative")]
 fn max_holders(rate: f64) -> usize {
--- a/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits/rate_limit.rs
@@ -93,8 +93,8 @@
 
     /// Sets the shares of this instance and its shard, and refills the bucket at the previous rate.
     ///
-    /// An instance that becomes a holder starts without tokens, because the previous holder may just
-    /// have used them.
+    /// An instance that becomes a holder starts without tokens, because the previous holder may
+    /// just have used them.
     pub(super) fn set_rates(&mut self, now: Millis, instance_rate: f64, shard_rate: f64) {
         self.shard_rate = shard_rate;
         let previous = self
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -119,8 +119,8 @@
 impl Simulation {
     /// Starts all instances and endpoints.
     pub fn new(seed: u64, scenario: Scenario) -> Self {
-        let endpoints = (0..ENDPOINT_COUNT).map(|at| SimulatedEndpoint {
-            endpoint: endpoint(&format!("e{at}"), SLOTS_PER_ENDPOINT),
+        let endpoints = (0..ENDPOINT_COUNT).map(|index| SimulatedEndpoint {
+            endpoint: endpoint(&format!("e{index}"), SLOTS_PER_ENDPOINT),
             running: Vec::new(),
             down_until: None,
         });
@@ -141,7 +141,7 @@
             violations: Vec::new(),
         };
         simulation.cores = (0..INSTANCE_COUNT)
-            .map(|at| simulation.start_instance(at))
+            .map(|index| simulation.start_instance(index))
             .collect();
         simulation
     }
@@ -497,8 +497,8 @@
             .retain(|key, value| key.0 != instance || *value != number);
     }
 
-    // Only a more urgent request may displace a queued one. As all have the same priority here, only
-    // one that can still meet its deadline may displace one that cannot.
+    // Only a more urgent request may displace a queued one. All have the same priority here, so
+    // only one that can still meet its deadline may displace one that cannot.
     fn check_displaced(&mut self, number: usize) {
         let request = &self.requests[number];
         let waiting = self
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -165,11 +165,11 @@
         let mut result = self.cores[index].route(now, incoming);
         if self.lending
             && result.is_err()
-            && let Some(need) = self.cores[index].missing_quota(now, incoming)
+            && let Some(missing) = self.cores[index].missing_quota(now, incoming)
         {
             let share = UnitsRequest {
-                units: need.units.div_ceil(2),
-                ..need
+                units: missing.units.div_ceil(2),
+                ..missing
             };
             let query = BorrowRequest::Units(share);
             let mut borrowed = 0;
@@ -308,11 +308,11 @@
         if !self.lending {
             return;
         }
-        for (ticket, need) in self.cores[index].borrow_requests(now) {
+        for (ticket, query) in self.cores[index].borrow_requests(now) {
             let mut borrowed = false;
             for lender in self.choose_lenders(index, SLOT_LENDER_COUNT) {
                 let id = self.rng.random();
-                let Grant::Slot(key) = self.cores[lender].lend(now, id, need) else {
+                let Grant::Slot(key) = self.cores[lender].lend(now, id, query) else {
                     continue;
                 };
                 match self.cores[index].slot_granted(now, ticket, key) {
@@ -452,8 +452,8 @@
     );
 }
 
-// All shards are full. Lenders need the lent slots themselves, and requests that no shard has a slot
-// for must not be queued in vain.
+// All shards are full. Lenders need the lent slots themselves, and requests that no shard can serve
+// must not be queued in vain.
 #[test]
 fn where_all_shards_are_full_lending_serves_no_fewer_and_holds_nobody() {
     let simulate = |lending| {
@@ -484,7 +484,7 @@
 fn a_place_that_is_not_returned_is_taken_back() {
     let mut fleet = Fleet::new(1, 24, 20, true);
     fleet.exchange_reports();
-    let need = SlotRequest {
+    let query = SlotRequest {
         service: siskinyoke_dispatch::report::short_hash("lm"),
         stream: false,
         prompt_tokens: 100,
@@ -494,7 +494,7 @@
         waited: 20,
         remaining_wait: 4_000,
     };
-    let grant = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Slot(need));
+    let grant = fleet.cores[0].lend(Millis(0), 7, BorrowRequest::Slot(query));
     assert!(matches!(grant, Grant::Slot(_)), "{grant:?}");
     let count = |core: &Core| -> u16 {
         core.scheduler()
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -254,9 +254,9 @@
     );
 }
 
-// An operator lowers an organisation's rate but keeps its burst, which now equals several seconds of
-// the rate. As most of the limit lay in the burst, steady use within the limit was rejected for as
-// long as it lasted.
+// An operator lowers an organisation's rate but keeps its burst, now worth several seconds of the
+// rate. As most of the limit lay in the burst, steady use within the limit was rejected for as long
+// as it lasted.
 #[test]
 fn steady_use_within_the_limit_is_granted_where_the_burst_is_long() {
     let (rate, burst) = (40_000.0, 144_000.0);
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -306,10 +306,10 @@
                 self.send(index, ticket, &endpoint, None);
             }
         }
-        for (ticket, need) in self.cores[index].borrow_requests(now) {
-            match need {
+        for (ticket, query) in self.cores[index].borrow_requests(now) {
+            match query {
                 BorrowRequest::RateLimitedSlot(slot) => self.ask_holders(index, ticket, slot),
-                BorrowRequest::Slot(_) => self.ask_shards(index, ticket, need),
+                BorrowRequest::Slot(_) => self.ask_shards(index, ticket, query),
                 BorrowRequest::Units(_) => {}
             }
         }
@@ -339,15 +339,15 @@
     }
 
     // Asks some holders of the limit for a token.
-    fn ask_holders(&mut self, index: usize, ticket: Ticket, need: SlotRequest) {
+    fn ask_holders(&mut self, index: usize, ticket: Ticket, query: SlotRequest) {
         let now = Millis(self.now);
-        let holders = self.cores[index].token_holders(now, need.service);
+        let holders = self.cores[index].token_holders(now, query.service);
         let chosen = holders.choose_multiple(&mut self.rng, LENDER_COUNT);
         let lenders: Vec<usize> = chosen.map(|it| instance_number(it)).collect();
         if !self.ask(
             index,
             ticket,
-            BorrowRequest::RateLimitedSlot(need),
+            BorrowRequest::RateLimitedSlot(query),
             &lenders,
         ) {
             self.cores[index].token_declined(now, ticket);
@@ -355,14 +355,14 @@
     }
 
     // Asks instances of some other shards for a slot.
-    fn ask_shards(&mut self, index: usize, ticket: Ticket, need: BorrowRequest) {
+    fn ask_shards(&mut self, index: usize, ticket: Ticket, query: BorrowRequest) {
         let shards = self.cores[index].instances_by_other_shard();
         let chosen: Vec<_> = shards
             .choose_multiple(&mut self.rng, LENDER_COUNT)
             .collect();
         let chosen = chosen.into_iter().filter_map(|it| it.choose(&mut self.rng));
         let lenders: Vec<usize> = chosen.map(|it| instance_number(it)).collect();
-        if !self.ask(index, ticket, need, &lenders) {
+        if !self.ask(index, ticket, query, &lenders) {
             self.cores[index].slot_declined(Millis(self.now), ticket);
         }
     }
@@ -373,7 +373,7 @@
         &mut self,
         index: usize,
         ticket: Ticket,
-        need: BorrowRequest,
+        query: BorrowRequest,
         lenders: &[usize],
     ) -> bool {
         let now = Millis(self.now);
@@ -386,7 +386,7 @@
                 continue;
             }
             let id = self.rng.random();
-            let Grant::Slot(key) = self.cores[lender].lend(now, id, need) else {
+            let Grant::Slot(key) = self.cores[lender].lend(now, id, query) else {
                 continue;
             };
             if let Some(endpoint) = self.cores[index].slot_granted(now, ticket, key) {
--- a/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
@@ -60,7 +60,8 @@
     }
 }
 
-// Guards against exceeding a limit while instances restart, freeze, are partitioned or miss reports.
+// Guards against exceeding a limit while instances restart, freeze, are partitioned or lose
+// reports.
 #[test]
 fn a_limit_holds_under_random_faults() {
     for rate in [0.5, 1.5, 6.3, 25.0] {
