--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -93,8 +93,8 @@
 
     fn forecast(&self, view: &ClusterView<'_>, request: &ScheduledRequest) -> WaitForecast {
         let available = self.available(view.now, view.registry.eligible(&request.service));
-        let latency = self.latency_model(&request.service);
         let available = available.into_iter();
+        let latency = self.latency_model(&request.service);
         let capacity = available.map(|it| self.effective_slots(it, &latency));
         let demand = self.demands.get(&request.service);
         let own_demand = demand.map_or(0.0, |it| {
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -71,8 +71,9 @@
     }
 }
 
-// A fast and a normal endpoint under full load. Each slot of the fast endpoint was idle for a sixth of the time,
-// although requests waited for it: the next request was sent only after the previous response had arrived.
+// A fast and a normal endpoint under full load. The slots of the fast endpoint were idle for a sixth
+// of the time although requests waited for it: the next request was sent only after the previous
+// response had arrived.
 #[test]
 fn under_a_full_load_the_slots_of_a_fast_endpoint_are_never_idle_for_long() {
     let mut scheduler = Scheduler::new("me", "a");
