--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -170,7 +170,8 @@
         Ok(routed)
     }
 
-    /// Routes a request refused for its organisation's quota again, with units lent by other shards.
+    /// Routes a request again that exceeded its organisation's quota, with units lent by other
+    /// shards.
     ///
     /// Units that the request does not use stay with this shard.
     ///
@@ -212,12 +213,12 @@
                 retry_after: QUARANTINE_RETRY_AFTER,
             })
         } else {
-            let mut pending = routing::scheduled_request(request, fingerprint);
+            let mut scheduled = routing::scheduled_request(request, fingerprint);
             let max_exposure = self.identity.max_exposure;
-            let rollout = self.registry.rollout(&pending.service);
-            pending.canary = rollout.is_some_and(|it| it.select_canary(now, max_exposure));
+            let rollout = self.registry.rollout(&scheduled.service);
+            scheduled.canary = rollout.is_some_and(|it| it.select_canary(now, max_exposure));
             self.scheduler
-                .admit(now, pending, &self.registry, &self.peers)
+                .admit(now, scheduled, &self.registry, &self.peers)
         };
         if result.is_err() {
             self.refund(request);
@@ -239,7 +240,7 @@
             let quarantine = &self.quarantine;
             let refused = self
                 .scheduler
-                .cancel_matching(|pending| quarantine.is_quarantined(now, pending.fingerprint));
+                .cancel_matching(|it| quarantine.is_quarantined(now, it.fingerprint));
             let refusal = Refusal {
                 reason: RefusalReason::Quarantined,
                 retry_after: QUARANTINE_RETRY_AFTER,
@@ -261,22 +262,22 @@
         outcome: Outcome,
         retry: bool,
     ) -> Option<Ticket> {
-        let pending = self.scheduler.attempt_ended(now, ticket, outcome)?;
-        self.record_sample(now, &pending, outcome);
+        let request = self.scheduler.attempt_ended(now, ticket, outcome)?;
+        self.record_sample(now, &request, outcome);
         match outcome {
             Outcome::ConnectionLost => {
-                if let Some(key) = pending.tried.last() {
+                if let Some(key) = request.tried.last() {
                     self.quarantine
-                        .record_crash(now, pending.fingerprint, key.short());
+                        .record_crash(now, request.fingerprint, key.short());
                 }
             }
-            Outcome::Completed { .. } => self.quarantine.clear(pending.fingerprint),
+            Outcome::Completed { .. } => self.quarantine.clear(request.fingerprint),
             _ => {}
         }
-        if !retry || !self.may_retry(now, &pending, outcome) {
+        if !retry || !self.may_retry(now, &request, outcome) {
             return None;
         }
-        Some(self.scheduler.requeue(pending))
+        Some(self.scheduler.requeue(request))
     }
 
     /// Records that the first part of a running request's response arrived.
@@ -295,8 +296,8 @@
     pub fn sweep(&mut self, now: Millis) {
         self.registry.remove_expired(now);
         self.expire_departed(now);
-        for source in self.peers.sweep(now) {
-            self.quotas.forget_peer(source);
+        for peer in self.peers.sweep(now) {
+            self.quotas.forget_peer(peer);
         }
         self.scheduler.prune_endpoints(&self.registry);
         self.scheduler.sweep_lent_slots(now);
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -15,7 +15,7 @@
 /// Slightly above the size of the smallest deployments, as the list may lag behind added machines.
 const MIN_FLEET_SIZE: usize = 12;
 
-/// Minimum time between two watch calls, in which changes of the store are batched.
+/// How long changes of the store are batched before the next watch call.
 ///
 /// Changes come in bursts: when a fleet starts, each instance's entry is a change.
 const UPDATE_BATCH_DELAY: Millis = Millis(500);
@@ -162,8 +162,8 @@
 
     // Returns this instance's part of the retry slack, which is allowed beside the budget's ratio.
     pub(super) fn min_retries(&self) -> f64 {
-        let fleet = self.instances.iter().count().max(MIN_FLEET_SIZE);
-        self.identity.retry_slack / 2.0 / f64::from(u32::try_from(fleet).unwrap_or(u32::MAX))
+        let instances = self.instances.iter().count().max(MIN_FLEET_SIZE);
+        self.identity.retry_slack / 2.0 / f64::from(u32::try_from(instances).unwrap_or(u32::MAX))
     }
 
     // Removes instances whose grace period has ended.
--- a/crates/siskinyoke-dispatch/src/core/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/core/rate_limits.rs
@@ -31,7 +31,8 @@
         self.registry.all().find(|it| it.key().short() == hash)
     }
 
-    // Ignores limits of unknown endpoints: they would be dropped and received again in every report.
+    // Records the limits reported by a peer, except those of unknown endpoints: these would be
+    // dropped and received again in every report.
     pub(super) fn record_peer_limits(&mut self, now: Millis, rows: &[LimitRow]) {
         let known = rows
             .iter()
--- a/crates/siskinyoke-dispatch/src/core/retry.rs
+++ b/crates/siskinyoke-dispatch/src/core/retry.rs
@@ -15,11 +15,14 @@
 /// windows.
 const USED_RETRY_RATIO: f64 = 0.8;
 
-/// Maximum number of endpoints tried for one request while no connection can be made.
+/// Maximum number of endpoints tried for one request while none can be reached.
+///
+/// Nothing was sent to them, so they do not count towards the attempts of the route.
 const MAX_CONNECT_ATTEMPTS: usize = 4;
 
 impl Core {
-    /// Returns whether a running request at a stalled endpoint may be abandoned for another endpoint.
+    /// Returns whether a running request may be abandoned at a stalled endpoint and retried at
+    /// another one.
     ///
     /// It may only if another endpoint has a free slot: a stall alone is no reason to abandon a
     /// request. The retry is taken from the budget here, so that it is certain to be allowed later.
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -90,8 +90,8 @@
         self.registry.apply_order(now, order, unit_fraction(draw));
     }
 
-    // Handles the canary reports of a peer, including those of other shards: these do not share
-    // endpoints with this instance, but their knowledge of a rollout's state applies to all.
+    // Handles the canary reports of a peer. Samples of other shards are not counted, but the
+    // state that they report of a rollout applies to all shards.
     pub(super) fn receive_canaries(&mut self, now: Millis, report: &Report, in_shard: bool) {
         for canary in &report.canaries {
             let mut rollouts = self.registry.rollouts_mut();
--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -21,7 +21,7 @@
     pub host: &'a str,
     /// The requested path.
     pub path: &'a str,
-    /// Time since it arrived, in which it was held.
+    /// How long it was held since it arrived.
     pub hold_time: Millis,
     /// API key, if present.
     pub key: Option<&'a str>,
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -46,8 +46,8 @@
 impl Core {
     /// Applies the changes of the store up to a revision.
     ///
-    /// Shards and eligible endpoints are recomputed once after all changes: this takes time for each
-    /// endpoint, and the first read contains hundreds.
+    /// Shards and eligible endpoints are recomputed once after all changes: this takes time for
+    /// each endpoint, and the first read contains hundreds.
     pub fn apply_updates(&mut self, now: Millis, revision: u64, updates: Vec<StoreUpdate>) {
         self.store_view.first_known.get_or_insert(now);
         if revision > self.store_view.revision {
@@ -60,8 +60,8 @@
         let mut statuses = Vec::new();
         for update in updates {
             match update {
-                StoreUpdate::Instance(name, place) => {
-                    self.instance_listed(&name, place);
+                StoreUpdate::Instance(name, location) => {
+                    self.instance_listed(&name, location);
                     fleet_changed = true;
                 }
                 StoreUpdate::InstanceRemoved(name) => {
@@ -154,8 +154,8 @@
 
     /// Decides whether this instance watches the store itself.
     ///
-    /// In a fleet of a single shard every instance watches: there is no other shard that would report
-    /// changes if the watcher's connection stalled.
+    /// In a fleet of a single shard every instance watches: there is no other shard that would
+    /// report changes if the watcher's connection stalled.
     pub fn store_role(&self, now: Millis) -> StoreRole {
         let view = &self.store_view;
         let within = |since: Option<Millis>, span| since.is_some_and(|it| now.since(it) < span);
