--- a/crates/siskinyoke-dispatch/src/endpoint.rs
+++ b/crates/siskinyoke-dispatch/src/endpoint.rs
@@ -20,7 +20,7 @@
     /// second.
     #[expect(
         clippy::cast_possible_truncation,
-        reason = "half of a hash tells endpoints apart"
+        reason = "half of the hash distinguishes endpoints"
     )]
     pub fn short(self) -> u32 {
         self.0 as u32
--- a/crates/siskinyoke-dispatch/src/leased_entries.rs
+++ b/crates/siskinyoke-dispatch/src/leased_entries.rs
@@ -23,7 +23,8 @@
 pub struct LeasedEntries<T> {
     entries: BTreeMap<Arc<str>, Entry<T>>,
     unreachable: bool,
-    regained: Option<Millis>,
+    // When the last outage of the store ended.
+    reachable_since: Option<Millis>,
 }
 
 impl<T> Default for LeasedEntries<T> {
@@ -31,7 +32,7 @@
         Self {
             entries: BTreeMap::new(),
             unreachable: false,
-            regained: None,
+            reachable_since: None,
         }
     }
 }
@@ -40,14 +41,14 @@
     /// Records that the store cannot be reached.
     pub fn store_unreachable(&mut self) {
         self.unreachable = true;
-        self.regained = None;
+        self.reachable_since = None;
     }
 
     /// Records that the store can be reached again.
     pub fn store_reachable(&mut self, now: Millis) {
         if self.unreachable {
             self.unreachable = false;
-            self.regained = Some(now);
+            self.reachable_since = Some(now);
         }
     }
 
@@ -88,9 +89,9 @@
     }
 
     fn grace(&self, now: Millis) -> Millis {
-        match self.regained {
+        match self.reachable_since {
             _ if self.unreachable => OUTAGE_GRACE,
-            Some(regained) => OUTAGE_GRACE.since(now.since(regained)),
+            Some(reachable_since) => OUTAGE_GRACE.since(now.since(reachable_since)),
             None => Millis::ZERO,
         }
     }
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -84,7 +84,7 @@
     pub endpoint: Arc<Endpoint>,
     /// Its free slots, by the reports of all instances.
     pub free_slots: u32,
-    /// How many of the free slots are places in the endpoint's queue.
+    /// How many of the free slots are positions in the endpoint's queue.
     pub queue_slots: u32,
     /// Prompt tokens that it has yet to process.
     pub prefill_tokens: f64,
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -173,10 +173,10 @@
         self.shard_sizes.len() > 1
     }
 
-    /// Returns the service with a hashed name if it has endpoints here.
-    pub fn find_service(&self, name: u32) -> Option<Arc<str>> {
-        let known = self.eligible.keys().find(|it| short_hash(it) == name);
-        known.cloned()
+    /// Returns the service whose name has this hash, if it has endpoints here.
+    pub fn find_service(&self, name_hash: u32) -> Option<Arc<str>> {
+        let found = self.eligible.keys().find(|it| short_hash(it) == name_hash);
+        found.cloned()
     }
 
     /// Returns an endpoint of any shard that accepts new requests.
--- a/crates/siskinyoke-dispatch/src/rollout/analysis.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/analysis.rs
@@ -164,17 +164,17 @@
     fn log_odds(&self) -> f64 {
         let stable = self.stable_bad_ratio();
         let worse = stable + MIN_EXCESS_RATIO * (1.0 - stable);
-        let bad = (worse / stable).ln();
-        let good = ((1.0 - worse) / (1.0 - stable)).ln();
-        self.new.bad * bad + (self.new.total - self.new.bad).max(0.0) * good
+        let bad_weight = (worse / stable).ln();
+        let good_weight = ((1.0 - worse) / (1.0 - stable)).ln();
+        self.new.bad * bad_weight + (self.new.total - self.new.bad).max(0.0) * good_weight
     }
 
     // Returns the ratio of bad responses of the stable version, plus one standard error.
     fn stable_bad_ratio(&self) -> f64 {
         let total = self.stable.total + 1.0;
-        let share = (self.stable.bad + 0.5) / total;
-        let error = (share * (1.0 - share).max(0.0) / total).sqrt();
-        (share + error).clamp(MIN_STABLE_BAD_RATIO, 0.9)
+        let ratio = (self.stable.bad + 0.5) / total;
+        let standard_error = (ratio * (1.0 - ratio).max(0.0) / total).sqrt();
+        (ratio + standard_error).clamp(MIN_STABLE_BAD_RATIO, 0.9)
     }
 }
 
