--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -274,10 +274,10 @@
         speed_factor: SLOW_FACTOR,
         ..running_row("slow", 0)
     }]);
-    let candidate = |slots| {
+    let candidate = |free_slots| {
         [Candidate {
             endpoint: slow.clone(),
-            free_slots: slots,
+            free_slots,
             queue_slots: 0,
             prefill_tokens: 0.0,
             slow: true,
