--- a/crates/siskinyoke-client/src/outcome.rs
+++ b/crates/siskinyoke-client/src/outcome.rs
@@ -17,9 +17,11 @@
     /// The body, or the data of all events of a stream but the terminator.
     pub body: Vec<String>,
     /// When to come back, for refusals.
+    #[serde(rename = "after")]
     pub after: Option<Millis>,
     /// The identity under which logs name it.
     pub id: String,
     /// How many times it was sent.
+    #[serde(rename = "sendings")]
     pub sendings: u32,
 }
