--- a/crates/siskinyoke-base/tests/codes.rs
+++ b/crates/siskinyoke-base/tests/codes.rs
@@ -3,20 +3,20 @@
 use siskinyoke_base::Code;
 
 /// The page.
-const PAGE: &str = include_str!("../../../docs/CODES.md");
+const CODES_PAGE: &str = include_str!("../../../docs/CODES.md");
 
 /// Fields of a row: code, name, kind, HTTP status, text, what to do.
-const FIELDS: usize = 6;
+const COLUMN_COUNT: usize = 6;
 
 #[test]
 fn the_page_lists_every_code_as_it_is() {
-    let rows = PAGE
+    let rows = CODES_PAGE
         .lines()
         .filter(|line| line.starts_with("| ") && !line.starts_with("| code"));
     let rows: Vec<Vec<&str>> = rows.map(fields).collect();
     assert_eq!(rows.len(), Code::ALL.len(), "rows and codes");
     for (row, code) in rows.iter().zip(Code::ALL) {
-        assert_eq!(row.len(), FIELDS, "{row:?}");
+        assert_eq!(row.len(), COLUMN_COUNT, "{row:?}");
         let wanted = [
             code.number().to_string(),
             format!("{code:?}"),
@@ -24,8 +24,8 @@
             code.status().to_string(),
             code.text().to_owned(),
         ];
-        assert_eq!(row[..FIELDS - 1], wanted);
-        assert!(!row[FIELDS - 1].is_empty(), "{code}: nothing to do");
+        assert_eq!(row[..COLUMN_COUNT - 1], wanted);
+        assert!(!row[COLUMN_COUNT - 1].is_empty(), "{code}: nothing to do");
     }
 }
 
--- a/crates/siskinyoke-cli/src/caller.rs
+++ b/crates/siskinyoke-cli/src/caller.rs
@@ -59,7 +59,7 @@
 pub fn locate(context: &Context) -> Result<(), ClientError> {
     let location = context.client(1, Millis::from_secs(10)).locate()?;
     if context.json {
-        let keep = location.keep.0;
+        let keep = location.ttl.0;
         println!(
             "{}",
             serde_json::json!({ "addresses": location.addresses, "keep_ms": keep })
@@ -67,7 +67,7 @@
         return Ok(());
     }
     let addresses = location.addresses.join(", ");
-    println!("use {addresses} (keep for {})", location.keep);
+    println!("use {addresses} (keep for {})", location.ttl);
     Ok(())
 }
 
@@ -85,7 +85,7 @@
         };
         request.id.clone_from(&self.id);
         request.idempotent = self.idempotent;
-        request.need = self.need.map(Millis);
+        request.caller_timeout = self.need.map(Millis);
         let mut client = context.client(self.sendings, Millis::from_secs(600));
         let json = context.json;
         let outcome = client.send(&request, &mut |data| {
@@ -135,7 +135,7 @@
     );
     eprintln!("{note}");
     if outcome.kind != Kind::Done
-        && let Some(after) = outcome.after
+        && let Some(after) = outcome.retry_after
     {
         eprintln!("come back in {after}");
     }
--- a/crates/siskinyoke-cli/src/context.rs
+++ b/crates/siskinyoke-cli/src/context.rs
@@ -89,9 +89,9 @@
         Client::new(ClientSettings {
             addresses: self.addresses.clone(),
             key: self.key.clone().unwrap_or_default(),
-            sendings,
-            wait: Millis::from_secs(10),
-            limit,
+            max_attempts: sendings,
+            max_delay: Millis::from_secs(10),
+            attempt_timeout: limit,
         })
     }
 }
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -13,17 +13,17 @@
 use crate::Location;
 use crate::Outcome;
 use crate::Request;
-use crate::sending::Failure;
-use crate::sending::Sending;
-use crate::sending::draw_id;
+use crate::sending::Attempt;
+use crate::sending::AttemptError;
+use crate::sending::generate_id;
 use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
 
 /// The data of the event that ends a whole stream.
-const TERMINATOR: &str = "[DONE]";
+const STREAM_TERMINATOR: &str = "[DONE]";
 
 /// Pause before a resend for which no time was named.
-const PAUSE: Millis = Millis(100);
+const DEFAULT_RETRY_DELAY: Millis = Millis(100);
 
 /// Bounds on a client's patience.
 #[derive(Debug, Clone)]
@@ -33,18 +33,18 @@
     /// The bearer key.
     pub key: String,
     /// The most sendings of one request.
-    pub sendings: u32,
+    pub max_attempts: u32,
     /// The longest wait before a resend; a refusal that asks for more is returned.
-    pub wait: Millis,
+    pub max_delay: Millis,
     /// The most time for one sending.
-    pub limit: Millis,
+    pub attempt_timeout: Millis,
 }
 
 /// A caller of the system.
 pub struct Client {
     agent: Agent,
     settings: ClientSettings,
-    location: Option<(Location, Instant)>,
+    cached_location: Option<(Location, Instant)>,
 }
 
 impl Client {
@@ -53,13 +53,13 @@
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .timeout_connect(Some(Duration::from_secs(1)))
-            .timeout_global(Some(settings.limit.into()))
+            .timeout_global(Some(settings.attempt_timeout.into()))
             .max_idle_connections(0)
             .build();
         Self {
             agent: config.into(),
             settings,
-            location: None,
+            cached_location: None,
         }
     }
 
@@ -69,8 +69,8 @@
     ///
     /// [`ClientError`] if no address answers.
     pub fn locate(&mut self) -> Result<Location, ClientError> {
-        if let Some((location, at)) = &self.location
-            && at.elapsed() < location.keep.into()
+        if let Some((location, at)) = &self.cached_location
+            && at.elapsed() < location.ttl.into()
         {
             return Ok(location.clone());
         }
@@ -78,7 +78,7 @@
         for address in self.candidates() {
             match self.locate_at(&address) {
                 Ok(location) => {
-                    self.location = Some((location.clone(), Instant::now()));
+                    self.cached_location = Some((location.clone(), Instant::now()));
                     return Ok(location);
                 }
                 Err(err) => tried.push(format!("{address}: {err}")),
@@ -102,10 +102,10 @@
         request: &Request,
         sink: &mut dyn FnMut(&str),
     ) -> Result<Outcome, ClientError> {
-        let id = request.id.clone().unwrap_or_else(draw_id);
+        let id = request.id.clone().unwrap_or_else(generate_id);
         let mut given = 0;
         let mut failure = String::new();
-        for count in 0..self.settings.sendings {
+        for count in 0..self.settings.max_attempts {
             let location = self.locate()?;
             let Some(address) = location
                 .addresses
@@ -113,32 +113,32 @@
             else {
                 return Err(ClientError::Unreachable("no instance is ready".to_owned()));
             };
-            let sending = Sending {
+            let sending = Attempt {
                 request,
                 id: &id,
-                count,
+                index: count,
             };
             let outcome = match self.send_once(address, &sending, &mut given, sink) {
                 Ok(outcome) => outcome,
-                Err(Failure::Unsent(detail)) => {
+                Err(AttemptError::NotSent(detail)) => {
                     failure = format!("{address}: {detail}");
-                    self.location = None;
-                    thread::sleep(PAUSE.into());
+                    self.cached_location = None;
+                    thread::sleep(DEFAULT_RETRY_DELAY.into());
                     continue;
                 }
-                Err(Failure::Lost(detail)) => {
+                Err(AttemptError::ResponseLost(detail)) => {
                     log::info!("{address}: {detail}");
-                    sending.unknown()
+                    sending.unknown_outcome()
                 }
             };
-            let last = count + 1 == self.settings.sendings;
+            let last = count + 1 == self.settings.max_attempts;
             let again = match outcome.kind {
                 Kind::Done => false,
-                Kind::NotRun => worth_again(outcome.status),
+                Kind::NotRun => is_retryable(outcome.status),
                 Kind::Unknown => request.idempotent,
             };
-            let wait = outcome.after.unwrap_or(PAUSE);
-            if !again || last || wait > self.settings.wait {
+            let wait = outcome.retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
+            if !again || last || wait > self.settings.max_delay {
                 return Ok(outcome);
             }
             thread::sleep(wait.into());
@@ -148,7 +148,7 @@
 
     fn candidates(&self) -> Vec<String> {
         let kept = self
-            .location
+            .cached_location
             .iter()
             .flat_map(|(location, _)| location.addresses.clone());
         let mut all: Vec<String> = kept.chain(self.settings.addresses.clone()).collect();
@@ -175,14 +175,14 @@
     fn send_once(
         &self,
         address: &str,
-        sending: &Sending<'_>,
+        sending: &Attempt<'_>,
         given: &mut usize,
         sink: &mut dyn FnMut(&str),
-    ) -> Result<Outcome, Failure> {
+    ) -> Result<Outcome, AttemptError> {
         let request = sending
-            .build(address, &self.settings.key)
-            .map_err(Failure::Unsent)?;
-        let answer = self.agent.run(request).map_err(Failure::of)?;
+            .build_request(address, &self.settings.key)
+            .map_err(AttemptError::NotSent)?;
+        let answer = self.agent.run(request).map_err(AttemptError::from_ureq)?;
         let stream = header(&answer, "content-type")
             .is_some_and(|content| content.starts_with("text/event-stream"));
         let mut outcome = Outcome {
@@ -190,21 +190,21 @@
             code: header(&answer, "siskinyoke-code")
                 .and_then(|text| text.parse().ok())
                 .unwrap_or(0),
-            kind: kind(header(&answer, "siskinyoke-kind")),
+            kind: parse_kind(header(&answer, "siskinyoke-kind")),
             body: Vec::new(),
-            after: header(&answer, "retry-after")
+            retry_after: header(&answer, "retry-after")
                 .and_then(|text| text.parse().ok())
                 .map(Millis::from_secs),
             id: sending.id.to_owned(),
-            sendings: sending.count + 1,
+            sendings: sending.index + 1,
         };
         if stream {
-            read_stream(answer, &mut outcome, given, sink).map_err(Failure::Lost)?;
+            read_stream(answer, &mut outcome, given, sink).map_err(AttemptError::ResponseLost)?;
         } else {
             let text = answer
                 .into_body()
                 .read_to_string()
-                .map_err(|err| Failure::Lost(err.to_string()))?;
+                .map_err(|err| AttemptError::ResponseLost(err.to_string()))?;
             outcome.body.push(text);
         }
         Ok(outcome)
@@ -224,10 +224,10 @@
             let error: serde_json::Value = serde_json::from_str(&event.data).unwrap_or_default();
             let code = error["error"]["code"].as_u64().unwrap_or_default();
             outcome.code = u16::try_from(code).unwrap_or_default();
-            outcome.kind = kind(error["error"]["type"].as_str());
+            outcome.kind = parse_kind(error["error"]["type"].as_str());
             return Ok(());
         }
-        if event.data == TERMINATOR {
+        if event.data == STREAM_TERMINATOR {
             outcome.code = siskinyoke_base::Code::Complete.number();
             outcome.kind = Kind::Done;
             return Ok(());
@@ -249,7 +249,7 @@
 }
 
 /// Reads a kind; an answer without one may have run.
-fn kind(text: Option<&str>) -> Kind {
+fn parse_kind(text: Option<&str>) -> Kind {
     match text {
         Some("done") => Kind::Done,
         Some("not-run") => Kind::NotRun,
@@ -258,6 +258,6 @@
 }
 
 /// Tells whether a refusal may turn out otherwise later or elsewhere.
-fn worth_again(status: u16) -> bool {
+fn is_retryable(status: u16) -> bool {
     matches!(status, 408 | 409 | 429 | 503)
 }
--- a/crates/siskinyoke-client/src/events.rs
+++ b/crates/siskinyoke-client/src/events.rs
@@ -12,7 +12,7 @@
 use futures_util::stream;
 
 /// Bytes read at once; events are far smaller.
-const CHUNK: usize = 8 << 10;
+const READ_SIZE_BYTES: usize = 8 << 10;
 
 /// The events of a stream, read as they arrive.
 pub struct Events {
@@ -48,7 +48,7 @@
     type Item = io::Result<Bytes>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; READ_SIZE_BYTES];
         match self.reader.read(&mut buffer) {
             Ok(0) => None,
             Ok(len) => {
--- a/crates/siskinyoke-client/src/location.rs
+++ b/crates/siskinyoke-client/src/location.rs
@@ -11,5 +11,5 @@
     pub addresses: Vec<String>,
     /// How long they may be kept.
     #[serde(rename = "keep_ms")]
-    pub keep: Millis,
+    pub ttl: Millis,
 }
--- a/crates/siskinyoke-client/src/outcome.rs
+++ b/crates/siskinyoke-client/src/outcome.rs
@@ -18,7 +18,7 @@
     pub body: Vec<String>,
     /// When to come back, for refusals.
     #[serde(rename = "after")]
-    pub after: Option<Millis>,
+    pub retry_after: Option<Millis>,
     /// The identity under which logs name it.
     pub id: String,
     /// How many times it was sent.
--- a/crates/siskinyoke-client/src/request.rs
+++ b/crates/siskinyoke-client/src/request.rs
@@ -12,13 +12,13 @@
     /// The body.
     pub body: Vec<u8>,
     /// Content type of the body.
-    pub content: String,
+    pub content_type: String,
     /// Its identity in logs; one is drawn if none is given.
     pub id: Option<String>,
     /// Whether it may run more than once, so that it is sent again where its outcome is not known.
     pub idempotent: bool,
     /// A shorter need than the route's.
-    pub need: Option<Millis>,
+    pub caller_timeout: Option<Millis>,
 }
 
 impl Request {
@@ -34,7 +34,7 @@
             method: "POST".into(),
             path: "/v1/chat/completions".into(),
             body: body.to_string().into_bytes(),
-            content: "application/json".into(),
+            content_type: "application/json".into(),
             ..Self::default()
         }
     }
@@ -45,7 +45,7 @@
             method: method.into(),
             path: format!("/v1/services/{name}{path}"),
             body,
-            content: "application/json".into(),
+            content_type: "application/json".into(),
             ..Self::default()
         }
     }
--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -135,9 +135,9 @@
         Client::new(ClientSettings {
             addresses: vec![self.directories[place].to_string()],
             key: KEY.to_owned(),
-            sendings: 5,
-            wait: Millis::from_secs(5),
-            limit: Millis::from_secs(30),
+            max_attempts: 5,
+            max_delay: Millis::from_secs(5),
+            attempt_timeout: Millis::from_secs(30),
         })
     }
 
