--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -14,7 +14,7 @@
 ///
 /// An instance that leaves goes on serving for longer; one that died is avoided by its callers
 /// after one failure. Shorter answers cost a question each for no gain.
-const KEEP: Millis = Millis(2_000);
+const MAX_DIRECTORY_TTL: Millis = Millis(2_000);
 
 /// Answers whether this instance takes callers.
 pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
@@ -41,33 +41,34 @@
     if addresses.is_empty() {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
-    let keep = KEEP.min(shell.settings().keep());
+    let keep = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
     answer::json(shell.interface.pages.directory(&addresses, keep))
 }
 
 /// Answers with the metrics page.
-pub fn metrics(shell: &Shell, _: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn metrics_page(shell: &Shell, _: &Request<Incoming>) -> Response<AnswerBody> {
     let core = shell.core.borrow();
     let (waiting, running) = core.scheduler().request_counts();
-    shell.metrics.state("waiting", count(waiting));
-    shell.metrics.state("running", count(running));
+    shell.metrics.set_state("waiting", to_f64(waiting));
+    shell.metrics.set_state("running", to_f64(running));
+    shell.metrics.set_state(
+        "peers",
+        to_f64(core.peers().instance_count(shell.now()) - 1),
+    );
     shell
         .metrics
-        .state("peers", count(core.peers().instance_count(shell.now()) - 1));
-    shell
-        .metrics
-        .state("store", f64::from(u8::from(core.store_available())));
+        .set_state("store", f64::from(u8::from(core.store_available())));
     let watching = f64::from(u8::from(shell.watching.get()));
-    shell.metrics.state("watching", watching);
+    shell.metrics.set_state("watching", watching);
     let limits = core.scheduler().rate_limits().active_count();
-    shell.metrics.state("limited_endpoints", count(limits));
-    let age = shell.now().since(shell.heard.get());
-    shell.metrics.state("store_age_seconds", age.as_secs());
+    shell.metrics.set_state("limited_endpoints", to_f64(limits));
+    let age = shell.now().since(shell.store_answered.get());
+    shell.metrics.set_state("store_age_seconds", age.as_secs());
     #[expect(clippy::cast_precision_loss, reason = "versions permit far below 2^52")]
     shell
         .metrics
-        .state("configuration", core.configuration_version() as f64);
-    match shell.metrics.page() {
+        .set_state("configuration", core.configuration_version() as f64);
+    match shell.metrics.render() {
         Ok(page) => {
             let mut response = Response::new(AnswerBody::Whole(Some(page.into())));
             let value = http::HeaderValue::from_static("text/plain; version=0.0.4");
@@ -81,6 +82,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts permit far below 2^52")]
-fn count(value: usize) -> f64 {
+fn to_f64(value: usize) -> f64 {
     value as f64
 }
--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/beliefs.rs
@@ -51,7 +51,7 @@
     shell.log("store_read", fields);
     rollouts::advance(shell);
     // Other shards hear of it at once.
-    shell.search();
+    shell.search_peers();
     shell.decide();
 }
 
@@ -208,6 +208,6 @@
     let fields =
         json!({ "version": version, "before": before, "source": source, "quotas": quotas });
     shell.log("configuration", fields);
-    shell.configured.notify_waiters();
-    shell.changed.notify_one();
+    shell.configuration_known.notify_waiters();
+    shell.report_due.notify_one();
 }
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -31,7 +31,7 @@
 use crate::job::progress::Progress;
 use crate::lending;
 use crate::permit::Permit;
-use crate::shell::Known;
+use crate::shell::RefusedRequest;
 use crate::shell::Shell;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
@@ -68,7 +68,7 @@
 
 /// Serves one request of a caller.
 pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Response<AnswerBody> {
-    shell.busy.set(shell.now());
+    shell.last_arrival.set(shell.now());
     let mut response = answer(&shell, request).await;
     if shell.core.borrow().leaving() {
         let close = http::HeaderValue::from_static("close");
@@ -110,7 +110,7 @@
         Ok(taken) => taken,
         Err(refusal) => {
             let id = shell.interface.exchange.id(&parts);
-            return refuse(shell, Known::named(id), refusal);
+            return refuse(shell, RefusedRequest::unrouted(id), refusal);
         }
     };
     if let Some(refused) = refuse_head(shell, &parts, limits) {
@@ -232,10 +232,10 @@
         Err(refusal) => refusal,
     };
     let holder = head.key.and_then(|key| holder(shell, &key));
-    let request = Known {
+    let request = RefusedRequest {
         id: head.id,
         organisation: holder.as_ref().map(|it| &*it.name),
-        ..Known::default()
+        ..RefusedRequest::default()
     };
     Err(Box::new(refuse(shell, request, refusal)))
 }
@@ -295,10 +295,12 @@
         .admit(shell.now(), &pass, fingerprint);
     let ticket = match admitted {
         Ok(ticket) => ticket,
-        Err(refusal) => return refuse(shell, Known::passed(id.as_deref(), &pass), refusal),
+        Err(refusal) => {
+            return refuse(shell, RefusedRequest::routed(id.as_deref(), &pass), refusal);
+        }
     };
     let permit = Permit::new(shell, ticket);
-    let word = shell.wait(ticket);
+    let word = shell.add_waiter(ticket);
     if arrival.early {
         // All that were held are let in before the first is placed, so that the most urgent goes first.
         yield_now().await;
@@ -360,11 +362,11 @@
     Ok((body, held))
 }
 
-fn refuse(shell: &Shell, request: Known<'_>, refusal: Refusal) -> Response<AnswerBody> {
+fn refuse(shell: &Shell, request: RefusedRequest<'_>, refusal: Refusal) -> Response<AnswerBody> {
     shell.log_refusal(request, refusal);
     shell
         .metrics
-        .answered(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
+        .record_answer(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
     answer::own(shell.interface.exchange.refuse(refusal))
 }
 
@@ -383,7 +385,7 @@
                 reason: RefusalReason::Overload,
                 retry_after: CROWDED,
             };
-            return refuse(shell, Known::named(id), refusal);
+            return refuse(shell, RefusedRequest::unrouted(id), refusal);
         }
     };
     shell.log("body_refused", json!({ "id": id, "why": code.text() }));
--- a/crates/siskinyoke-gateway/src/callers/early.rs
+++ b/crates/siskinyoke-gateway/src/callers/early.rs
@@ -66,7 +66,7 @@
 
 async fn configured(shell: &Shell) -> Limits {
     loop {
-        let changed = shell.configured.notified();
+        let changed = shell.configuration_known.notified();
         if let Some(known) = shell.core.borrow().configuration() {
             return known.limits;
         }
@@ -84,6 +84,6 @@
 fn unready(shell: &Shell) -> Refusal {
     Refusal {
         reason: RefusalReason::NotReady,
-        retry_after: cold_start::retry_after(shell.now().since(shell.started)),
+        retry_after: cold_start::retry_after(shell.now().since(shell.started_at)),
     }
 }
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use crate::beliefs;
 use crate::gossip;
 use crate::gossip::Gossip;
-use crate::journal::Journal;
+use crate::journal::LogWriter;
 use crate::listener;
 use crate::listener::Page;
 use crate::registration;
@@ -27,10 +27,10 @@
 use siskinyoke_dispatch::quota::QuotaPolicy;
 
 /// How often waiting requests are looked at while any wait.
-const TICK: Millis = Millis(10);
+const QUEUE_POLL_INTERVAL: Millis = Millis(10);
 
 /// How often what is gone is dropped, and log lines are handed to their writer.
-const SWEEP: Millis = Millis(200);
+const SWEEP_INTERVAL: Millis = Millis(200);
 
 /// Runs an instance until it is told to stop.
 ///
@@ -41,7 +41,7 @@
 ///
 /// What kept it from starting.
 pub fn run(settings: Settings, path: PathBuf) -> Result<(), Box<dyn std::error::Error>> {
-    run_with(settings, path, Journal::start(std::io::stdout()))
+    run_with(settings, path, LogWriter::start(std::io::stdout()))
 }
 
 /// Runs an instance whose log lines nobody reads, as one of several in a process.
@@ -49,14 +49,17 @@
 /// # Errors
 ///
 /// What kept it from starting.
-pub fn run_quietly(settings: Settings, path: PathBuf) -> Result<(), Box<dyn std::error::Error>> {
-    run_with(settings, path, Journal::start(std::io::sink()))
+pub fn run_without_log(
+    settings: Settings,
+    path: PathBuf,
+) -> Result<(), Box<dyn std::error::Error>> {
+    run_with(settings, path, LogWriter::start(std::io::sink()))
 }
 
 fn run_with(
     settings: Settings,
     path: PathBuf,
-    journal: Journal,
+    journal: LogWriter,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(settings, path, journal))
@@ -65,7 +68,7 @@
 async fn serve(
     settings: Settings,
     path: PathBuf,
-    journal: Journal,
+    journal: LogWriter,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let listen = settings.listen.clone();
     let gossip = Rc::new(Gossip::default());
@@ -79,7 +82,7 @@
     ];
     let identity = identity(&settings);
     let shell = Rc::new(Shell::new(
-        settings.interface.open(),
+        settings.interface.interface(),
         settings,
         identity,
         journal,
@@ -94,10 +97,10 @@
     spawn_local(gossip.hear(shell.clone()));
     spawn_local(watcher::follow(shell.clone()));
     spawn_local(registration::keep(shell.clone()));
-    spawn_local(reload::follow(shell.clone(), path.clone()));
+    spawn_local(reload::poll_file(shell.clone(), path.clone()));
     spawn_local(signals::reload_on_signal(shell.clone(), path));
-    spawn_local(tick(shell.clone()));
-    spawn_local(sweep(shell.clone()));
+    spawn_local(poll_queue(shell.clone()));
+    spawn_local(run_periodic_tasks(shell.clone()));
     signals::stop_on_signal(shell).await?;
     Ok(())
 }
@@ -105,7 +108,7 @@
 fn identity(settings: &Settings) -> Identity {
     Identity {
         name: settings.instance.clone(),
-        location: settings.place(),
+        location: settings.location(),
         incarnation: rand::random(),
         retry_ratio: settings.bounds.retry_ratio,
         retry_slack: settings.bounds.retry_slack,
@@ -120,17 +123,17 @@
 }
 
 // Lets the time act on waiting requests; without any it sleeps.
-async fn tick(shell: Rc<Shell>) {
+async fn poll_queue(shell: Rc<Shell>) {
     loop {
-        shell.queued.notified().await;
-        sleep(TICK.into()).await;
+        shell.queue_timer.notified().await;
+        sleep(QUEUE_POLL_INTERVAL.into()).await;
         shell.decide();
     }
 }
 
-async fn sweep(shell: Rc<Shell>) {
+async fn run_periodic_tasks(shell: Rc<Shell>) {
     loop {
-        sleep(SWEEP.into()).await;
+        sleep(SWEEP_INTERVAL.into()).await;
         let now = shell.now();
         shell.core.borrow_mut().sweep(now);
         beliefs::notice_store(&shell);
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -81,7 +81,7 @@
         let mut searched = Millis::ZERO;
         loop {
             let now = shell.now();
-            let search = shell.searching.replace(false) || now.since(searched) >= SEARCH;
+            let search = shell.search_due.replace(false) || now.since(searched) >= SEARCH;
             if search {
                 searched = now;
             }
@@ -90,7 +90,7 @@
             sleep(spacing.into()).await;
             // Elapsed or changed: either way the next report is due.
             let rest = Duration::from(BEAT.since(spacing));
-            drop(timeout(rest, shell.changed.notified()).await);
+            drop(timeout(rest, shell.report_due.notified()).await);
         }
     }
 
@@ -142,7 +142,7 @@
         let first = shell.core.borrow_mut().receive_report(shell.now(), report);
         if first {
             shell.log("peer", fields);
-            shell.searching.set(true);
+            shell.search_due.set(true);
         }
         rate_limits::log_changes(shell);
         peer_api::catch_up(shell, from, revision);
--- a/crates/siskinyoke-gateway/src/held.rs
+++ b/crates/siskinyoke-gateway/src/held.rs
@@ -21,11 +21,11 @@
     /// Counts a body of so many bytes, or returns nothing if there is no room for it.
     pub fn take(shell: &Rc<Shell>, bytes: usize) -> Option<Self> {
         let room = shell.settings().memory_mb * 1024 * 1024 / PART;
-        let held = shell.held.get().saturating_add(bytes);
+        let held = shell.held_bytes.get().saturating_add(bytes);
         if u64::try_from(held).unwrap_or(u64::MAX) > room {
             return None;
         }
-        shell.held.set(held);
+        shell.held_bytes.set(held);
         Some(Self {
             shell: shell.clone(),
             bytes,
@@ -35,6 +35,8 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.shell.held.set(self.shell.held.get() - self.bytes);
+        self.shell
+            .held_bytes
+            .set(self.shell.held_bytes.get() - self.bytes);
     }
 }
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -26,8 +26,8 @@
 use crate::permit::Permit;
 use crate::pool;
 use crate::rate_limits;
+use crate::shell::SchedulingResult;
 use crate::shell::Shell;
-use crate::shell::Word;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
@@ -89,7 +89,7 @@
 
 impl Job {
     /// Serves the request until its answer is whole, its time is up, or its caller left.
-    pub async fn run(mut self, permit: Permit, word: oneshot::Receiver<Word>) {
+    pub async fn run(mut self, permit: Permit, word: oneshot::Receiver<SchedulingResult>) {
         let pieces = self.caller.pieces.clone();
         let left = Duration::from(self.pass.deadline.since(self.shell.now()));
         let outcome = tokio::select! {
@@ -104,7 +104,11 @@
         self.shell.decide();
     }
 
-    async fn serve(&mut self, permit: Permit, word: oneshot::Receiver<Word>) -> &'static str {
+    async fn serve(
+        &mut self,
+        permit: Permit,
+        word: oneshot::Receiver<SchedulingResult>,
+    ) -> &'static str {
         let mut turn = (permit, word);
         loop {
             let (permit, word) = turn;
@@ -117,7 +121,7 @@
                 Err(_) => return self.failed(Outcome::Cancelled),
             };
             self.progress.waited = self.shell.now().since(self.pass.arrived);
-            self.shell.metrics.waited(self.progress.waited);
+            self.shell.metrics.record_queue_wait(self.progress.waited);
             let (outcome, more) = match self.attempt(&endpoint, &permit).await {
                 Step::Finished(outcome) => (outcome, false),
                 Step::Again(outcome) => (outcome, true),
@@ -129,7 +133,10 @@
             self.trace(&endpoint, outcome);
             match permit.end(outcome, more) {
                 Some(ticket) => {
-                    turn = (Permit::new(&self.shell, ticket), self.shell.wait(ticket));
+                    turn = (
+                        Permit::new(&self.shell, ticket),
+                        self.shell.add_waiter(ticket),
+                    );
                     self.shell.decide();
                 }
                 None if more => return self.failed(outcome),
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -8,7 +8,7 @@
 use crate::job::Head;
 use crate::job::Job;
 use crate::permit::name;
-use crate::shell::Known;
+use crate::shell::RefusedRequest;
 use siskinyoke_base::Code;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
@@ -34,9 +34,9 @@
             return self.failed(Outcome::Cancelled);
         }
         self.shell.core.borrow_mut().refund(&self.pass);
-        let request = Known {
+        let request = RefusedRequest {
             admitted: true,
-            ..Known::passed(self.id.as_deref(), &self.pass)
+            ..RefusedRequest::routed(self.id.as_deref(), &self.pass)
         };
         self.shell.log_refusal(request, refusal);
         self.tell(answer::own(self.shell.interface.exchange.refuse(refusal)));
@@ -108,7 +108,7 @@
         let took = self.shell.now().since(self.pass.arrived);
         self.shell
             .metrics
-            .answered(self.pass.route.priority, outcome, took);
+            .record_answer(self.pass.route.priority, outcome, took);
         let progress = &self.progress;
         let fields = json!({
             "id": self.id,
--- a/crates/siskinyoke-gateway/src/journal.rs
+++ b/crates/siskinyoke-gateway/src/journal.rs
@@ -14,46 +14,46 @@
 ///
 /// A request brings some four lines, so this covers a hundred requests a second, twice the usual
 /// peak of an instance; what is left out is counted in the next line that is written.
-const LINES: u32 = 400;
+const MAX_LINES_PER_SECOND: u32 = 400;
 
 /// Bytes that are gathered before they are handed to the writer.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// Chunks that may wait for a slow reader of standard output; more are dropped and counted.
-const CHUNKS: usize = 8;
+const MAX_QUEUED_CHUNKS: usize = 8;
 
 /// Gathers log lines and hands them to a thread that writes them.
 ///
 /// Standard output may be a pipe that nobody reads. Only the writing thread waits for it; the
 /// thread that serves requests drops what does not fit and counts it.
 #[derive(Debug)]
-pub struct Journal {
-    lines: SyncSender<Vec<u8>>,
+pub struct LogWriter {
+    chunks: SyncSender<Vec<u8>>,
     chunk: Vec<u8>,
-    gathered: u64,
-    second: u64,
-    written: u32,
+    buffered_lines: u64,
+    current_second: u64,
+    second_lines: u32,
     dropped: u64,
 }
 
-impl Journal {
+impl LogWriter {
     /// Starts the thread that writes lines to `out`.
     pub fn start(out: impl Write + Send + 'static) -> Self {
-        let (lines, chunks) = sync_channel(CHUNKS);
-        thread::spawn(move || write_all(out, &chunks));
+        let (lines, chunks) = sync_channel(MAX_QUEUED_CHUNKS);
+        thread::spawn(move || write_chunks(out, &chunks));
         Self {
-            lines,
+            chunks: lines,
             chunk: Vec::new(),
-            gathered: 0,
-            second: 0,
-            written: 0,
+            buffered_lines: 0,
+            current_second: 0,
+            second_lines: 0,
             dropped: 0,
         }
     }
 
     /// Adds a line: what happened, when, and what it depended on.
-    pub fn line(&mut self, now: Millis, event: &str, mut fields: Value) {
-        if self.full(now) {
+    pub fn write(&mut self, now: Millis, event: &str, mut fields: Value) {
+        if self.exceeds_rate(now) {
             self.dropped += 1;
             return;
         }
@@ -67,8 +67,8 @@
         }
         self.chunk.extend_from_slice(fields.to_string().as_bytes());
         self.chunk.push(b'\n');
-        self.gathered += 1;
-        if self.chunk.len() >= CHUNK {
+        self.buffered_lines += 1;
+        if self.chunk.len() >= CHUNK_BYTES {
             self.flush();
         }
     }
@@ -79,29 +79,29 @@
             return;
         }
         let chunk = std::mem::take(&mut self.chunk);
-        let lines = std::mem::take(&mut self.gathered);
-        if self.lines.try_send(chunk).is_err() {
+        let lines = std::mem::take(&mut self.buffered_lines);
+        if self.chunks.try_send(chunk).is_err() {
             self.dropped += lines;
         }
     }
 
     /// Returns the lines left out since the last one that was written.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.dropped
     }
 
-    fn full(&mut self, now: Millis) -> bool {
+    fn exceeds_rate(&mut self, now: Millis) -> bool {
         let second = now.0 / 1000;
-        if second != self.second {
-            self.second = second;
-            self.written = 0;
+        if second != self.current_second {
+            self.current_second = second;
+            self.second_lines = 0;
         }
-        self.written += 1;
-        self.written > LINES
+        self.second_lines += 1;
+        self.second_lines > MAX_LINES_PER_SECOND
     }
 }
 
-fn write_all(mut out: impl Write, chunks: &Receiver<Vec<u8>>) {
+fn write_chunks(mut out: impl Write, chunks: &Receiver<Vec<u8>>) {
     for chunk in chunks {
         // Nowhere is left to report that standard output is closed; the service goes on without.
         if out.write_all(&chunk).and_then(|()| out.flush()).is_err() {
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -155,7 +155,7 @@
     });
     shell.log("place_borrowed", fields);
     shell.lending.taken.borrow_mut().insert(ticket, (from, id));
-    shell.tell(ticket, Ok(endpoint));
+    shell.notify_waiter(ticket, Ok(endpoint));
 }
 
 fn no_place(shell: &Shell, id: u64) {
@@ -218,7 +218,7 @@
     let grant = shell.core.borrow_mut().lend(shell.now(), id, need);
     if let Grant::Slot(_) = grant {
         // Peers must not give the same place away.
-        shell.changed.notify_one();
+        shell.report_due.notify_one();
     }
     gossip::send(shell, from, &Message::Lend(id, grant));
 }
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -133,7 +133,7 @@
         Page::Callers => callers::serve(shell.clone(), request).await,
         Page::Health => admin::health(shell, &request),
         Page::Directory => admin::directory(shell, &request),
-        Page::Metrics => admin::metrics(shell, &request),
+        Page::Metrics => admin::metrics_page(shell, &request),
         Page::PeerApi => crate::peer_api::hand_over(shell, &request),
     }
 }
@@ -205,8 +205,8 @@
     fn new(shell: &Rc<Shell>, page: Page) -> Self {
         let counted = page == Page::Callers;
         shell
-            .serving
-            .set(shell.serving.get() + usize::from(counted));
+            .caller_connections
+            .set(shell.caller_connections.get() + usize::from(counted));
         Self {
             shell: shell.clone(),
             counted,
@@ -217,7 +217,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         self.shell
-            .serving
-            .set(self.shell.serving.get() - usize::from(self.counted));
+            .caller_connections
+            .set(self.shell.caller_connections.get() - usize::from(self.counted));
     }
 }
--- a/crates/siskinyoke-gateway/src/metrics.rs
+++ b/crates/siskinyoke-gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 
 /// Upper bounds of the latency histograms' buckets, in seconds: from a plain lookup to a long
 /// stream.
-const SECONDS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0];
+const LATENCY_BUCKETS_SECONDS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0];
 
 /// The metrics of one instance.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
         let seconds = |name: &'static str| {
             meter
                 .f64_histogram(name)
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(LATENCY_BUCKETS_SECONDS.to_vec())
                 .with_unit("s")
                 .build()
         };
@@ -64,7 +64,7 @@
     }
 
     /// Counts an answer by its tier and outcome, with the time it took.
-    pub fn answered(&self, tier: u8, outcome: &'static str, took: Millis) {
+    pub fn record_answer(&self, tier: u8, outcome: &'static str, took: Millis) {
         let attributes = [
             KeyValue::new("tier", i64::from(tier)),
             KeyValue::new("outcome", outcome),
@@ -74,23 +74,23 @@
     }
 
     /// Counts a sending to an endpoint by its outcome.
-    pub fn attempted(&self, outcome: &'static str) {
+    pub fn record_attempt(&self, outcome: &'static str) {
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Counts a call of the store, or of a peer in its place, by its kind and whether it succeeded.
-    pub fn called(&self, kind: &'static str, good: bool) {
+    pub fn record_store_call(&self, kind: &'static str, good: bool) {
         let attributes = [KeyValue::new("kind", kind), KeyValue::new("good", good)];
         self.calls.add(1, &attributes);
     }
 
     /// Records how long a request waited for its endpoint.
-    pub fn waited(&self, span: Millis) {
+    pub fn record_queue_wait(&self, span: Millis) {
         self.waited.record(span.as_secs(), &[]);
     }
 
     /// Sets a figure of the present state, named by `what`.
-    pub fn state(&self, what: &'static str, value: f64) {
+    pub fn set_state(&self, what: &'static str, value: f64) {
         self.state.record(value, &[KeyValue::new("what", what)]);
     }
 
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// The encoder's message.
-    pub fn page(&self) -> Result<Vec<u8>, String> {
+    pub fn render(&self) -> Result<Vec<u8>, String> {
         let mut page = Vec::new();
         let families = self.registry.gather();
         TextEncoder::new()
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -82,9 +82,9 @@
 pub fn catch_up(shell: &Rc<Shell>, from: SocketAddr, revision: u64) {
     let now = shell.now();
     let ahead = shell.core.borrow_mut().record_peer_revision(now, revision);
-    let failed = shell.failed.get();
+    let failed = shell.failed_peer.get();
     let avoided = failed.is_some_and(|it| it.0 == from && now.since(it.1) < AVOIDED);
-    if !ahead || avoided || shell.catching.replace(true) {
+    if !ahead || avoided || shell.catching_up.replace(true) {
         return;
     }
     let shell = shell.clone();
@@ -100,7 +100,7 @@
         if shell.core.borrow().store_revision() < revision {
             fetch(&shell, from).await;
         }
-        shell.catching.set(false);
+        shell.catching_up.set(false);
     });
 }
 
@@ -115,7 +115,7 @@
         Err(err) => {
             let fields = json!({ "from": from.to_string(), "error": err.to_string() });
             shell.log("handover_failed", fields);
-            shell.failed.set(Some((from, shell.now())));
+            shell.failed_peer.set(Some((from, shell.now())));
             shell.handover_failed.notify_waiters();
         }
     }
@@ -125,9 +125,9 @@
     let known = shell.replica.borrow().revision();
     let call = Call::get(format!("{PATH}{known}"));
     // Nobody else asks meanwhile: `catching` is set.
-    let mut client = shell.peer.take();
+    let mut client = shell.peer_client.take();
     let result = client.call(from, &call, LIMIT).await;
-    shell.peer.replace(client);
-    shell.metrics.called("peer", result.is_ok());
+    shell.peer_client.replace(client);
+    shell.metrics.record_store_call("peer", result.is_ok());
     Ok(postcard::from_bytes(&result?)?)
 }
--- a/crates/siskinyoke-gateway/src/permit.rs
+++ b/crates/siskinyoke-gateway/src/permit.rs
@@ -36,7 +36,7 @@
     /// Ends a running stay; returns a ticket to wait with if it may go on elsewhere.
     pub fn end(mut self, outcome: Outcome, more: bool) -> Option<Ticket> {
         let ticket = self.ticket.take()?;
-        self.shell.metrics.attempted(name(outcome));
+        self.shell.metrics.record_attempt(name(outcome));
         lending::give_back(&self.shell, ticket);
         self.shell
             .core
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -41,7 +41,7 @@
     let changes = shell.core.borrow_mut().take_limit_changes();
     if !changes.is_empty() {
         // Peers send there until they hear of it.
-        shell.changed.notify_one();
+        shell.report_due.notify_one();
     }
     for change in changes {
         let LimitChange {
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -52,7 +52,7 @@
             Err(err) => {
                 shell.log("registration_failed", json!({ "error": err.to_string() }));
                 shell.core.borrow_mut().store_call_failed(shell.now());
-                shell.unanswered.notify_waiters();
+                shell.store_unresponsive.notify_waiters();
                 let pause = retry;
                 retry = Millis(retry.0 * 2).min(LONGEST);
                 pause
@@ -60,7 +60,7 @@
         };
         tokio::select! {
             () = sleep(pause.into()) => {}
-            () = shell.renew.notified() => {}
+            () = shell.lease_renewal.notified() => {}
             () = shell.leaving.notified() => {}
         }
         if shell.core.borrow().leaving() {
@@ -87,7 +87,7 @@
     let body = call(shell, client, "lease", &store.grant(LEASE)).await?;
     let lease = store.decode_grant(&body)?;
     let key = shell.interface.documents.instance_key(&settings.instance);
-    let value = json!(settings.place()).to_string();
+    let value = json!(settings.location()).to_string();
     let put = store.put(&key, value.as_bytes(), lease);
     call(shell, client, "enter", &put).await?;
     shell.log("registration", json!({ "lease": lease }));
@@ -120,6 +120,6 @@
     call: &Call,
 ) -> Result<Bytes, StoreError> {
     let result = client.call(shell.settings().store, call, LIMIT).await;
-    shell.metrics.called(kind, result.is_ok());
+    shell.metrics.record_store_call(kind, result.is_ok());
     result
 }
--- a/crates/siskinyoke-gateway/src/reload.rs
+++ b/crates/siskinyoke-gateway/src/reload.rs
@@ -11,18 +11,18 @@
 use crate::shell::Shell;
 
 /// How often the file is looked at; it may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+const FILE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Looks at the settings file for as long as the process runs.
-pub async fn follow(shell: Rc<Shell>, path: PathBuf) {
+pub async fn poll_file(shell: Rc<Shell>, path: PathBuf) {
     loop {
-        sleep(LOOK).await;
-        reload(&shell, &path);
+        sleep(FILE_POLL_INTERVAL).await;
+        reload_settings(&shell, &path);
     }
 }
 
 /// Takes over the settings file if it changed; a faulty one is logged and changes nothing.
-pub fn reload(shell: &Shell, path: &std::path::Path) {
+pub fn reload_settings(shell: &Shell, path: &std::path::Path) {
     match Settings::load(path) {
         Ok(settings) if settings == **shell.settings.borrow() => {}
         Ok(settings) => {
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -30,14 +30,14 @@
         shell.log("rollout", fields);
     }
     // Other shards hear of a verdict at once.
-    shell.search();
+    shell.search_peers();
     shell.decide();
 }
 
 /// Writes the states that this instance is to write, unless it is at it already.
 pub fn write_due(shell: &Rc<Shell>) {
     let due = shell.core.borrow().status_writes(shell.now());
-    if due.is_empty() || shell.writing.replace(true) {
+    if due.is_empty() || shell.writing_status.replace(true) {
         return;
     }
     let shell = shell.clone();
@@ -46,7 +46,7 @@
         for due in due {
             write(&shell, &mut client, &due).await;
         }
-        shell.writing.set(false);
+        shell.writing_status.set(false);
     });
 }
 
@@ -59,7 +59,7 @@
     let expected = [(&*order, due.order_revision), (&*key, due.status_revision)];
     let call = store.put_if(&key, &value, &expected);
     let result = client.call(shell.settings().store, &call, LIMIT).await;
-    shell.metrics.called("rollout", result.is_ok());
+    shell.metrics.record_store_call("rollout", result.is_ok());
     let outcome = match result {
         Ok(body) => match store.decode_put_if(&body) {
             Ok(true) => "written".to_owned(),
--- a/crates/siskinyoke-gateway/src/settings.rs
+++ b/crates/siskinyoke-gateway/src/settings.rs
@@ -35,7 +35,7 @@
         }
         /// Values lie outside what can work; each with what to give instead.
         Values(faults: Vec<(&'static str, &'static str)>) {
-            display("{}", list(faults))
+            display("{}", format_faults(faults))
         }
     }
 }
@@ -83,7 +83,7 @@
 /// How callers, endpoints, operators and the store are spoken to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Wire {
+pub enum InterfaceKind {
     /// The product's own form.
     #[default]
     Own,
@@ -91,9 +91,9 @@
     Platform,
 }
 
-impl Wire {
+impl InterfaceKind {
     /// Returns the interface that speaks this way.
-    pub fn open(self) -> Interface {
+    pub fn interface(self) -> Interface {
         match self {
             Self::Own => siskinyoke_native::interface(),
             Self::Platform => siskinyoke_platform::interface(),
@@ -107,7 +107,7 @@
 pub struct Settings {
     /// How callers, endpoints, operators and the store are spoken to; fixed for a process.
     #[serde(default)]
-    pub interface: Wire,
+    pub interface: InterfaceKind,
     /// Its name.
     pub instance: String,
     /// Its IP address.
@@ -148,12 +148,12 @@
         let value: serde_json::Value = parse_to_serde_value(text, &ParseOptions::default())
             .map_err(|err| SettingsError::Syntax(err.to_string()))?;
         let settings: Self = serde_json::from_value(value)?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
     /// Returns where this instance is found.
-    pub fn place(&self) -> InstanceLocation {
+    pub fn location(&self) -> InstanceLocation {
         InstanceLocation {
             caller_address: self.listen.callers.to_string(),
             peer_address: self.listen.peers.to_string(),
@@ -162,22 +162,22 @@
     }
 
     /// Returns the time from the signal to stop to a kill.
-    pub fn grace(&self) -> Millis {
-        seconds(self.bounds.grace_s)
+    pub fn grace_period(&self) -> Millis {
+        millis_from_seconds(self.bounds.grace_s)
     }
 
     /// Returns the window over which quotas are measured.
     pub fn quota_window(&self) -> Millis {
-        seconds(self.bounds.quota_window_s)
+        millis_from_seconds(self.bounds.quota_window_s)
     }
 
     /// Returns the longest that callers keep a directory's answer.
-    pub fn keep(&self) -> Millis {
-        seconds(self.bounds.keep_s)
+    pub fn directory_ttl(&self) -> Millis {
+        millis_from_seconds(self.bounds.keep_s)
     }
 
     // Tells every fault at once, so that a file is mended in one go.
-    fn check(&self) -> Result<(), SettingsError> {
+    fn validate(&self) -> Result<(), SettingsError> {
         let it = &self.bounds;
         let rules = [
             (
@@ -253,7 +253,7 @@
     3_000
 }
 
-fn list(faults: &[(&str, &str)]) -> String {
+fn format_faults(faults: &[(&str, &str)]) -> String {
     let texts: Vec<String> = faults
         .iter()
         .map(|(field, hint)| format!("'{field}' cannot be used: {hint}"))
@@ -266,6 +266,6 @@
     reason = "checked to lie below an hour"
 )]
 #[expect(clippy::cast_sign_loss, reason = "checked to be positive")]
-fn seconds(value: f64) -> Millis {
+fn millis_from_seconds(value: f64) -> Millis {
     Millis((value * 1000.0) as u64)
 }
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 use crate::clock::BootClock;
-use crate::journal::Journal;
+use crate::journal::LogWriter;
 use crate::lending;
 use crate::lending::Lending;
 use crate::metrics::Metrics;
@@ -35,11 +35,11 @@
 use siskinyoke_interface::Interface;
 
 /// What a waiting request is told.
-pub type Word = Result<Arc<Endpoint>, Refusal>;
+pub type SchedulingResult = Result<Arc<Endpoint>, Refusal>;
 
 /// What is known of a request that is turned away, for its log line.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Known<'a> {
+pub struct RefusedRequest<'a> {
     /// Its identity.
     pub id: Option<&'a str>,
     /// Its organisation.
@@ -50,9 +50,9 @@
     pub admitted: bool,
 }
 
-impl<'a> Known<'a> {
+impl<'a> RefusedRequest<'a> {
     /// What is known of a request of which only the identity counts.
-    pub fn named(id: Option<&'a str>) -> Self {
+    pub fn unrouted(id: Option<&'a str>) -> Self {
         Self {
             id,
             ..Self::default()
@@ -60,7 +60,7 @@
     }
 
     /// What is known of a request that passed the filters.
-    pub fn passed(id: Option<&'a str>, pass: &'a RoutedRequest) -> Self {
+    pub fn routed(id: Option<&'a str>, pass: &'a RoutedRequest) -> Self {
         Self {
             id,
             organisation: pass.organisation.as_ref().map(|it| &*it.name),
@@ -86,9 +86,9 @@
     /// What the store said, to be handed to peers.
     pub replica: RefCell<Replica>,
     /// Whether the store answered this instance last.
-    pub stored: Cell<bool>,
+    pub store_reachable: Cell<bool>,
     /// When the store last answered a watch or a reading.
-    pub heard: Cell<Millis>,
+    pub store_answered: Cell<Millis>,
     /// Whether this instance watches the store, rather than follow a peer.
     pub watching: Cell<bool>,
     /// The socket for messages between instances, once it is bound.
@@ -96,39 +96,39 @@
     /// Questions to other shards.
     pub lending: Lending,
     /// Takes from peers what they know of the store.
-    pub peer: RefCell<Client>,
+    pub peer_client: RefCell<Client>,
     /// When the process started.
-    pub started: Millis,
+    pub started_at: Millis,
     /// Wakes requests that are held until a configuration is known.
-    pub configured: Notify,
+    pub configuration_known: Notify,
     /// Wakes the sender of reports.
-    pub changed: Notify,
+    pub report_due: Notify,
     /// Whether peers are to be looked for with the next report.
-    pub searching: Cell<bool>,
+    pub search_due: Cell<bool>,
     /// Wakes the renewal of the lease.
-    pub renew: Notify,
+    pub lease_renewal: Notify,
     /// Wakes a watch whose store did not answer another call.
-    pub unanswered: Notify,
+    pub store_unresponsive: Notify,
     /// Wakes a watcher that leaves the store alone for a moment, as no peer told it what is new.
     pub handover_failed: Notify,
     /// The peer that failed to hand over what it has, and when.
-    pub failed: Cell<Option<(SocketAddr, Millis)>>,
+    pub failed_peer: Cell<Option<(SocketAddr, Millis)>>,
     /// Wakes the timer of waiting requests.
-    pub queued: Notify,
+    pub queue_timer: Notify,
     /// Wakes all who must know that the instance is leaving.
     pub leaving: Notify,
     /// Whether something is being taken from a peer.
-    pub catching: Cell<bool>,
+    pub catching_up: Cell<bool>,
     /// Whether the state of a rollout is being written.
-    pub writing: Cell<bool>,
+    pub writing_status: Cell<bool>,
     /// Bytes of bodies that are held at present.
-    pub held: Cell<usize>,
+    pub held_bytes: Cell<usize>,
     /// Requests that are being served at present.
-    pub serving: Cell<usize>,
+    pub caller_connections: Cell<usize>,
     /// When the last request arrived.
-    pub busy: Cell<Millis>,
-    waiters: RefCell<Map<Ticket, oneshot::Sender<Word>>>,
-    journal: RefCell<Journal>,
+    pub last_arrival: Cell<Millis>,
+    waiters: RefCell<Map<Ticket, oneshot::Sender<SchedulingResult>>>,
+    journal: RefCell<LogWriter>,
     clock: BootClock,
 }
 
@@ -142,7 +142,7 @@
         interface: Interface,
         settings: Settings,
         identity: Identity,
-        journal: Journal,
+        journal: LogWriter,
     ) -> Result<Self, String> {
         Ok(Self {
             interface,
@@ -151,27 +151,27 @@
             pool: Pool::default(),
             metrics: Metrics::new()?,
             replica: RefCell::default(),
-            stored: Cell::new(false),
-            heard: Cell::new(BootClock.now()),
+            store_reachable: Cell::new(false),
+            store_answered: Cell::new(BootClock.now()),
             watching: Cell::new(false),
             socket: OnceCell::new(),
             lending: Lending::default(),
-            peer: RefCell::default(),
-            started: BootClock.now(),
-            configured: Notify::new(),
-            changed: Notify::new(),
-            searching: Cell::new(false),
-            renew: Notify::new(),
-            unanswered: Notify::new(),
+            peer_client: RefCell::default(),
+            started_at: BootClock.now(),
+            configuration_known: Notify::new(),
+            report_due: Notify::new(),
+            search_due: Cell::new(false),
+            lease_renewal: Notify::new(),
+            store_unresponsive: Notify::new(),
             handover_failed: Notify::new(),
-            failed: Cell::new(None),
-            queued: Notify::new(),
+            failed_peer: Cell::new(None),
+            queue_timer: Notify::new(),
             leaving: Notify::new(),
-            catching: Cell::new(false),
-            writing: Cell::new(false),
-            held: Cell::new(0),
-            serving: Cell::new(0),
-            busy: Cell::new(Millis::ZERO),
+            catching_up: Cell::new(false),
+            writing_status: Cell::new(false),
+            held_bytes: Cell::new(0),
+            caller_connections: Cell::new(0),
+            last_arrival: Cell::new(Millis::ZERO),
             waiters: RefCell::default(),
             journal: RefCell::new(journal),
             clock: BootClock,
@@ -190,11 +190,11 @@
 
     /// Writes a log line.
     pub fn log(&self, event: &str, fields: Value) {
-        self.journal.borrow_mut().line(self.now(), event, fields);
+        self.journal.borrow_mut().write(self.now(), event, fields);
     }
 
     /// Writes the line of a refusal, with what decided it.
-    pub fn log_refusal(&self, request: Known<'_>, refusal: Refusal) {
+    pub fn log_refusal(&self, request: RefusedRequest<'_>, refusal: Refusal) {
         let now = self.now();
         let core = self.core.borrow();
         let (waiting, running) = core.scheduler().request_counts();
@@ -215,7 +215,7 @@
             "configuration": core.configuration_version(),
             "store": core.store_available(),
             "revision": core.store_revision(),
-            "store_age_ms": now.since(self.heard.get()).0,
+            "store_age_ms": now.since(self.store_answered.get()).0,
         });
         self.log("refusal", fields);
     }
@@ -223,9 +223,9 @@
     /// Looks for peers at once.
     ///
     /// Until instances hear of each other, each can only guess what the others use.
-    pub fn search(&self) {
-        self.searching.set(true);
-        self.changed.notify_one();
+    pub fn search_peers(&self) {
+        self.search_due.set(true);
+        self.report_due.notify_one();
     }
 
     /// Hands gathered log lines to their writer.
@@ -234,7 +234,7 @@
     }
 
     /// Waits for what is decided of a request.
-    pub fn wait(&self, ticket: Ticket) -> oneshot::Receiver<Word> {
+    pub fn add_waiter(&self, ticket: Ticket) -> oneshot::Receiver<SchedulingResult> {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, sender);
         receiver
@@ -245,7 +245,7 @@
         self.waiters.borrow_mut().remove(&ticket);
         lending::give_back(self, ticket);
         self.core.borrow_mut().cancel(self.now(), ticket);
-        self.changed.notify_one();
+        self.report_due.notify_one();
     }
 
     /// Decides what can be decided now and tells those who wait.
@@ -256,17 +256,17 @@
                 Decision::Start(ticket, endpoint) => (ticket, Ok(endpoint)),
                 Decision::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            self.tell(ticket, word);
+            self.notify_waiter(ticket, word);
         }
         lending::places(self);
-        self.changed.notify_one();
+        self.report_due.notify_one();
         if self.core.borrow().scheduler().request_counts().0 > 0 {
-            self.queued.notify_one();
+            self.queue_timer.notify_one();
         }
     }
 
     /// Tells whoever waits for it what was decided of a request.
-    pub fn tell(&self, ticket: Ticket, word: Word) {
+    pub fn notify_waiter(&self, ticket: Ticket, word: SchedulingResult) {
         // A waiter that is gone has its guard end the stay.
         if let Some(waiter) = self.waiters.borrow_mut().remove(&ticket)
             && waiter.send(word).is_err()
--- a/crates/siskinyoke-gateway/src/signals.rs
+++ b/crates/siskinyoke-gateway/src/signals.rs
@@ -14,7 +14,7 @@
 use siskinyoke_base::Millis;
 
 /// How long before the kill this process ends by itself, so that its last log lines get out.
-const SPARE: Millis = Millis(250);
+const LOG_FLUSH_TIME: Millis = Millis(250);
 
 /// How often it looks whether the last connection is gone.
 const LOOK: Millis = Millis(50);
@@ -28,7 +28,7 @@
     let mut signals = signal(SignalKind::hangup())?;
     while signals.recv().await.is_some() {
         shell.log("reload", json!({}));
-        reload::reload(&shell, &path);
+        reload::reload_settings(&shell, &path);
     }
     Ok(())
 }
@@ -43,19 +43,19 @@
     signals.recv().await;
     let start = shell.now();
     shell.core.borrow_mut().leave();
-    shell.changed.notify_one();
+    shell.report_due.notify_one();
     shell.leaving.notify_waiters();
-    shell.log("leaving", json!({ "open": shell.serving.get() }));
-    let end = start + shell.settings().grace().since(SPARE);
+    shell.log("leaving", json!({ "open": shell.caller_connections.get() }));
+    let end = start + shell.settings().grace_period().since(LOG_FLUSH_TIME);
     loop {
         sleep(LOOK.into()).await;
         let now = shell.now();
         let lingered = now >= start + LINGER;
-        if now >= end || (lingered && shell.serving.get() == 0) {
+        if now >= end || (lingered && shell.caller_connections.get() == 0) {
             break;
         }
     }
-    shell.log("stop", json!({ "open": shell.serving.get() }));
+    shell.log("stop", json!({ "open": shell.caller_connections.get() }));
     shell.flush();
     sleep(LOOK.into()).await;
     Ok(())
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -86,7 +86,7 @@
             self.shell.log("store_duty", fields);
             self.duty = Some(duty);
             self.shell.watching.set(duty == StoreRole::Watcher);
-            self.shell.renew.notify_one();
+            self.shell.lease_renewal.notify_one();
         }
         duty
     }
@@ -150,7 +150,7 @@
                 Consistency::Linearizable => "read",
                 Consistency::Serializable => "read_cached",
             };
-            shell.metrics.called(kind, result.is_ok());
+            shell.metrics.record_store_call(kind, result.is_ok());
             result?
         };
         Ok(store.decode_range(&body)?)
@@ -161,14 +161,14 @@
         let result = read.call(address, call, READ).await;
         let unanswered = read.made() - u32::from(result.is_ok());
         for _ in 0..unanswered {
-            self.shell.metrics.called("read_cached", false);
+            self.shell.metrics.record_store_call("read_cached", false);
         }
         if unanswered > 0 {
             let fields = json!({ "unanswered": unanswered, "answered": result.is_ok() });
             self.shell.log("store_read_repeated", fields);
         }
         let (body, client) = result?;
-        self.shell.metrics.called("read_cached", true);
+        self.shell.metrics.record_store_call("read_cached", true);
         // The other pages and the watch go over the connection that works.
         self.client = client;
         Ok(body)
@@ -189,9 +189,11 @@
         let result = tokio::select! {
             result = self.client.watch(address, &call, limit, store) => result,
             // The store did not answer another call: the connection of this one may be dead too.
-            () = self.shell.unanswered.notified() => Err(StoreError::Silent),
+            () = self.shell.store_unresponsive.notified() => Err(StoreError::Silent),
         };
-        self.shell.metrics.called("watch", result.is_ok());
+        self.shell
+            .metrics
+            .record_store_call("watch", result.is_ok());
         if let Err(err) = &result {
             let fields = json!({
                 "sent_ms_ago": self.shell.now().since(sent).0,
@@ -222,9 +224,9 @@
     }
 
     fn answered(&mut self) {
-        self.shell.heard.set(self.shell.now());
+        self.shell.store_answered.set(self.shell.now());
         self.shell.core.borrow_mut().store_call_succeeded();
-        if !self.shell.stored.replace(true) {
+        if !self.shell.store_reachable.replace(true) {
             self.shell.log("store_regained", json!({}));
         }
         beliefs::notice_store(&self.shell);
@@ -236,7 +238,7 @@
             .core
             .borrow_mut()
             .store_call_failed(self.shell.now());
-        if self.shell.stored.replace(false) {
+        if self.shell.store_reachable.replace(false) {
             self.shell
                 .log("store_lost", json!({ "error": err.to_string() }));
         }
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -6,7 +6,7 @@
 use siskinyoke_dispatch::core::Identity;
 use siskinyoke_dispatch::quota::QuotaPolicy;
 use siskinyoke_gateway::held::Held;
-use siskinyoke_gateway::journal::Journal;
+use siskinyoke_gateway::journal::LogWriter;
 use siskinyoke_gateway::settings::Settings;
 use siskinyoke_gateway::shell::Shell;
 
@@ -23,7 +23,7 @@
     let settings = Settings::parse(SETTINGS).unwrap();
     let identity = Identity {
         name: settings.instance.clone(),
-        location: settings.place(),
+        location: settings.location(),
         incarnation: 1,
         retry_ratio: 0.2,
         retry_slack: 54.0,
@@ -35,8 +35,8 @@
             slack: 0.0,
         },
     };
-    let interface = settings.interface.open();
-    let journal = Journal::start(std::io::sink());
+    let interface = settings.interface.interface();
+    let journal = LogWriter::start(std::io::sink());
     Rc::new(Shell::new(interface, settings, identity, journal).unwrap())
 }
 
--- a/crates/siskinyoke-gateway/tests/journal.rs
+++ b/crates/siskinyoke-gateway/tests/journal.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use siskinyoke_base::Millis;
-use siskinyoke_gateway::journal::Journal;
+use siskinyoke_gateway::journal::LogWriter;
 
 /// A pipe that nobody reads until it is let go.
 struct Stuck(Receiver<()>, Arc<Mutex<Vec<u8>>>);
@@ -35,10 +35,10 @@
 fn a_pipe_that_nobody_reads_holds_up_nothing() {
     let (go, stuck) = channel();
     let out = Arc::default();
-    let mut journal = Journal::start(Stuck(stuck, Arc::clone(&out)));
+    let mut journal = LogWriter::start(Stuck(stuck, Arc::clone(&out)));
     for second in 0..600 {
         for number in 0..100 {
-            journal.line(
+            journal.write(
                 Millis(second * 1_000),
                 "answer",
                 json!({ "number": number }),
@@ -46,7 +46,7 @@
         }
         journal.flush();
     }
-    assert!(journal.dropped() > 0);
+    assert!(journal.dropped_lines() > 0);
     drop(go);
 }
 
@@ -54,12 +54,12 @@
 fn lines_beyond_a_seconds_measure_are_counted_in_the_next_one() {
     let (go, stuck) = channel();
     let out: Arc<Mutex<Vec<u8>>> = Arc::default();
-    let mut journal = Journal::start(Stuck(stuck, Arc::clone(&out)));
+    let mut journal = LogWriter::start(Stuck(stuck, Arc::clone(&out)));
     for number in 0..1_000 {
-        journal.line(Millis(0), "answer", json!({ "number": number }));
+        journal.write(Millis(0), "answer", json!({ "number": number }));
     }
-    assert_eq!(journal.dropped(), 600);
-    journal.line(Millis(1_000), "answer", json!({}));
-    assert_eq!(journal.dropped(), 0);
+    assert_eq!(journal.dropped_lines(), 600);
+    journal.write(Millis(1_000), "answer", json!({}));
+    assert_eq!(journal.dropped_lines(), 0);
     drop(go);
 }
--- a/crates/siskinyoke-gateway/tests/settings.rs
+++ b/crates/siskinyoke-gateway/tests/settings.rs
@@ -49,7 +49,7 @@
     assert_eq!(settings.instance, "front-muscat-a-1");
     assert_eq!(settings.listen.callers.port(), 8221);
     assert_eq!(settings.seeds.len(), 2);
-    assert_eq!(settings.grace().0, 8_000);
+    assert_eq!(settings.grace_period().0, 8_000);
     assert_eq!(settings.quota_window().0, 8_000);
     assert!((settings.bounds.exposure_share - 0.2).abs() < 1e-9);
     assert_eq!(settings.bounds.settle_ms, 4_000);
--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -167,7 +167,7 @@
         self.files.push(path.clone());
         let ended = Arc::clone(&self.ended);
         thread::spawn(move || {
-            if let Err(err) = gateway::run_quietly(settings, path) {
+            if let Err(err) = gateway::run_without_log(settings, path) {
                 let mut ended = ended.lock().unwrap_or_else(PoisonError::into_inner);
                 *ended = Some(err.to_string());
             }
