--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -12,9 +12,9 @@
 use crate::beliefs;
 use crate::gossip;
 use crate::gossip::Gossip;
-use crate::journal::LogWriter;
 use crate::listener;
 use crate::listener::Page;
+use crate::log_writer::LogWriter;
 use crate::registration;
 use crate::reload;
 use crate::rollouts;
@@ -59,16 +59,16 @@
 fn run_with(
     settings: Settings,
     path: PathBuf,
-    journal: LogWriter,
+    log_writer: LogWriter,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, serve(settings, path, journal))
+    LocalSet::new().block_on(&runtime, serve(settings, path, log_writer))
 }
 
 async fn serve(
     settings: Settings,
     path: PathBuf,
-    journal: LogWriter,
+    log_writer: LogWriter,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let listen = settings.listen.clone();
     let gossip = Rc::new(Gossip::default());
@@ -82,10 +82,10 @@
     ];
     let identity = identity(&settings);
     let shell = Rc::new(Shell::new(
-        settings.interface.interface(),
+        settings.interface.build(),
         settings,
         identity,
-        journal,
+        log_writer,
     )?);
     gossip::bind(&shell, listen.peers).await?;
     shell.log("start", json!({ "version": env!("CARGO_PKG_VERSION") }));
--- a/crates/siskinyoke-gateway/src/journal.rs
+++ b/crates/siskinyoke-gateway/src/log_writer.rs
@@ -29,65 +29,65 @@
 #[derive(Debug)]
 pub struct LogWriter {
     chunks: SyncSender<Vec<u8>>,
-    chunk: Vec<u8>,
+    buffer: Vec<u8>,
     buffered_lines: u64,
     current_second: u64,
     second_lines: u32,
-    dropped: u64,
+    dropped_lines: u64,
 }
 
 impl LogWriter {
     /// Starts the thread that writes lines to `out`.
     pub fn start(out: impl Write + Send + 'static) -> Self {
-        let (lines, chunks) = sync_channel(MAX_QUEUED_CHUNKS);
-        thread::spawn(move || write_chunks(out, &chunks));
+        let (chunks, queue) = sync_channel(MAX_QUEUED_CHUNKS);
+        thread::spawn(move || write_chunks(out, &queue));
         Self {
-            chunks: lines,
-            chunk: Vec::new(),
+            chunks,
+            buffer: Vec::new(),
             buffered_lines: 0,
             current_second: 0,
             second_lines: 0,
-            dropped: 0,
+            dropped_lines: 0,
         }
     }
 
     /// Adds a line: what happened, when, and what it depended on.
     pub fn write(&mut self, now: Millis, event: &str, mut fields: Value) {
         if self.exceeds_rate(now) {
-            self.dropped += 1;
+            self.dropped_lines += 1;
             return;
         }
         if let Some(map) = fields.as_object_mut() {
             map.insert("at_ms".to_owned(), now.0.into());
             map.insert("event".to_owned(), event.into());
-            if self.dropped > 0 {
-                map.insert("left_out".to_owned(), self.dropped.into());
-                self.dropped = 0;
+            if self.dropped_lines > 0 {
+                map.insert("left_out".to_owned(), self.dropped_lines.into());
+                self.dropped_lines = 0;
             }
         }
-        self.chunk.extend_from_slice(fields.to_string().as_bytes());
-        self.chunk.push(b'\n');
+        self.buffer.extend_from_slice(fields.to_string().as_bytes());
+        self.buffer.push(b'\n');
         self.buffered_lines += 1;
-        if self.chunk.len() >= CHUNK_BYTES {
+        if self.buffer.len() >= CHUNK_BYTES {
             self.flush();
         }
     }
 
     /// Hands the gathered lines to the writer, or drops them if it is behind.
     pub fn flush(&mut self) {
-        if self.chunk.is_empty() {
+        if self.buffer.is_empty() {
             return;
         }
-        let chunk = std::mem::take(&mut self.chunk);
-        let lines = std::mem::take(&mut self.buffered_lines);
+        let chunk = std::mem::take(&mut self.buffer);
+        let line_count = std::mem::take(&mut self.buffered_lines);
         if self.chunks.try_send(chunk).is_err() {
-            self.dropped += lines;
+            self.dropped_lines += line_count;
         }
     }
 
     /// Returns the lines left out since the last one that was written.
     pub fn dropped_lines(&self) -> u64 {
-        self.dropped
+        self.dropped_lines
     }
 
     fn exceeds_rate(&mut self, now: Millis) -> bool {
--- a/crates/siskinyoke-gateway/src/metrics.rs
+++ b/crates/siskinyoke-gateway/src/metrics.rs
@@ -22,9 +22,9 @@
     registry: Registry,
     answers: Counter<u64>,
     attempts: Counter<u64>,
-    calls: Counter<u64>,
+    store_calls: Counter<u64>,
     latency: Histogram<f64>,
-    waited: Histogram<f64>,
+    queue_wait: Histogram<f64>,
     state: Gauge<f64>,
     // Kept alive, as its readers stop when it is dropped.
     _provider: SdkMeterProvider,
@@ -55,9 +55,9 @@
             registry,
             answers: meter.u64_counter("siskinyoke_answers").build(),
             attempts: meter.u64_counter("siskinyoke_attempts").build(),
-            calls: meter.u64_counter("siskinyoke_store_calls").build(),
+            store_calls: meter.u64_counter("siskinyoke_store_calls").build(),
             latency: seconds("siskinyoke_latency"),
-            waited: seconds("siskinyoke_queue_wait"),
+            queue_wait: seconds("siskinyoke_queue_wait"),
             state: meter.f64_gauge("siskinyoke_state").build(),
             _provider: provider,
         })
@@ -81,12 +81,12 @@
     /// Counts a call of the store, or of a peer in its place, by its kind and whether it succeeded.
     pub fn record_store_call(&self, kind: &'static str, good: bool) {
         let attributes = [KeyValue::new("kind", kind), KeyValue::new("good", good)];
-        self.calls.add(1, &attributes);
+        self.store_calls.add(1, &attributes);
     }
 
     /// Records how long a request waited for its endpoint.
     pub fn record_queue_wait(&self, span: Millis) {
-        self.waited.record(span.as_secs(), &[]);
+        self.queue_wait.record(span.as_secs(), &[]);
     }
 
     /// Sets a figure of the present state, named by `what`.
--- a/crates/siskinyoke-gateway/src/settings.rs
+++ b/crates/siskinyoke-gateway/src/settings.rs
@@ -34,7 +34,7 @@
             from()
         }
         /// Values lie outside what can work; each with what to give instead.
-        Values(faults: Vec<(&'static str, &'static str)>) {
+        InvalidValues(faults: Vec<(&'static str, &'static str)>) {
             display("{}", format_faults(faults))
         }
     }
@@ -93,7 +93,7 @@
 
 impl InterfaceKind {
     /// Returns the interface that speaks this way.
-    pub fn interface(self) -> Interface {
+    pub fn build(self) -> Interface {
         match self {
             Self::Own => siskinyoke_native::interface(),
             Self::Platform => siskinyoke_platform::interface(),
@@ -241,7 +241,7 @@
         if faults.is_empty() {
             return Ok(());
         }
-        Err(SettingsError::Values(faults))
+        Err(SettingsError::InvalidValues(faults))
     }
 }
 
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -14,9 +14,9 @@
 use tokio::sync::oneshot;
 
 use crate::clock::BootClock;
-use crate::journal::LogWriter;
 use crate::lending;
 use crate::lending::Lending;
+use crate::log_writer::LogWriter;
 use crate::metrics::Metrics;
 use crate::pool::Pool;
 use crate::replica::Replica;
@@ -45,7 +45,7 @@
     /// Its organisation.
     pub organisation: Option<&'a str>,
     /// What the filters found, if it passed them.
-    pub pass: Option<&'a RoutedRequest>,
+    pub route: Option<&'a RoutedRequest>,
     /// Whether it was let in, so that it has an answer's line besides.
     pub admitted: bool,
 }
@@ -64,7 +64,7 @@
         Self {
             id,
             organisation: pass.organisation.as_ref().map(|it| &*it.name),
-            pass: Some(pass),
+            route: Some(pass),
             admitted: false,
         }
     }
@@ -128,7 +128,7 @@
     /// When the last request arrived.
     pub last_arrival: Cell<Millis>,
     waiters: RefCell<Map<Ticket, oneshot::Sender<SchedulingResult>>>,
-    journal: RefCell<LogWriter>,
+    log_writer: RefCell<LogWriter>,
     clock: BootClock,
 }
 
@@ -142,7 +142,7 @@
         interface: Interface,
         settings: Settings,
         identity: Identity,
-        journal: LogWriter,
+        log_writer: LogWriter,
     ) -> Result<Self, String> {
         Ok(Self {
             interface,
@@ -173,7 +173,7 @@
             caller_connections: Cell::new(0),
             last_arrival: Cell::new(Millis::ZERO),
             waiters: RefCell::default(),
-            journal: RefCell::new(journal),
+            log_writer: RefCell::new(log_writer),
             clock: BootClock,
         })
     }
@@ -190,7 +190,9 @@
 
     /// Writes a log line.
     pub fn log(&self, event: &str, fields: Value) {
-        self.journal.borrow_mut().write(self.now(), event, fields);
+        self.log_writer
+            .borrow_mut()
+            .write(self.now(), event, fields);
     }
 
     /// Writes the line of a refusal, with what decided it.
@@ -201,11 +203,11 @@
         let fields = json!({
             "id": request.id,
             "admitted": request.admitted,
-            "rank": request.pass.map(|it| it.priority.0),
+            "rank": request.route.map(|it| it.priority.0),
             "organisation": request.organisation,
-            "prompt": request.pass.map(|it| it.tokens.prompt),
-            "output": request.pass.map(|it| it.tokens.output),
-            "units": request.pass.map(|it| it.quota_cost),
+            "prompt": request.route.map(|it| it.tokens.prompt),
+            "output": request.route.map(|it| it.tokens.output),
+            "units": request.route.map(|it| it.quota_cost),
             "reason": refusal.reason.as_str(),
             "after_ms": refusal.retry_after.0,
             "waiting": waiting,
@@ -230,7 +232,7 @@
 
     /// Hands gathered log lines to their writer.
     pub fn flush(&self) {
-        self.journal.borrow_mut().flush();
+        self.log_writer.borrow_mut().flush();
     }
 
     /// Waits for what is decided of a request.
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -6,7 +6,7 @@
 use siskinyoke_dispatch::core::Identity;
 use siskinyoke_dispatch::quota::QuotaPolicy;
 use siskinyoke_gateway::held::Held;
-use siskinyoke_gateway::journal::LogWriter;
+use siskinyoke_gateway::log_writer::LogWriter;
 use siskinyoke_gateway::settings::Settings;
 use siskinyoke_gateway::shell::Shell;
 
@@ -35,7 +35,7 @@
             slack: 0.0,
         },
     };
-    let interface = settings.interface.interface();
+    let interface = settings.interface.build();
     let journal = LogWriter::start(std::io::sink());
     Rc::new(Shell::new(interface, settings, identity, journal).unwrap())
 }
--- a/crates/siskinyoke-gateway/tests/journal.rs
+++ b/crates/siskinyoke-gateway/tests/journal.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use siskinyoke_base::Millis;
-use siskinyoke_gateway::journal::LogWriter;
+use siskinyoke_gateway::log_writer::LogWriter;
 
 /// A pipe that nobody reads until it is let go.
 struct Stuck(Receiver<()>, Arc<Mutex<Vec<u8>>>);
