--- a/crates/siskinyoke-cli/src/explain.rs
+++ b/crates/siskinyoke-cli/src/explain.rs
@@ -11,7 +11,7 @@
 use crate::logs::LogError;
 use crate::logs::Row;
 use crate::logs::read_all;
-use crate::verdict;
+use crate::summary;
 
 /// How long before and after a request's own lines the lines of its surroundings are told, in ms.
 ///
@@ -97,7 +97,7 @@
         writeln!(out, "{name}")?;
         let own = story.iter().filter(|row| row.field("id") == Some(id));
         let own: Vec<&Row> = own.copied().collect();
-        if let Some(sentence) = verdict::sentence(&own) {
+        if let Some(sentence) = summary::sentence(&own) {
             writeln!(out, "  {sentence}")?;
         }
         for row in story {
--- a/crates/siskinyoke-cli/src/lib.rs
+++ b/crates/siskinyoke-cli/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod operate;
 pub mod report;
 pub mod status;
-mod verdict;
+mod summary;
--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -9,12 +9,12 @@
 use serde::Serialize;
 
 use super::ReportError;
-use super::answers;
-use super::answers::Answer;
-use super::answers::Fate;
 use super::page::Page;
 use super::plot;
 use super::plot::Curve;
+use super::requests;
+use super::requests::Answer;
+use super::requests::Fate;
 use super::table;
 use crate::logs::read_all;
 
@@ -143,7 +143,7 @@
             return Err(ReportError::Objective);
         }
         let logs = read_all(&self.logs)?;
-        let (answers, missing) = answers::read(&logs)?;
+        let (answers, missing) = requests::read(&logs)?;
         let lines = lines(&answers);
         if let Some(path) = &self.html {
             fs::write(path, self.page(&answers, &lines, missing)?)?;
--- a/crates/siskinyoke-cli/src/report/mod.rs
+++ b/crates/siskinyoke-cli/src/report/mod.rs
@@ -1,10 +1,10 @@
 //! Reports from the instances' logs: service-level burn, and use by organisation.
 
-mod answers;
 mod burn;
 mod error;
 mod page;
 mod plot;
+mod requests;
 mod table;
 mod usage;
 
--- a/crates/siskinyoke-cli/src/report/usage.rs
+++ b/crates/siskinyoke-cli/src/report/usage.rs
@@ -9,13 +9,13 @@
 use serde::Serialize;
 
 use super::ReportError;
-use super::answers;
-use super::answers::Answer;
-use super::answers::Fate;
 use super::burn;
 use super::page::Page;
 use super::plot;
 use super::plot::Bar;
+use super::requests;
+use super::requests::Answer;
+use super::requests::Fate;
 use super::table;
 use crate::logs::read_all;
 
@@ -56,7 +56,7 @@
     /// [`ReportError`] if a log cannot be read, tells of no answer, or the report cannot be written.
     pub fn run(&self, json: bool, out: &mut dyn Write) -> Result<(), ReportError> {
         let logs = read_all(&self.logs)?;
-        let (answers, missing) = answers::read(&logs)?;
+        let (answers, missing) = requests::read(&logs)?;
         let lines = lines(&answers);
         if let Some(path) = &self.html {
             fs::write(path, page(&lines, missing)?)?;
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -13,9 +13,9 @@
 use crate::Location;
 use crate::Outcome;
 use crate::Request;
-use crate::sending::Attempt;
-use crate::sending::AttemptError;
-use crate::sending::generate_id;
+use crate::attempt::Attempt;
+use crate::attempt::AttemptError;
+use crate::attempt::generate_id;
 use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
 
--- a/crates/siskinyoke-client/src/lib.rs
+++ b/crates/siskinyoke-client/src/lib.rs
@@ -1,12 +1,12 @@
 //! The callers' library: asks which address to use, keeps the answer, sends, resends honestly.
 
+mod attempt;
 mod client;
 mod error;
 mod events;
 mod location;
 mod outcome;
 mod request;
-mod sending;
 
 pub use client::Client;
 pub use client::ClientSettings;
