--- a/crates/siskinyoke-cli/src/caller.rs
+++ b/crates/siskinyoke-cli/src/caller.rs
@@ -78,7 +78,7 @@
     ///
     /// [`ClientError`] if no address answers.
     pub fn run(&self, context: &Context) -> Result<Outcome, ClientError> {
-        let text = self.text()?;
+        let text = self.read_text()?;
         let mut request = match &self.service {
             Some(name) => Request::service(name, &self.method, &self.path, text.into_bytes()),
             None => Request::chat(&self.model, &text, !self.no_stream, self.max_tokens),
@@ -97,7 +97,7 @@
         Ok(outcome)
     }
 
-    fn text(&self) -> Result<String, ClientError> {
+    fn read_text(&self) -> Result<String, ClientError> {
         if self.text != "-" {
             return Ok(self.text.clone());
         }
@@ -131,7 +131,7 @@
     }
     let note = format!(
         "{}: code {} ({}), sent {} times",
-        outcome.id, outcome.code, outcome.kind, outcome.sendings
+        outcome.id, outcome.code, outcome.kind, outcome.attempts
     );
     eprintln!("{note}");
     if outcome.kind != Kind::Done
--- a/crates/siskinyoke-cli/src/check.rs
+++ b/crates/siskinyoke-cli/src/check.rs
@@ -24,8 +24,10 @@
         let (kind, fault) = match self.read() {
             Err(err) => ("file", Some(err.to_string())),
             // Only a configuration has routes.
-            Ok(text) if text.contains("\"routes\"") => ("configuration", configuration(&text)),
-            Ok(text) => ("settings", settings(&text)),
+            Ok(text) if text.contains("\"routes\"") => {
+                ("configuration", check_configuration(&text))
+            }
+            Ok(text) => ("settings", check_settings(&text)),
         };
         if context.json {
             let report = json!({ "file": self.file, "kind": kind, "fault": fault });
@@ -48,12 +50,12 @@
     }
 }
 
-fn settings(text: &str) -> Option<String> {
+fn check_settings(text: &str) -> Option<String> {
     Settings::parse(text).err().map(|err| err.to_string())
 }
 
 // Every preset has to be sound, also those that are not in force.
-fn configuration(text: &str) -> Option<String> {
+fn check_configuration(text: &str) -> Option<String> {
     let document = match Document::parse(text.as_bytes()) {
         Ok(document) => document,
         Err(err) => return Some(err.to_string()),
--- a/crates/siskinyoke-cli/src/context.rs
+++ b/crates/siskinyoke-cli/src/context.rs
@@ -11,7 +11,7 @@
 use siskinyoke_interface::Call;
 
 /// How long another process may take to answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Options that every command takes.
 #[derive(Debug, Clone, Args)]
@@ -49,8 +49,8 @@
     /// # Errors
     ///
     /// A sentence if it does not answer.
-    pub fn page(&self, address: &str, path: &str) -> Result<String, String> {
-        let answer = agent().get(format!("http://{address}{path}")).call();
+    pub fn fetch_page(&self, address: &str, path: &str) -> Result<String, String> {
+        let answer = http_agent().get(format!("http://{address}{path}")).call();
         let mut answer = answer.map_err(|err| err.to_string())?;
         answer
             .body_mut()
@@ -63,9 +63,9 @@
     /// # Errors
     ///
     /// A sentence if it does not answer or refuses; a write may have taken effect then.
-    pub fn call(&self, call: &Call) -> Result<Vec<u8>, String> {
+    pub fn call_store(&self, call: &Call) -> Result<Vec<u8>, String> {
         let url = format!("http://{}{}", self.store, call.path);
-        let answer = agent().post(url).send(&call.body);
+        let answer = http_agent().post(url).send(&call.body);
         let mut answer = answer.map_err(|err| {
             format!(
                 "the store at {}: {err}; hint: give its address with --store",
@@ -96,10 +96,10 @@
     }
 }
 
-fn agent() -> Agent {
+fn http_agent() -> Agent {
     Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build()
         .into()
 }
--- a/crates/siskinyoke-cli/src/explain.rs
+++ b/crates/siskinyoke-cli/src/explain.rs
@@ -9,17 +9,17 @@
 
 use crate::logs::Log;
 use crate::logs::LogError;
-use crate::logs::Row;
+use crate::logs::LogRecord;
 use crate::logs::read_all;
 use crate::summary;
 
 /// How long before and after a request's own lines the lines of its surroundings are told, in ms.
 ///
 /// An endpoint rests for two seconds at most, and leases run out within five.
-const AROUND: u64 = 5_000;
+const CONTEXT_SPAN_MS: u64 = 5_000;
 
 /// Events that say what an instance believed.
-const BELIEFS: [&str; 4] = ["store_lost", "store_regained", "peer", "leaving"];
+const CLUSTER_EVENTS: [&str; 4] = ["store_lost", "store_regained", "peer", "leaving"];
 
 quick_error! {
     /// Why no story can be told.
@@ -65,7 +65,7 @@
     /// Why there is none.
     pub fn run(&self, out: &mut dyn Write) -> Result<(), ExplainError> {
         let logs = read_all(&self.logs)?;
-        tell(&self.id, &logs, self.changes, out)
+        write_report(&self.id, &logs, self.changes, out)
     }
 }
 
@@ -79,7 +79,7 @@
 /// # Errors
 ///
 /// Why there is no story.
-pub fn tell(
+pub fn write_report(
     id: &str,
     logs: &[(String, Log)],
     changes: bool,
@@ -87,17 +87,17 @@
 ) -> Result<(), ExplainError> {
     let (mut lines, mut damaged, mut told) = (0, 0, false);
     for (name, log) in logs {
-        lines += log.rows.len() + log.damaged;
-        damaged += log.damaged;
-        let story = story(log, id, changes);
+        lines += log.records.len() + log.malformed;
+        damaged += log.malformed;
+        let story = relevant_records(log, id, changes);
         if story.is_empty() {
             continue;
         }
         told = true;
         writeln!(out, "{name}")?;
-        let own = story.iter().filter(|row| row.field("id") == Some(id));
-        let own: Vec<&Row> = own.copied().collect();
-        if let Some(sentence) = summary::sentence(&own) {
+        let own = story.iter().filter(|row| row.str_field("id") == Some(id));
+        let own: Vec<&LogRecord> = own.copied().collect();
+        if let Some(sentence) = summary::summarize(&own) {
             writeln!(out, "  {sentence}")?;
         }
         for row in story {
@@ -117,32 +117,36 @@
 }
 
 // The request's own lines, and those around them that tell what decided it.
-fn story<'a>(log: &'a Log, id: &str, changes: bool) -> Vec<&'a Row> {
-    let own: Vec<&Row> = log
-        .rows
+fn relevant_records<'a>(log: &'a Log, id: &str, changes: bool) -> Vec<&'a LogRecord> {
+    let own: Vec<&LogRecord> = log
+        .records
         .iter()
-        .filter(|it| it.field("id") == Some(id))
+        .filter(|it| it.str_field("id") == Some(id))
         .collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
         return Vec::new();
     };
-    let span = first.at.saturating_sub(AROUND)..=last.at + AROUND;
-    let endpoints: Vec<&str> = own.iter().filter_map(|it| it.field("endpoint")).collect();
+    let span = first.at.saturating_sub(CONTEXT_SPAN_MS)..=last.at + CONTEXT_SPAN_MS;
+    let endpoints: Vec<&str> = own
+        .iter()
+        .filter_map(|it| it.str_field("endpoint"))
+        .collect();
     let version = log
-        .rows
+        .records
         .iter()
-        .rfind(|it| it.field("event") == Some("configuration") && it.at <= first.at);
-    let around = |row: &&Row| {
-        let event = row.field("event").unwrap_or("");
+        .rfind(|it| it.str_field("event") == Some("configuration") && it.at <= first.at);
+    let around = |row: &&LogRecord| {
+        let event = row.str_field("event").unwrap_or("");
         let touched = row
-            .field("endpoint")
+            .str_field("endpoint")
             .is_some_and(|it| endpoints.contains(&it));
         let change = changes && event == "configuration";
-        let belief =
-            change || BELIEFS.contains(&event) || (touched && !row.fields.contains_key("id"));
-        row.field("id") == Some(id) || (belief && span.contains(&row.at))
+        let belief = change
+            || CLUSTER_EVENTS.contains(&event)
+            || (touched && !row.fields.contains_key("id"));
+        row.str_field("id") == Some(id) || (belief && span.contains(&row.at))
     };
-    let mut story: Vec<&Row> = log.rows.iter().filter(around).collect();
+    let mut story: Vec<&LogRecord> = log.records.iter().filter(around).collect();
     if let Some(version) = version.filter(|it| !changes || !span.contains(&it.at)) {
         story.insert(0, version);
     }
--- a/crates/siskinyoke-cli/src/logs.rs
+++ b/crates/siskinyoke-cli/src/logs.rs
@@ -42,14 +42,14 @@
 
 /// One log line.
 #[derive(Debug)]
-pub struct Row {
+pub struct LogRecord {
     /// When it was written, in ms of its machine.
     pub at: u64,
     /// What it says.
     pub fields: serde_json::Map<String, Value>,
 }
 
-impl Row {
+impl LogRecord {
     // A line may have something before its JSON, as a collector's time or machine.
     fn read(line: &str) -> Option<Self> {
         let Value::Object(fields) = serde_json::from_str(line.get(line.find('{')?..)?).ok()? else {
@@ -62,18 +62,18 @@
     }
 
     /// Returns a field that is text.
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn str_field(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
     /// Returns a field that is a number.
-    pub fn number(&self, name: &str) -> Option<u64> {
+    pub fn u64_field(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
     /// Writes it for people.
     pub fn text(&self) -> String {
-        let event = self.field("event").unwrap_or("?");
+        let event = self.str_field("event").unwrap_or("?");
         let rest = self
             .fields
             .iter()
@@ -89,9 +89,9 @@
 #[derive(Debug, Default)]
 pub struct Log {
     /// Those that can be read, in their order.
-    pub rows: Vec<Row>,
+    pub records: Vec<LogRecord>,
     /// How many cannot.
-    pub damaged: usize,
+    pub malformed: usize,
 }
 
 impl Log {
@@ -102,9 +102,9 @@
             .lines()
             .filter(|it| !it.trim().is_empty())
         {
-            match Row::read(line) {
-                Some(row) => log.rows.push(row),
-                None => log.damaged += 1,
+            match LogRecord::read(line) {
+                Some(row) => log.records.push(row),
+                None => log.malformed += 1,
             }
         }
         log
--- a/crates/siskinyoke-cli/src/main.rs
+++ b/crates/siskinyoke-cli/src/main.rs
@@ -61,15 +61,15 @@
     let context = &cli.context;
     let out = &mut io::stdout().lock();
     match &cli.command {
-        Command::Locate => finish(caller::locate(context).map(|()| Kind::Done)),
-        Command::Send(send) => finish(send.run(context).map(|outcome| outcome.kind)),
+        Command::Locate => exit_code(caller::locate(context).map(|()| Kind::Done)),
+        Command::Send(send) => exit_code(send.run(context).map(|outcome| outcome.kind)),
         Command::Check(check) if check.run(context) => ExitCode::SUCCESS,
         Command::Check(_) => ExitCode::from(EXIT_INVALID),
-        Command::Explain(explain) => finish(explain.run(out).map(|()| Kind::Done)),
-        Command::Status(status) => finish(status.run(context)),
-        Command::Usage(args) => finish(args.run(context.json, out).map(|()| Kind::Done)),
-        Command::Burn(args) => finish(args.run(context.json, out).map(|()| Kind::Done)),
-        Command::Operate(command) => finish(command.run(context).map(|text| {
+        Command::Explain(explain) => exit_code(explain.run(out).map(|()| Kind::Done)),
+        Command::Status(status) => exit_code(status.run(context)),
+        Command::Usage(args) => exit_code(args.run(context.json, out).map(|()| Kind::Done)),
+        Command::Burn(args) => exit_code(args.run(context.json, out).map(|()| Kind::Done)),
+        Command::Operate(command) => exit_code(command.run(context).map(|text| {
             // A reader that has seen enough closes the pipe, which is no fault.
             let _ = writeln!(out, "{text}");
             Kind::Done
@@ -77,7 +77,7 @@
     }
 }
 
-fn finish(result: Result<Kind, impl std::fmt::Display>) -> ExitCode {
+fn exit_code(result: Result<Kind, impl std::fmt::Display>) -> ExitCode {
     match result {
         Ok(Kind::Done) => ExitCode::SUCCESS,
         Ok(Kind::NotRun) => ExitCode::from(EXIT_REFUSED),
--- a/crates/siskinyoke-cli/src/operate/endpoint.rs
+++ b/crates/siskinyoke-cli/src/operate/endpoint.rs
@@ -9,11 +9,11 @@
 use jsonc_parser::parse_to_serde_value;
 
 use super::OperateError;
-use super::item;
-use super::items;
-use super::json;
-use super::read;
-use super::write;
+use super::get_item;
+use super::list_items;
+use super::read_file;
+use super::to_json;
+use super::write_if_unchanged;
 use crate::context::Context;
 use siskinyoke_interface::FormatError;
 use siskinyoke_native::documents::EndpointEntry;
@@ -55,25 +55,25 @@
     /// Why it changed nothing, or that a write may have taken effect.
     pub fn run(&self, context: &Context) -> Result<String, OperateError> {
         match self {
-            Self::List => list(context),
+            Self::List => list_endpoints(context),
             Self::Apply { file } => apply_endpoints(context, file),
-            Self::Drain { name } => drain(context, name, true),
-            Self::Undrain { name } => drain(context, name, false),
+            Self::Drain { name } => set_draining(context, name, true),
+            Self::Undrain { name } => set_draining(context, name, false),
             Self::Remove { name } => {
-                item(
+                get_item(
                     context,
                     &endpoint_key(name),
                     "see `siskinyoke endpoint list`",
                 )?;
-                context.call(&etcd::remove(&endpoint_key(name)))?;
+                context.call_store(&etcd::remove(&endpoint_key(name)))?;
                 Ok(format!("{name} is removed"))
             }
         }
     }
 }
 
-fn list(context: &Context) -> Result<String, OperateError> {
-    let items = items(context, names::ENDPOINT_PREFIX)?;
+fn list_endpoints(context: &Context) -> Result<String, OperateError> {
+    let items = list_items(context, names::ENDPOINT_PREFIX)?;
     let lines = items.iter().map(|item| {
         let name = item.key.trim_start_matches(names::ENDPOINT_PREFIX);
         let value = item.value.as_deref().unwrap_or_default();
@@ -83,8 +83,8 @@
 }
 
 fn apply_endpoints(context: &Context, file: &Path) -> Result<String, OperateError> {
-    let bytes = read(file)?;
-    let fault = |err| OperateError::Format(file.display().to_string(), err);
+    let bytes = read_file(file)?;
+    let fault = |err| OperateError::InvalidDocument(file.display().to_string(), err);
     let text = String::from_utf8_lossy(&bytes);
     let value: serde_json::Value = parse_to_serde_value(&text, &ParseOptions::default())
         .map_err(|err| fault(FormatError::Syntax(err.to_string())))?;
@@ -97,31 +97,31 @@
         }
     }
     for (name, entry) in &entries {
-        put(context, name, entry)?;
+        put_endpoint(context, name, entry)?;
     }
     Ok(format!("{} endpoints are written", entries.len()))
 }
 
-fn drain(context: &Context, name: &str, draining: bool) -> Result<String, OperateError> {
+fn set_draining(context: &Context, name: &str, draining: bool) -> Result<String, OperateError> {
     let key = endpoint_key(name);
-    let item = item(context, &key, "see `siskinyoke endpoint list`")?;
+    let item = get_item(context, &key, "see `siskinyoke endpoint list`")?;
     let value = item.value.as_deref().unwrap_or_default();
     let entry: EndpointEntry = serde_json::from_slice(value)
-        .map_err(|err| OperateError::Format(name.to_owned(), err.into()))?;
+        .map_err(|err| OperateError::InvalidDocument(name.to_owned(), err.into()))?;
     let entry = EndpointEntry { draining, ..entry };
-    write(context, &key, json(&entry).as_bytes(), item.revision, 0)?;
+    write_if_unchanged(context, &key, to_json(&entry).as_bytes(), item.revision, 0)?;
     let word = if draining { "drains" } else { "takes work" };
     Ok(format!("{name} {word}"))
 }
 
-fn put(context: &Context, name: &str, entry: &EndpointEntry) -> Result<(), OperateError> {
+fn put_endpoint(context: &Context, name: &str, entry: &EndpointEntry) -> Result<(), OperateError> {
     let key = endpoint_key(name);
-    let revision = match item(context, &key, "") {
+    let revision = match get_item(context, &key, "") {
         Ok(item) => item.revision,
-        Err(OperateError::Unknown(..)) => 0,
+        Err(OperateError::NotFound(..)) => 0,
         Err(err) => return Err(err),
     };
-    write(context, &key, json(entry).as_bytes(), revision, 0)
+    write_if_unchanged(context, &key, to_json(entry).as_bytes(), revision, 0)
 }
 
 fn endpoint_key(name: &str) -> String {
--- a/crates/siskinyoke-cli/src/operate/error.rs
+++ b/crates/siskinyoke-cli/src/operate/error.rs
@@ -16,12 +16,12 @@
             source(err)
         }
         /// A document cannot be used.
-        Format(what: String, err: FormatError) {
+        InvalidDocument(what: String, err: FormatError) {
             display("{what}: {err}")
             source(err)
         }
         /// Something is not there.
-        Unknown(what: String, hint: &'static str) {
+        NotFound(what: String, hint: &'static str) {
             display("{what} is not known; {hint}")
         }
         /// Another operator changed it meanwhile.
--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -30,7 +30,7 @@
 use siskinyoke_native::names;
 
 /// Characters of a drawn key: 190 bits.
-const KEY: usize = 32;
+const KEY_LENGTH: usize = 32;
 
 /// Operators' commands.
 #[derive(Debug, Subcommand)]
@@ -83,30 +83,32 @@
     /// Why it changed nothing, or that a write may have taken effect.
     pub fn run(&self, context: &Context) -> Result<String, OperateError> {
         match self {
-            Self::Configuration(Configuration::Show) => show(context),
-            Self::Configuration(Configuration::Apply { file }) => apply(context, file),
-            Self::Preset(Preset::List) => presets(context),
-            Self::Preset(Preset::Switch { name }) => switch(context, name),
+            Self::Configuration(Configuration::Show) => show_configuration(context),
+            Self::Configuration(Configuration::Apply { file }) => {
+                apply_configuration(context, file)
+            }
+            Self::Preset(Preset::List) => list_presets(context),
+            Self::Preset(Preset::Switch { name }) => switch_preset(context, name),
             Self::Endpoint(command) => command.run(context),
             Self::Rollout(command) => command.run(context),
-            Self::Key => Ok(key(context)),
+            Self::Key => Ok(generate_key(context)),
         }
     }
 }
 
-fn show(context: &Context) -> Result<String, OperateError> {
-    let item = in_force(context)?;
+fn show_configuration(context: &Context) -> Result<String, OperateError> {
+    let item = current_configuration(context)?;
     Ok(String::from_utf8_lossy(&item.value.unwrap_or_default()).into_owned())
 }
 
-fn apply(context: &Context, file: &Path) -> Result<String, OperateError> {
-    let bytes = read(file)?;
-    let fault = |err| OperateError::Format(file.display().to_string(), err);
+fn apply_configuration(context: &Context, file: &Path) -> Result<String, OperateError> {
+    let bytes = read_file(file)?;
+    let fault = |err| OperateError::InvalidDocument(file.display().to_string(), err);
     let document = Document::parse(&bytes).map_err(fault)?;
     document.resolve().map_err(fault)?;
-    let (before, revision) = match in_force(context) {
-        Ok(item) => (parse(&item)?.revision, item.revision),
-        Err(OperateError::Unknown(..)) => (0, 0),
+    let (before, revision) = match current_configuration(context) {
+        Ok(item) => (parse_configuration(&item)?.revision, item.revision),
+        Err(OperateError::NotFound(..)) => (0, 0),
         Err(err) => return Err(err),
     };
     // Instances never go back to a lower revision: such a change would be in force nowhere.
@@ -114,12 +116,12 @@
         return Err(OperateError::Conflict(before));
     }
     // The text is stored as it is, so that its comments last.
-    write(context, names::CONFIGURATION_KEY, &bytes, revision, before)?;
+    write_if_unchanged(context, names::CONFIGURATION_KEY, &bytes, revision, before)?;
     Ok(format!("revision {} is in force", document.revision))
 }
 
-fn presets(context: &Context) -> Result<String, OperateError> {
-    let document = parse(&in_force(context)?)?;
+fn list_presets(context: &Context) -> Result<String, OperateError> {
+    let document = parse_configuration(&current_configuration(context)?)?;
     let mark = |name: &String| if *name == document.preset { "*" } else { " " };
     let lines: Vec<String> = document
         .presets
@@ -130,11 +132,11 @@
 }
 
 // Only the two values are replaced in the text, so that its comments last.
-fn switch(context: &Context, name: &str) -> Result<String, OperateError> {
-    let item = in_force(context)?;
-    let document = parse(&item)?;
+fn switch_preset(context: &Context, name: &str) -> Result<String, OperateError> {
+    let item = current_configuration(context)?;
+    let document = parse_configuration(&item)?;
     if !document.presets.contains_key(name) {
-        return Err(OperateError::Unknown(
+        return Err(OperateError::NotFound(
             format!("preset {name}"),
             "see `siskinyoke preset list`",
         ));
@@ -146,21 +148,21 @@
     };
     let bytes = item.value.unwrap_or_default();
     let text = String::from_utf8_lossy(&bytes);
-    let text = replace(&text, "preset", &json(&document.preset), &json(name));
-    let text = replace(
+    let text = replace_field(&text, "preset", &to_json(&document.preset), &to_json(name));
+    let text = replace_field(
         &text,
         "revision",
         &document.revision.to_string(),
         &next.revision.to_string(),
     );
-    let fault = |err| OperateError::Format("the changed configuration".to_owned(), err);
+    let fault = |err| OperateError::InvalidDocument("the changed configuration".to_owned(), err);
     let changed = Document::parse(text.as_bytes()).map_err(fault)?;
     let bytes = if changed == next {
         text.into_bytes()
     } else {
-        json(&next).into_bytes()
+        to_json(&next).into_bytes()
     };
-    write(
+    write_if_unchanged(
         context,
         names::CONFIGURATION_KEY,
         &bytes,
@@ -173,8 +175,8 @@
     ))
 }
 
-fn key(context: &Context) -> String {
-    let drawn = rand::rng().sample_iter(&Alphanumeric).take(KEY);
+fn generate_key(context: &Context) -> String {
+    let drawn = rand::rng().sample_iter(&Alphanumeric).take(KEY_LENGTH);
     let key: String = drawn.map(char::from).collect();
     let digest = names::digest(&key);
     if context.json {
@@ -186,25 +188,25 @@
     )
 }
 
-fn in_force(context: &Context) -> Result<Item, OperateError> {
+fn current_configuration(context: &Context) -> Result<Item, OperateError> {
     let hint = "put one in force with `siskinyoke configuration apply FILE`";
-    item(context, names::CONFIGURATION_KEY, hint)
+    get_item(context, names::CONFIGURATION_KEY, hint)
 }
 
-fn item(context: &Context, key: &str, hint: &'static str) -> Result<Item, OperateError> {
-    let body = context.call(&etcd::get(key))?;
-    let page = Etcd.decode_range(&body).map_err(store_fault)?;
+fn get_item(context: &Context, key: &str, hint: &'static str) -> Result<Item, OperateError> {
+    let body = context.call_store(&etcd::get(key))?;
+    let page = Etcd.decode_range(&body).map_err(invalid_response)?;
     let item = page.items.into_iter().next();
-    item.ok_or_else(|| OperateError::Unknown(key.to_owned(), hint))
+    item.ok_or_else(|| OperateError::NotFound(key.to_owned(), hint))
 }
 
 // Reads everything under a prefix.
-fn items(context: &Context, prefix: &str) -> Result<Vec<Item>, OperateError> {
+fn list_items(context: &Context, prefix: &str) -> Result<Vec<Item>, OperateError> {
     let mut items = Vec::new();
     let mut after = String::new();
     loop {
-        let body = context.call(&Etcd.range(&after, Consistency::Linearizable))?;
-        let page = Etcd.decode_range(&body).map_err(store_fault)?;
+        let body = context.call_store(&Etcd.range(&after, Consistency::Linearizable))?;
+        let page = Etcd.decode_range(&body).map_err(invalid_response)?;
         let last = page.items.last();
         after = last.map(|it| it.key.clone()).unwrap_or_default();
         let wanted = |it: &Item| it.key.starts_with(prefix);
@@ -215,32 +217,32 @@
     }
 }
 
-fn write(
+fn write_if_unchanged(
     context: &Context,
     key: &str,
     value: &[u8],
     revision: u64,
     before: u64,
 ) -> Result<(), OperateError> {
-    let body = context.call(&etcd::swap(key, value, revision))?;
-    if etcd::decode_swap(&body).map_err(store_fault)? {
+    let body = context.call_store(&etcd::swap(key, value, revision))?;
+    if etcd::decode_swap(&body).map_err(invalid_response)? {
         return Ok(());
     }
     Err(OperateError::Conflict(before))
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, OperateError> {
+fn read_file(path: &Path) -> Result<Vec<u8>, OperateError> {
     fs::read(path).map_err(|err| OperateError::Read(path.to_owned(), err))
 }
 
-fn parse(item: &Item) -> Result<Document, OperateError> {
+fn parse_configuration(item: &Item) -> Result<Document, OperateError> {
     let value = item.value.as_deref().unwrap_or_default();
     Document::parse(value)
-        .map_err(|err| OperateError::Format("the configuration in force".to_owned(), err))
+        .map_err(|err| OperateError::InvalidDocument("the configuration in force".to_owned(), err))
 }
 
 // Replaces the value of a field where it stands first.
-fn replace(text: &str, field: &str, from: &str, to: &str) -> String {
+fn replace_field(text: &str, field: &str, from: &str, to: &str) -> String {
     let name = format!("\"{field}\"");
     let Some(at) = text.find(&name) else {
         return text.to_owned();
@@ -249,10 +251,10 @@
     head.to_owned() + &rest.replacen(from, to, 1)
 }
 
-fn json(value: &(impl Serialize + ?Sized)) -> String {
+fn to_json(value: &(impl Serialize + ?Sized)) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
 
-fn store_fault(err: FormatError) -> OperateError {
-    OperateError::Format("the store's answer".to_owned(), err)
+fn invalid_response(err: FormatError) -> OperateError {
+    OperateError::InvalidDocument("the store's answer".to_owned(), err)
 }
--- a/crates/siskinyoke-cli/src/operate/rollout.rs
+++ b/crates/siskinyoke-cli/src/operate/rollout.rs
@@ -6,10 +6,10 @@
 use serde::Serialize;
 
 use super::OperateError;
-use super::item;
-use super::items;
-use super::json;
-use super::write;
+use super::get_item;
+use super::list_items;
+use super::to_json;
+use super::write_if_unchanged;
 use crate::context::Context;
 use siskinyoke_interface::Item;
 use siskinyoke_native::etcd;
@@ -19,7 +19,7 @@
 use siskinyoke_native::rollout::RolloutStatus;
 
 /// What to do where no order stands.
-const NO_ORDER: &str = "start a rollout with `siskinyoke rollout start SERVICE VERSION`";
+const START_HINT: &str = "start a rollout with `siskinyoke rollout start SERVICE VERSION`";
 
 /// What can be done with rollouts.
 #[derive(Debug, Subcommand)]
@@ -65,14 +65,14 @@
                 service,
                 version,
                 seconds,
-            } => start(context, service, version, *seconds),
-            Self::Status { service } => status(context, service.as_deref()),
-            Self::Abort { service } => abort(context, service),
+            } => start_rollout(context, service, version, *seconds),
+            Self::Status { service } => rollout_status(context, service.as_deref()),
+            Self::Abort { service } => abort_rollout(context, service),
         }
     }
 }
 
-fn start(
+fn start_rollout(
     context: &Context,
     service: &str,
     version: &str,
@@ -82,51 +82,52 @@
         version: version.to_owned(),
         seconds,
     };
-    let bytes = json(&order).into_bytes();
+    let bytes = to_json(&order).into_bytes();
     // Instances would pass over an order that they cannot read.
-    rollout::decode(&bytes).map_err(|err| OperateError::Format("the order".to_owned(), err))?;
+    rollout::decode(&bytes)
+        .map_err(|err| OperateError::InvalidDocument("the order".to_owned(), err))?;
     let key = order_key(service);
-    let revision = match item(context, &key, NO_ORDER) {
+    let revision = match get_item(context, &key, START_HINT) {
         Ok(item) => item.revision,
-        Err(OperateError::Unknown(..)) => 0,
+        Err(OperateError::NotFound(..)) => 0,
         Err(err) => return Err(err),
     };
-    write(context, &key, &bytes, revision, revision)?;
+    write_if_unchanged(context, &key, &bytes, revision, revision)?;
     Ok(format!(
         "{service} is to move to {version} within {seconds} s; see `siskinyoke rollout status`"
     ))
 }
 
-fn status(context: &Context, service: Option<&str>) -> Result<String, OperateError> {
+fn rollout_status(context: &Context, service: Option<&str>) -> Result<String, OperateError> {
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
-    for item in items(context, names::ORDER_PREFIX)? {
+    for item in list_items(context, names::ORDER_PREFIX)? {
         let name = item.key.trim_start_matches(names::ORDER_PREFIX);
         rows.entry(name.to_owned()).or_default().order = parse(&item)?;
     }
-    for item in items(context, names::STATE_PREFIX)? {
+    for item in list_items(context, names::STATE_PREFIX)? {
         let name = item.key.trim_start_matches(names::STATE_PREFIX);
         rows.entry(name.to_owned()).or_default().status = parse(&item)?;
     }
     if let Some(service) = service {
         rows.retain(|name, _| name == service);
         if rows.is_empty() {
-            return Err(OperateError::Unknown(
+            return Err(OperateError::NotFound(
                 format!("a rollout of {service}"),
-                NO_ORDER,
+                START_HINT,
             ));
         }
     }
     if context.json {
-        return Ok(json(&rows));
+        return Ok(to_json(&rows));
     }
     let lines: Vec<String> = rows.iter().map(|row| describe(row.0, row.1)).collect();
     Ok(lines.join("\n"))
 }
 
-fn abort(context: &Context, service: &str) -> Result<String, OperateError> {
+fn abort_rollout(context: &Context, service: &str) -> Result<String, OperateError> {
     let key = order_key(service);
-    item(context, &key, NO_ORDER)?;
-    context.call(&etcd::remove(&key))?;
+    get_item(context, &key, START_HINT)?;
+    context.call_store(&etcd::remove(&key))?;
     Ok(format!("the order for {service} is taken away"))
 }
 
@@ -142,7 +143,7 @@
     };
     let state = row.status.as_ref().filter(same).map_or_else(
         || "no state yet".to_owned(),
-        |it| format!("{} {}", it.version, json(&it.state).trim_matches('"')),
+        |it| format!("{} {}", it.version, to_json(&it.state).trim_matches('"')),
     );
     format!("{service}: {order}, {state}")
 }
@@ -154,7 +155,7 @@
     let parsed = serde_json::from_slice(value);
     parsed
         .map(Some)
-        .map_err(|err| OperateError::Format(item.key.clone(), err.into()))
+        .map_err(|err| OperateError::InvalidDocument(item.key.clone(), err.into()))
 }
 
 fn order_key(service: &str) -> String {
--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -13,13 +13,13 @@
 use super::plot;
 use super::plot::Curve;
 use super::requests;
-use super::requests::Answer;
-use super::requests::Fate;
+use super::requests::FinishedRequest;
+use super::requests::RequestOutcome;
 use super::table;
 use crate::logs::read_all;
 
 /// Heads of the columns.
-const HEAD: [&str; 8] = [
+const COLUMN_HEADINGS: [&str; 8] = [
     "TIER",
     "ORGANISATION",
     "STATE",
@@ -31,16 +31,16 @@
 ];
 
 /// The short window, which tells whether it goes on, in ms.
-const SHORT: u64 = 10 * 60 * 1_000;
+const SHORT_WINDOW_MS: u64 = 10 * 60 * 1_000;
 
 /// The long window, which tells whether it matters, in ms.
-const LONG: u64 = 60 * 60 * 1_000;
+const LONG_WINDOW_MS: u64 = 60 * 60 * 1_000;
 
 /// The burn rate at which a budget for 30 days is gone in two.
-const FAST: f64 = 14.4;
+const FAST_BURN_RATE: f64 = 14.4;
 
 /// The width of one point of the plots, in ms.
-const STEP: u64 = 60 * 1_000;
+const PLOT_STEP_MS: u64 = 60 * 1_000;
 
 /// Shows which tiers and organisations miss their objective, how fast, and why.
 #[derive(Debug, Args)]
@@ -57,56 +57,59 @@
 
 /// Counts of a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-struct Tally {
+struct OutcomeCounts {
     within: u64,
     late: u64,
     refused: u64,
     broken: u64,
 }
 
-impl Tally {
-    fn add(&mut self, fate: Fate) {
+impl OutcomeCounts {
+    fn add(&mut self, fate: RequestOutcome) {
         let count = match fate {
-            Fate::Within => &mut self.within,
-            Fate::Late => &mut self.late,
-            Fate::Refused => &mut self.refused,
-            Fate::Broken => &mut self.broken,
+            RequestOutcome::Within => &mut self.within,
+            RequestOutcome::Late => &mut self.late,
+            RequestOutcome::Refused => &mut self.refused,
+            RequestOutcome::Broken => &mut self.broken,
         };
         *count += 1;
     }
 
-    fn all(&self) -> u64 {
+    fn total(&self) -> u64 {
         self.within + self.late + self.refused + self.broken
     }
 
     // The part that was answered within its objective; all of it if nothing was asked.
-    fn share(&self) -> f64 {
-        if self.all() == 0 {
+    fn within_ratio(&self) -> f64 {
+        if self.total() == 0 {
             return 1.0;
         }
-        number(self.within) / number(self.all())
+        number(self.within) / number(self.total())
     }
 
     // 1 just uses up the error budget.
-    fn burn(&self, objective: f64) -> f64 {
-        (1.0 - self.share()) / (1.0 - objective)
+    fn burn_rate(&self, objective: f64) -> f64 {
+        (1.0 - self.within_ratio()) / (1.0 - objective)
     }
 }
 
 #[derive(Debug, Default, Serialize)]
-struct Line {
+struct BurnRow {
     tier: u64,
     organisation: String,
-    short: Tally,
-    long: Tally,
+    short: OutcomeCounts,
+    long: OutcomeCounts,
 }
 
-impl Line {
+impl BurnRow {
     // Both windows have to agree: a long one alone rings on for an hour after the end, a short one
     // at each moment of refusals.
     fn state(&self, objective: f64) -> &'static str {
-        let (short, long) = (self.short.burn(objective), self.long.burn(objective));
-        if short >= FAST && long >= FAST {
+        let (short, long) = (
+            self.short.burn_rate(objective),
+            self.long.burn_rate(objective),
+        );
+        if short >= FAST_BURN_RATE && long >= FAST_BURN_RATE {
             "fast"
         } else if short > 1.0 && long > 1.0 {
             "slow"
@@ -117,16 +120,16 @@
         }
     }
 
-    fn row(&self, objective: f64) -> Vec<String> {
+    fn cells(&self, objective: f64) -> Vec<String> {
         let long = &self.long;
         vec![
             self.tier.to_string(),
             self.organisation.clone(),
             self.state(objective).to_owned(),
-            long.all().to_string(),
-            format!("{:.2}%", long.share() * 100.0),
-            format!("{:.1}", self.short.burn(objective)),
-            format!("{:.1}", long.burn(objective)),
+            long.total().to_string(),
+            format!("{:.2}%", long.within_ratio() * 100.0),
+            format!("{:.1}", self.short.burn_rate(objective)),
+            format!("{:.1}", long.burn_rate(objective)),
             format!("{}/{}/{}", long.refused, long.late, long.broken),
         ]
     }
@@ -144,7 +147,7 @@
         }
         let logs = read_all(&self.logs)?;
         let (answers, missing) = requests::read(&logs)?;
-        let lines = lines(&answers);
+        let lines = count_outcomes(&answers);
         if let Some(path) = &self.html {
             fs::write(path, self.page(&answers, &lines, missing)?)?;
         }
@@ -155,69 +158,78 @@
             writeln!(out, "{report}")?;
             return Ok(());
         }
-        if let Some(note) = note(missing) {
+        if let Some(note) = incomplete_notice(missing) {
             writeln!(out, "{note}")?;
         }
-        let rows: Vec<_> = lines.iter().map(|line| line.row(self.objective)).collect();
-        write!(out, "{}", table::text(&HEAD, &rows))?;
+        let rows: Vec<_> = lines
+            .iter()
+            .map(|line| line.cells(self.objective))
+            .collect();
+        write!(out, "{}", table::text(&COLUMN_HEADINGS, &rows))?;
         Ok(())
     }
 
     fn page(
         &self,
-        answers: &[Answer<'_>],
-        lines: &[Line],
+        answers: &[FinishedRequest<'_>],
+        lines: &[BurnRow],
         missing: u64,
     ) -> Result<String, ReportError> {
         let mut page = Page::new("Service-level burn");
-        if let Some(note) = note(missing) {
-            page.text(&note);
+        if let Some(incomplete_notice) = incomplete_notice(missing) {
+            page.text(&incomplete_notice);
         }
         page.heading("By tier and organisation over the last hour");
-        let row = |line: &Line| (line.state(self.objective), line.row(self.objective));
+        let row = |line: &BurnRow| (line.state(self.objective), line.cells(self.objective));
         let rows: Vec<_> = lines.iter().map(row).collect();
-        page.table(&HEAD, &rows);
+        page.table(&COLUMN_HEADINGS, &rows);
         page.heading("By tier");
-        let share = |tally: &Tally| tally.share() * 100.0;
+        let share = |tally: &OutcomeCounts| tally.within_ratio() * 100.0;
         let caption = "answered within the objective, %";
-        page.drawing(&plot::curves(
+        page.svg(&plot::curves(
             caption,
-            &curves(answers, share),
+            &tier_curves(answers, share),
             self.objective * 100.0,
         )?);
-        let burn = |tally: &Tally| tally.burn(self.objective);
+        let burn = |tally: &OutcomeCounts| tally.burn_rate(self.objective);
         let caption = "burn rate; 1 just uses up the budget";
-        page.drawing(&plot::curves(caption, &curves(answers, burn), 1.0)?);
+        page.svg(&plot::curves(caption, &tier_curves(answers, burn), 1.0)?);
         Ok(page.finish())
     }
 }
 
 /// Says how much the logs lack, if anything.
-pub fn note(missing: u64) -> Option<String> {
+pub fn incomplete_notice(missing: u64) -> Option<String> {
     (missing > 0).then(|| format!("INCOMPLETE: {missing} lines are left out or damaged"))
 }
 
-fn lines(answers: &[Answer<'_>]) -> Vec<Line> {
-    let mut lines: BTreeMap<(u64, &str), Line> = BTreeMap::new();
-    for answer in answers.iter().filter(|it| it.age <= LONG) {
+fn count_outcomes(answers: &[FinishedRequest<'_>]) -> Vec<BurnRow> {
+    let mut lines: BTreeMap<(u64, &str), BurnRow> = BTreeMap::new();
+    for answer in answers.iter().filter(|it| it.age <= LONG_WINDOW_MS) {
         let line = lines.entry((answer.tier, answer.organisation)).or_default();
         line.tier = answer.tier;
         answer.organisation.clone_into(&mut line.organisation);
-        line.long.add(answer.fate);
-        if answer.age <= SHORT {
-            line.short.add(answer.fate);
+        line.long.add(answer.outcome);
+        if answer.age <= SHORT_WINDOW_MS {
+            line.short.add(answer.outcome);
         }
     }
     lines.into_values().collect()
 }
 
-fn curves(answers: &[Answer<'_>], value: impl Fn(&Tally) -> f64) -> Vec<Curve> {
-    let mut tiers: BTreeMap<u64, BTreeMap<u64, Tally>> = BTreeMap::new();
-    for answer in answers.iter().filter(|it| it.age <= LONG) {
+fn tier_curves(
+    answers: &[FinishedRequest<'_>],
+    value: impl Fn(&OutcomeCounts) -> f64,
+) -> Vec<Curve> {
+    let mut tiers: BTreeMap<u64, BTreeMap<u64, OutcomeCounts>> = BTreeMap::new();
+    for answer in answers.iter().filter(|it| it.age <= LONG_WINDOW_MS) {
         let steps = tiers.entry(answer.tier).or_default();
-        steps.entry(answer.age / STEP).or_default().add(answer.fate);
+        steps
+            .entry(answer.age / PLOT_STEP_MS)
+            .or_default()
+            .add(answer.outcome);
     }
-    let curve = |(tier, steps): (u64, BTreeMap<u64, Tally>)| {
+    let curve = |(tier, steps): (u64, BTreeMap<u64, OutcomeCounts>)| {
         let points = steps.iter().rev();
         Curve {
             name: format!("tier {tier}"),
--- a/crates/siskinyoke-cli/src/report/page.rs
+++ b/crates/siskinyoke-cli/src/report/page.rs
@@ -47,7 +47,7 @@
     }
 
     /// Adds a drawing.
-    pub fn drawing(&mut self, svg: &str) {
+    pub fn svg(&mut self, svg: &str) {
         self.put(svg);
     }
 
--- a/crates/siskinyoke-cli/src/report/requests.rs
+++ b/crates/siskinyoke-cli/src/report/requests.rs
@@ -2,14 +2,14 @@
 
 use super::ReportError;
 use crate::logs::Log;
-use crate::logs::Row;
+use crate::logs::LogRecord;
 
 /// Refusals that are the caller's own doing: they use up no error budget.
-const OWN: [&str; 3] = ["quota", "no_key", "no_route"];
+const CALLER_ERRORS: [&str; 3] = ["quota", "no_key", "no_route"];
 
 /// How a request fared, as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     /// Answered within its objective.
     Within,
     /// Answered, but late.
@@ -22,7 +22,7 @@
 
 /// One request, by the line that tells its end.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer<'a> {
+pub struct FinishedRequest<'a> {
     /// How long before the last line of its instance it ended, in ms.
     pub age: u64,
     /// Its tier; 0 is the most urgent.
@@ -30,7 +30,7 @@
     /// Its organisation, empty where none is known.
     pub organisation: &'a str,
     /// How it fared.
-    pub fate: Fate,
+    pub outcome: RequestOutcome,
     /// What it used of its organisation's quota.
     pub units: f64,
 }
@@ -40,15 +40,15 @@
 /// # Errors
 ///
 /// [`ReportError::Empty`] if no line tells of an answer.
-pub fn read(logs: &[(String, Log)]) -> Result<(Vec<Answer<'_>>, u64), ReportError> {
+pub fn read(logs: &[(String, Log)]) -> Result<(Vec<FinishedRequest<'_>>, u64), ReportError> {
     let mut answers = Vec::new();
     let mut missing = 0;
     for (_, log) in logs {
-        let last = log.rows.last().map_or(0, |row| row.at);
-        missing += u64::try_from(log.damaged).unwrap_or(u64::MAX);
-        for row in &log.rows {
-            missing += row.number("left_out").unwrap_or(0);
-            answers.extend(answer(row, last));
+        let last = log.records.last().map_or(0, |row| row.at);
+        missing += u64::try_from(log.malformed).unwrap_or(u64::MAX);
+        for row in &log.records {
+            missing += row.u64_field("left_out").unwrap_or(0);
+            answers.extend(parse_request(row, last));
         }
     }
     if answers.is_empty() {
@@ -57,31 +57,31 @@
     Ok((answers, missing))
 }
 
-fn answer(row: &Row, last: u64) -> Option<Answer<'_>> {
-    let outcome = match row.field("event")? {
-        "answer" => row.field("outcome")?,
+fn parse_request(row: &LogRecord, last: u64) -> Option<FinishedRequest<'_>> {
+    let outcome = match row.str_field("event")? {
+        "answer" => row.str_field("outcome")?,
         // One that was let in has an answer's line as well.
         "refusal" if row.fields.get("admitted")?.as_bool()? => return None,
-        "refusal" => row.field("reason")?,
+        "refusal" => row.str_field("reason")?,
         _ => return None,
     };
-    if OWN.contains(&outcome) {
+    if CALLER_ERRORS.contains(&outcome) {
         return None;
     }
     let fate = match outcome {
-        "answered" | "streamed" if late(row) => Fate::Late,
-        "answered" | "streamed" => Fate::Within,
+        "answered" | "streamed" if is_late(row) => RequestOutcome::Late,
+        "answered" | "streamed" => RequestOutcome::Within,
         // Nobody waited any more; whose fault that was cannot be told.
         "caller_left" => return None,
-        "endpoint_failed" | "no_answer" | "cut" | "late" => Fate::Broken,
-        _ => Fate::Refused,
+        "endpoint_failed" | "no_answer" | "cut" | "late" => RequestOutcome::Broken,
+        _ => RequestOutcome::Refused,
     };
-    Some(Answer {
+    Some(FinishedRequest {
         age: last.saturating_sub(row.at),
         // The organisation's tier stands before the route's in a rank.
-        tier: row.number("rank")? >> 8,
-        organisation: row.field("organisation").unwrap_or(""),
-        fate,
+        tier: row.u64_field("rank")? >> 8,
+        organisation: row.str_field("organisation").unwrap_or(""),
+        outcome: fate,
         units: row
             .fields
             .get("units")
@@ -89,11 +89,12 @@
     })
 }
 
-fn late(row: &Row) -> bool {
-    let first = row.number("first_ms").or(row.number("took_ms"));
+fn is_late(row: &LogRecord) -> bool {
+    let first = row.u64_field("first_ms").or(row.u64_field("took_ms"));
     let beyond = |value: Option<u64>, limit: Option<u64>| match (value, limit) {
         (Some(value), Some(limit)) => limit > 0 && value > limit,
         _ => false,
     };
-    beyond(first, row.number("aim_ms")) || beyond(row.number("pause_ms"), row.number("gap_ms"))
+    beyond(first, row.u64_field("aim_ms"))
+        || beyond(row.u64_field("pause_ms"), row.u64_field("gap_ms"))
 }
--- a/crates/siskinyoke-cli/src/report/usage.rs
+++ b/crates/siskinyoke-cli/src/report/usage.rs
@@ -14,8 +14,8 @@
 use super::plot;
 use super::plot::Bar;
 use super::requests;
-use super::requests::Answer;
-use super::requests::Fate;
+use super::requests::FinishedRequest;
+use super::requests::RequestOutcome;
 use super::table;
 use crate::logs::read_all;
 
@@ -28,7 +28,7 @@
 ];
 
 /// The most organisations in the plot, those with the most units.
-const BARS: usize = 20;
+const MAX_BARS: usize = 20;
 
 /// Shows what each organisation used.
 #[derive(Debug, Args)]
@@ -66,7 +66,7 @@
             writeln!(out, "{report}")?;
             return Ok(());
         }
-        if let Some(note) = burn::note(missing) {
+        if let Some(note) = burn::incomplete_notice(missing) {
             writeln!(out, "{note}")?;
         }
         let rows: Vec<_> = lines.iter().map(Line::row).collect();
@@ -87,18 +87,18 @@
 }
 
 // A whole answer is charged, late ones too; what was refused has used nothing.
-fn lines(answers: &[Answer<'_>]) -> Vec<Line> {
+fn lines(answers: &[FinishedRequest<'_>]) -> Vec<Line> {
     let mut lines: BTreeMap<&str, Line> = BTreeMap::new();
     for answer in answers {
         let line = lines.entry(answer.organisation).or_default();
         answer.organisation.clone_into(&mut line.organisation);
-        match answer.fate {
-            Fate::Within | Fate::Late => {
+        match answer.outcome {
+            RequestOutcome::Within | RequestOutcome::Late => {
                 line.answers += 1;
                 line.units += answer.units;
             }
-            Fate::Broken => line.wasted += answer.units,
-            Fate::Refused => {}
+            RequestOutcome::Broken => line.wasted += answer.units,
+            RequestOutcome::Refused => {}
         }
     }
     let mut lines: Vec<Line> = lines.into_values().collect();
@@ -108,17 +108,17 @@
 
 fn page(lines: &[Line], missing: u64) -> Result<String, ReportError> {
     let mut page = Page::new("Use by organisation");
-    if let Some(note) = burn::note(missing) {
-        page.text(&note);
+    if let Some(incomplete_notice) = burn::incomplete_notice(missing) {
+        page.text(&incomplete_notice);
     }
     let rows: Vec<_> = lines.iter().map(|line| ("", line.row())).collect();
     page.table(&HEAD, &rows);
     let bar = |line: &Line| Bar {
         name: line.organisation.clone(),
-        parts: vec![line.units, line.wasted],
+        segments: vec![line.units, line.wasted],
     };
-    let bars: Vec<_> = lines.iter().take(BARS).map(bar).collect();
-    page.drawing(&plot::bars(
+    let bars: Vec<_> = lines.iter().take(MAX_BARS).map(bar).collect();
+    page.svg(&plot::bars(
         "units with (red) and without (green) a whole answer",
         &bars,
     )?);
--- a/crates/siskinyoke-cli/src/status.rs
+++ b/crates/siskinyoke-cli/src/status.rs
@@ -29,14 +29,14 @@
         let mut reached = 0;
         let mut text = String::new();
         for address in &self.pages {
-            let told = context.page(address, "/metrics").and_then(|page| {
+            let told = context.fetch_page(address, "/metrics").and_then(|page| {
                 let lines = page.lines().map(|line| Ok(line.to_owned()));
                 Scrape::parse(lines).map_err(|err| err.to_string())
             });
             let told = match told {
                 Ok(scrape) => {
                     reached += 1;
-                    describe(&scrape)
+                    format_metrics(&scrape)
                 }
                 Err(err) => err,
             };
@@ -52,7 +52,7 @@
     }
 }
 
-fn describe(scrape: &Scrape) -> String {
+fn format_metrics(scrape: &Scrape) -> String {
     let mut parts = Vec::new();
     for sample in &scrape.samples {
         let (Some(what), Value::Gauge(value)) = (sample.labels.get("what"), &sample.value) else {
@@ -61,12 +61,12 @@
         parts.push(format!("{what} {value}"));
     }
     parts.sort();
-    let answers = counted(scrape, "siskinyoke_answers_total");
+    let answers = sum_samples(scrape, "siskinyoke_answers_total");
     parts.push(format!("answers {answers}"));
     parts.join(", ")
 }
 
-fn counted(scrape: &Scrape, name: &str) -> f64 {
+fn sum_samples(scrape: &Scrape, name: &str) -> f64 {
     let samples = scrape.samples.iter().filter(|it| it.metric == name);
     samples
         .filter_map(|sample| match sample.value {
--- a/crates/siskinyoke-cli/tests/explain.rs
+++ b/crates/siskinyoke-cli/tests/explain.rs
@@ -1,6 +1,6 @@
 //! The story of one request, from logs.
 
-use siskinyoke_cli::explain::tell;
+use siskinyoke_cli::explain::write_report;
 use siskinyoke_cli::logs::Log;
 
 const FIRST: &str = r#"{"at_ms":1000,"event":"configuration","version":7,"before":3,"source":"store"}
@@ -18,7 +18,7 @@
         .map(|it| (it.0.to_owned(), Log::read(it.1.as_bytes())))
         .collect();
     let mut out = Vec::new();
-    tell(id, &logs, false, &mut out).map_err(|err| err.to_string())?;
+    write_report(id, &logs, false, &mut out).map_err(|err| err.to_string())?;
     Ok(String::from_utf8(out).unwrap())
 }
 
@@ -47,7 +47,7 @@
     let mut bytes = FIRST.as_bytes().to_vec();
     bytes.splice(0..0, [0xff, 0xfe, b'\n']);
     let mut out = Vec::new();
-    tell(
+    write_report(
         "r1",
         &[("log".to_owned(), Log::read(&bytes))],
         false,
@@ -97,7 +97,7 @@
     let told = |changes| {
         let logs = [("i.log".to_owned(), Log::read(lines.as_bytes()))];
         let mut out = Vec::new();
-        tell("r1", &logs, changes, &mut out).unwrap();
+        write_report("r1", &logs, changes, &mut out).unwrap();
         String::from_utf8(out).unwrap()
     };
     assert!(told(false).contains("version=7") && !told(false).contains("version=8"));
--- a/crates/siskinyoke-client/src/attempt.rs
+++ b/crates/siskinyoke-client/src/attempt.rs
@@ -76,7 +76,7 @@
             body: Vec::new(),
             retry_after: None,
             id: self.id.to_owned(),
-            sendings: self.index + 1,
+            attempts: self.index + 1,
         }
     }
 }
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -196,7 +196,7 @@
                 .and_then(|text| text.parse().ok())
                 .map(Millis::from_secs),
             id: sending.id.to_owned(),
-            sendings: sending.index + 1,
+            attempts: sending.index + 1,
         };
         if stream {
             read_stream(answer, &mut outcome, given, sink).map_err(AttemptError::ResponseLost)?;
--- a/crates/siskinyoke-client/src/outcome.rs
+++ b/crates/siskinyoke-client/src/outcome.rs
@@ -23,5 +23,5 @@
     pub id: String,
     /// How many times it was sent.
     #[serde(rename = "sendings")]
-    pub sendings: u32,
+    pub attempts: u32,
 }
--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -62,7 +62,7 @@
         }
         drop(self.store);
         let mut out = Vec::new();
-        explain::tell(id, &logs, false, &mut out).expect("a story");
+        explain::write_report(id, &logs, false, &mut out).expect("a story");
         String::from_utf8(out).expect("text")
     }
 }
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -189,7 +189,7 @@
         ..book()
     };
     let outcome = send(&fleet, &request);
-    assert_eq!((outcome.kind, outcome.sendings), (Kind::Unknown, 1));
+    assert_eq!((outcome.kind, outcome.attempts), (Kind::Unknown, 1));
     assert_eq!(outcome.code, Code::Broken.number());
     assert_eq!(fleet.service.counts()["seat-4"], 1);
 }
