--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -13,9 +13,9 @@
 use crate::Location;
 use crate::Outcome;
 use crate::Request;
-use crate::sending::Attempt;
-use crate::sending::AttemptError;
-use crate::sending::generate_id;
+use crate::attempt::Attempt;
+use crate::attempt::AttemptError;
+use crate::attempt::generate_id;
 use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
 
@@ -196,7 +196,7 @@
                 .and_then(|text| text.parse().ok())
                 .map(Millis::from_secs),
             id: sending.id.to_owned(),
-            sendings: sending.index + 1,
+            attempts: sending.index + 1,
         };
         if stream {
             read_stream(answer, &mut outcome, given, sink).map_err(AttemptError::ResponseLost)?;
