--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! The short answers beside callers' work: readiness, directory, metrics.
+//! The auxiliary pages of an instance: readiness, directory and metrics.
 
 use http::Request;
 use http::Response;
@@ -10,13 +10,13 @@
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
 
-/// How long callers should keep the directory's answer.
+/// Maximum time for which callers may cache the directory's response.
 ///
-/// An instance that leaves goes on serving for longer; one that died is avoided by its callers
-/// after one failure. Shorter answers cost a question each for no gain.
+/// An instance that shuts down serves for longer than this, and callers avoid a dead instance after
+/// one failure. A shorter time would add queries for no gain.
 const MAX_DIRECTORY_TTL: Millis = Millis(2_000);
 
-/// Answers whether this instance takes callers.
+/// Returns whether this instance accepts requests from callers.
 pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
     if request.uri().path() != shell.interface.pages.ready_path() {
         return answer::plain(StatusCode::NOT_FOUND, "no such page");
@@ -28,7 +28,7 @@
     }
 }
 
-/// Answers which instances a caller should use.
+/// Returns the addresses of the instances that a caller should use.
 pub fn directory(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
     if request.uri().path() != shell.interface.pages.directory_path() {
         return answer::plain(StatusCode::NOT_FOUND, "no such page");
@@ -41,11 +41,11 @@
     if addresses.is_empty() {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
-    let keep = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
-    answer::json(shell.interface.pages.directory(&addresses, keep))
+    let ttl = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
+    answer::json(shell.interface.pages.directory(&addresses, ttl))
 }
 
-/// Answers with the metrics page.
+/// Returns the metrics page.
 pub fn metrics_page(shell: &Shell, _: &Request<Incoming>) -> Response<AnswerBody> {
     let core = shell.core.borrow();
     let (waiting, running) = core.scheduler().request_counts();
@@ -64,7 +64,7 @@
     shell.metrics.set_state("limited_endpoints", to_f64(limits));
     let age = shell.now().since(shell.store_answered.get());
     shell.metrics.set_state("store_age_seconds", age.as_secs());
-    #[expect(clippy::cast_precision_loss, reason = "versions permit far below 2^52")]
+    #[expect(clippy::cast_precision_loss, reason = "versions are far below 2^52")]
     shell
         .metrics
         .set_state("configuration", core.configuration_version() as f64);
@@ -81,7 +81,7 @@
     }
 }
 
-#[expect(clippy::cast_precision_loss, reason = "counts permit far below 2^52")]
+#[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
 fn to_f64(value: usize) -> f64 {
     value as f64
 }
--- a/crates/siskinyoke-gateway/src/clock.rs
+++ b/crates/siskinyoke-gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The machine's clock that also counts the time in which the machine was suspended.
+//! A steady clock that includes the time during which the machine was suspended.
 
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
@@ -6,10 +6,10 @@
 use siskinyoke_base::Clock;
 use siskinyoke_base::Millis;
 
-/// The time since the machine started, suspensions included.
+/// The time since the machine booted, suspensions included (`CLOCK_BOOTTIME`).
 ///
-/// The usual steady clock stands still while a machine is suspended: deadlines would then seem
-/// to lie ahead that are long over, and work would be sent for callers that have gone.
+/// The usual monotonic clock stops while the machine is suspended. Deadlines that passed meanwhile
+/// would seem to lie ahead, and requests would run for callers that have disconnected.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BootClock;
 
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Starts an instance and runs it until it is told to stop.
+//! Startup and main loop of an instance.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -26,29 +26,29 @@
 use siskinyoke_dispatch::core::Identity;
 use siskinyoke_dispatch::quota::QuotaPolicy;
 
-/// How often waiting requests are looked at while any wait.
+/// How often queued requests are rescheduled while there are any.
 const QUEUE_POLL_INTERVAL: Millis = Millis(10);
 
-/// How often what is gone is dropped, and log lines are handed to their writer.
+/// How often expired state is removed and buffered log lines are passed to the writer thread.
 const SWEEP_INTERVAL: Millis = Millis(200);
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until it receives `SIGTERM`.
 ///
-/// One thread serves everything: an instance has a part of one core, and handing work between
-/// threads costs more than it gains there.
+/// One thread serves everything: an instance has a fraction of one CPU core, where passing work
+/// between threads costs more than it gains.
 ///
 /// # Errors
 ///
-/// What kept it from starting.
+/// Returns the reason if the instance cannot start.
 pub fn run(settings: Settings, path: PathBuf) -> Result<(), Box<dyn std::error::Error>> {
     run_with(settings, path, LogWriter::start(std::io::stdout()))
 }
 
-/// Runs an instance whose log lines nobody reads, as one of several in a process.
+/// Runs an instance that discards its log lines, as one of several in a process.
 ///
 /// # Errors
 ///
-/// What kept it from starting.
+/// Returns the reason if the instance cannot start.
 pub fn run_without_log(
     settings: Settings,
     path: PathBuf,
@@ -122,7 +122,7 @@
     }
 }
 
-// Lets the time act on waiting requests; without any it sleeps.
+// Reschedules queued requests periodically; sleeps while there are none.
 async fn poll_queue(shell: Rc<Shell>) {
     loop {
         shell.queue_timer.notified().await;
--- a/crates/siskinyoke-gateway/src/lib.rs
+++ b/crates/siskinyoke-gateway/src/lib.rs
@@ -1,4 +1,5 @@
-//! The runtime around the decisions: bytes in and out, timers and signals on one thread.
+//! The runtime of an instance: network I/O, timers and signals around the decision core, on one
+//! thread.
 
 pub mod admin;
 pub mod answer;
--- a/crates/siskinyoke-gateway/src/log_writer.rs
+++ b/crates/siskinyoke-gateway/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! Structured log lines on standard output, bounded and never waited for.
+//! Structured log lines on standard output, bounded in number and written without blocking.
 
 use std::io::Write;
 use std::sync::mpsc::Receiver;
@@ -10,22 +10,22 @@
 
 use siskinyoke_base::Millis;
 
-/// Lines that one second may hold.
+/// Maximum number of log lines per second; the next line written has the number of those dropped.
 ///
-/// A request brings some four lines, so this covers a hundred requests a second, twice the usual
-/// peak of an instance; what is left out is counted in the next line that is written.
+/// A request logs about four lines, so this covers a hundred requests per second, twice the usual
+/// peak of an instance.
 const MAX_LINES_PER_SECOND: u32 = 400;
 
-/// Bytes that are gathered before they are handed to the writer.
+/// Buffer size at which lines are passed to the writer thread.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Chunks that may wait for a slow reader of standard output; more are dropped and counted.
+/// Maximum number of chunks queued for the writer thread; more are dropped and counted.
 const MAX_QUEUED_CHUNKS: usize = 8;
 
-/// Gathers log lines and hands them to a thread that writes them.
+/// Buffers log lines and passes them to a thread that writes them.
 ///
-/// Standard output may be a pipe that nobody reads. Only the writing thread waits for it; the
-/// thread that serves requests drops what does not fit and counts it.
+/// Standard output may be a pipe that nobody reads. Only the writer thread blocks on it; the thread
+/// that serves requests drops lines that do not fit, and counts them.
 #[derive(Debug)]
 pub struct LogWriter {
     chunks: SyncSender<Vec<u8>>,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds a line: what happened, when, and what it depended on.
+    /// Adds a line with the time, the event's name and its fields.
     pub fn write(&mut self, now: Millis, event: &str, mut fields: Value) {
         if self.exceeds_rate(now) {
             self.dropped_lines += 1;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Hands the gathered lines to the writer, or drops them if it is behind.
+    /// Passes the buffered lines to the writer thread, or drops them if its queue is full.
     pub fn flush(&mut self) {
         if self.buffer.is_empty() {
             return;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the lines left out since the last one that was written.
+    /// Returns the number of lines dropped since the last one that was accepted.
     pub fn dropped_lines(&self) -> u64 {
         self.dropped_lines
     }
@@ -103,7 +103,7 @@
 
 fn write_chunks(mut out: impl Write, chunks: &Receiver<Vec<u8>>) {
     for chunk in chunks {
-        // Nowhere is left to report that standard output is closed; the service goes on without.
+        // There is nowhere to report that standard output is closed; the instance runs without logs.
         if out.write_all(&chunk).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/siskinyoke-gateway/src/main.rs
+++ b/crates/siskinyoke-gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `siskinyoke-gateway`: takes callers' requests and runs them on endpoints.
+//! `siskinyoke-gateway`: accepts requests from callers and runs them on endpoints.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,14 +8,14 @@
 use siskinyoke_gateway::gateway;
 use siskinyoke_gateway::settings::Settings;
 
-/// Takes callers' requests and runs them on endpoints.
+/// Accepts requests from callers and runs them on endpoints.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Options {
-    /// The settings file, JSON with comments.
+    /// Settings file, in JSON with comments.
     #[arg(long, env = "SISKINYOKE_NODE_FILE")]
     settings: PathBuf,
-    /// Only checks the settings and says what is wrong with them.
+    /// Check the settings file, print any faults and exit.
     #[arg(long)]
     check: bool,
 }
@@ -31,7 +31,7 @@
     };
     if options.check {
         println!(
-            "{}: settings of {} are sound",
+            "{}: settings of {} are valid",
             options.settings.display(),
             settings.instance
         );
@@ -40,7 +40,7 @@
     match gateway::run(settings, options.settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
-            eprintln!("cannot run: {err}");
+            eprintln!("cannot start the instance: {err}");
             ExitCode::FAILURE
         }
     }
--- a/crates/siskinyoke-gateway/src/metrics.rs
+++ b/crates/siskinyoke-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics through OpenTelemetry, on a page that Prometheus reads.
+//! OpenTelemetry metrics, exported as a Prometheus page.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Counter;
@@ -12,7 +12,7 @@
 
 use siskinyoke_base::Millis;
 
-/// Upper bounds of the latency histograms' buckets, in seconds: from a plain lookup to a long
+/// Upper bounds of the latency histograms' buckets, which range from a plain lookup to a long
 /// stream.
 const LATENCY_BUCKETS_SECONDS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0];
 
@@ -26,16 +26,16 @@
     latency: Histogram<f64>,
     queue_wait: Histogram<f64>,
     state: Gauge<f64>,
-    // Kept alive, as its readers stop when it is dropped.
+    // Held because its readers stop when it is dropped.
     _provider: SdkMeterProvider,
 }
 
 impl Metrics {
-    /// Makes the metrics of one instance.
+    /// Creates the metrics of one instance.
     ///
     /// # Errors
     ///
-    /// The exporter's message if it cannot be set up.
+    /// Returns the exporter's message if it cannot be set up.
     pub fn new() -> Result<Self, String> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Counts an answer by its tier and outcome, with the time it took.
+    /// Counts an answer and records its latency, by tier and outcome.
     pub fn record_answer(&self, tier: u8, outcome: &'static str, took: Millis) {
         let attributes = [
             KeyValue::new("tier", i64::from(tier)),
@@ -73,32 +73,35 @@
         self.latency.record(took.as_secs(), &attributes);
     }
 
-    /// Counts a sending to an endpoint by its outcome.
+    /// Counts an attempt at an endpoint, by outcome.
     pub fn record_attempt(&self, outcome: &'static str) {
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a call of the store, or of a peer in its place, by its kind and whether it succeeded.
-    pub fn record_store_call(&self, kind: &'static str, good: bool) {
-        let attributes = [KeyValue::new("kind", kind), KeyValue::new("good", good)];
+    /// Counts a call to the store, or to a peer in its place, by kind and success.
+    pub fn record_store_call(&self, kind: &'static str, succeeded: bool) {
+        let attributes = [
+            KeyValue::new("kind", kind),
+            KeyValue::new("good", succeeded),
+        ];
         self.store_calls.add(1, &attributes);
     }
 
-    /// Records how long a request waited for its endpoint.
-    pub fn record_queue_wait(&self, span: Millis) {
-        self.queue_wait.record(span.as_secs(), &[]);
+    /// Records how long a request was queued.
+    pub fn record_queue_wait(&self, wait: Millis) {
+        self.queue_wait.record(wait.as_secs(), &[]);
     }
 
-    /// Sets a figure of the present state, named by `what`.
+    /// Sets the gauge `what` of the current state.
     pub fn set_state(&self, what: &'static str, value: f64) {
         self.state.record(value, &[KeyValue::new("what", what)]);
     }
 
-    /// Writes the page.
+    /// Renders the Prometheus page.
     ///
     /// # Errors
     ///
-    /// The encoder's message.
+    /// Returns the encoder's message.
     pub fn render(&self) -> Result<Vec<u8>, String> {
         let mut page = Vec::new();
         let families = self.registry.gather();
--- a/crates/siskinyoke-gateway/src/reload.rs
+++ b/crates/siskinyoke-gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Takes over changes of the settings file, with or without a signal.
+//! Reloading of the settings file, on a signal or when it changed.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -10,10 +10,10 @@
 use crate::settings::Settings;
 use crate::shell::Shell;
 
-/// How often the file is looked at; it may change without a signal.
+/// How often the settings file is read, as it may change without a signal.
 const FILE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Looks at the settings file for as long as the process runs.
+/// Reloads the settings file periodically for as long as the process runs.
 pub async fn poll_file(shell: Rc<Shell>, path: PathBuf) {
     loop {
         sleep(FILE_POLL_INTERVAL).await;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Takes over the settings file if it changed; a faulty one is logged and changes nothing.
+/// Applies the settings file if it changed; an invalid one is logged and ignored.
 pub fn reload_settings(shell: &Shell, path: &std::path::Path) {
     match Settings::load(path) {
         Ok(settings) if settings == **shell.settings.borrow() => {}
--- a/crates/siskinyoke-gateway/src/settings.rs
+++ b/crates/siskinyoke-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance: JSON with comments, checked before anything starts.
+//! Settings of an instance: JSON with comments, validated before the instance starts.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use siskinyoke_interface::Interface;
 
 quick_error! {
-    /// What is wrong with a settings file.
+    /// An error in a settings file.
     #[derive(Debug)]
     pub enum SettingsError {
         /// The file cannot be read.
@@ -23,76 +23,76 @@
             source(err)
             from()
         }
-        /// It is not JSON with comments.
+        /// The file is not valid JSON with comments.
         Syntax(text: String) {
-            display("is not JSON with comments: {text}")
+            display("is not valid JSON with comments: {text}")
         }
-        /// A field is missing, unknown or of another type.
+        /// A field is missing, unknown or of the wrong type.
         Field(err: serde_json::Error) {
             display("{err} (see docs/operators/on-the-platform.md for every field)")
             source(err)
             from()
         }
-        /// Values lie outside what can work; each with what to give instead.
+        /// Fields with values out of range, each with a hint at the valid ones.
         InvalidValues(faults: Vec<(&'static str, &'static str)>) {
             display("{}", format_faults(faults))
         }
     }
 }
 
-/// Where an instance listens.
+/// The addresses on which an instance listens.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// For requests of callers.
     pub callers: SocketAddr,
-    /// For questions whether it takes callers.
+    /// For readiness checks.
     pub health: SocketAddr,
-    /// For questions which instances to use.
+    /// For queries of the instance directory.
     pub directory: SocketAddr,
-    /// For its peers, over TCP and UDP.
+    /// For peers, over TCP and UDP.
     pub peers: SocketAddr,
 }
 
-/// Bounds that all instances keep together.
+/// Limits that apply to the instances as a whole.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// The time from the signal to stop to a kill, in seconds.
+    /// Time from the signal to stop to the kill, in seconds.
     pub grace_s: f64,
-    /// The part of a service's requests that may be sent again.
+    /// Maximum ratio of retries to a service's requests.
     pub retry_ratio: f64,
-    /// Retries allowed beside that part in ten seconds.
+    /// Retries allowed beyond that ratio in ten seconds.
     pub retry_slack: f64,
-    /// The window over which quotas are measured, in seconds.
+    /// Window over which quotas are measured, in seconds.
     pub quota_window_s: f64,
-    /// The part by which a quota may be exceeded.
+    /// Fraction by which a quota may be exceeded.
     pub quota_overage: f64,
-    /// Units by which a quota may be exceeded besides.
+    /// Quota units by which a quota may be exceeded beyond that fraction.
     pub quota_slack: f64,
-    /// The longest that callers keep a directory's answer, in seconds.
+    /// Maximum time for which callers cache a directory response, in seconds.
     pub keep_s: f64,
-    /// The part of a service's requests that a version on trial may get.
+    /// Maximum share of a service's requests that a canary version may receive.
     #[serde(default = "usual_exposure")]
     pub exposure_share: f64,
-    /// The time from the end of a disturbance until changes must be in force as usual, in ms.
+    /// Time from the end of a disturbance until changes must take effect as fast as usual, in ms.
     #[serde(default = "usual_settle")]
     pub settle_ms: u64,
 }
 
-/// How callers, endpoints, operators and the store are spoken to.
+/// The protocols spoken with callers, endpoints, operators and the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InterfaceKind {
-    /// The product's own form.
+    /// The product's native protocols.
     #[default]
     Own,
-    /// The users' platform.
+    /// The protocols of the users' platform.
     Platform,
 }
 
 impl InterfaceKind {
-    /// Returns the interface that speaks this way.
+    /// Creates the interface that implements these protocols.
     pub fn build(self) -> Interface {
         match self {
             Self::Own => siskinyoke_native::interface(),
@@ -105,45 +105,45 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// How callers, endpoints, operators and the store are spoken to; fixed for a process.
+    /// The protocols spoken with callers, endpoints, operators and the store; read only at startup.
     #[serde(default)]
     pub interface: InterfaceKind,
-    /// Its name.
+    /// The instance's name.
     pub instance: String,
     /// Its IP address.
     pub ip: std::net::IpAddr,
     /// Its data centre.
     pub centre: String,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub listen: Listen,
-    /// Where some other instances listen for peers; they may be gone.
+    /// Peer addresses of some other instances, which may no longer exist.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
     /// The port of its metrics page.
     pub metrics: u16,
-    /// The memory it may use, in MB.
+    /// Its memory limit, in MB.
     pub memory_mb: u64,
-    /// Bounds that all instances keep together.
+    /// Limits that apply to the instances as a whole.
     pub bounds: Bounds,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, with the field and a hint.
+    /// Returns what is wrong with it, with the field and a hint.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&fs::read_to_string(path)?)
     }
 
-    /// Checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, with the field and a hint.
+    /// Returns what is wrong with it, with the field and a hint.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let value: serde_json::Value = parse_to_serde_value(text, &ParseOptions::default())
             .map_err(|err| SettingsError::Syntax(err.to_string()))?;
@@ -152,7 +152,7 @@
         Ok(settings)
     }
 
-    /// Returns where this instance is found.
+    /// Returns the instance's addresses and data centre.
     pub fn location(&self) -> InstanceLocation {
         InstanceLocation {
             caller_address: self.listen.callers.to_string(),
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Returns the time from the signal to stop to a kill.
+    /// Returns the time from the signal to stop to the kill.
     pub fn grace_period(&self) -> Millis {
         millis_from_seconds(self.bounds.grace_s)
     }
@@ -171,19 +171,19 @@
         millis_from_seconds(self.bounds.quota_window_s)
     }
 
-    /// Returns the longest that callers keep a directory's answer.
+    /// Returns the maximum time for which callers cache a directory response.
     pub fn directory_ttl(&self) -> Millis {
         millis_from_seconds(self.bounds.keep_s)
     }
 
-    // Tells every fault at once, so that a file is mended in one go.
+    // Reports all invalid values at once, so that a file can be corrected in one edit.
     fn validate(&self) -> Result<(), SettingsError> {
-        let it = &self.bounds;
+        let bounds = &self.bounds;
         let rules = [
             (
                 !self.instance.is_empty(),
                 "instance",
-                "give each instance a name of its own",
+                "give each instance a unique name",
             ),
             (
                 self.memory_mb >= 16,
@@ -191,53 +191,53 @@
                 "an instance needs 16 MB or more",
             ),
             (
-                (1.0..=3600.0).contains(&it.grace_s),
+                (1.0..=3600.0).contains(&bounds.grace_s),
                 "bounds.grace_s",
                 "give 1 to 3600 seconds",
             ),
             (
-                (0.0..=1.0).contains(&it.retry_ratio),
+                (0.0..=1.0).contains(&bounds.retry_ratio),
                 "bounds.retry_ratio",
-                "give a part from 0 to 1",
+                "give a fraction from 0 to 1",
             ),
             (
-                (0.0..=1e6).contains(&it.retry_slack),
+                (0.0..=1e6).contains(&bounds.retry_slack),
                 "bounds.retry_slack",
                 "give 0 or more",
             ),
             (
-                (1.0..=3600.0).contains(&it.quota_window_s),
+                (1.0..=3600.0).contains(&bounds.quota_window_s),
                 "bounds.quota_window_s",
                 "give 1 to 3600 seconds",
             ),
             (
-                (0.0..=1.0).contains(&it.quota_overage),
+                (0.0..=1.0).contains(&bounds.quota_overage),
                 "bounds.quota_overage",
-                "give a part from 0 to 1",
+                "give a fraction from 0 to 1",
             ),
             (
-                (0.0..=1e12).contains(&it.quota_slack),
+                (0.0..=1e12).contains(&bounds.quota_slack),
                 "bounds.quota_slack",
                 "give 0 or more units",
             ),
             (
-                (0.1..=3600.0).contains(&it.keep_s),
+                (0.1..=3600.0).contains(&bounds.keep_s),
                 "bounds.keep_s",
                 "give 0.1 to 3600 seconds",
             ),
             (
-                (0.0..=1.0).contains(&it.exposure_share),
+                (0.0..=1.0).contains(&bounds.exposure_share),
                 "bounds.exposure_share",
-                "give a part from 0 to 1",
+                "give a fraction from 0 to 1",
             ),
             (
-                (100..=3_600_000).contains(&it.settle_ms),
+                (100..=3_600_000).contains(&bounds.settle_ms),
                 "bounds.settle_ms",
                 "give 100 to 3600000 ms",
             ),
         ];
-        let broken = rules.into_iter().filter(|rule| !rule.0);
-        let faults: Vec<_> = broken.map(|(_, field, hint)| (field, hint)).collect();
+        let broken_rules = rules.into_iter().filter(|rule| !rule.0);
+        let faults: Vec<_> = broken_rules.map(|(_, field, hint)| (field, hint)).collect();
         if faults.is_empty() {
             return Ok(());
         }
@@ -254,18 +254,18 @@
 }
 
 fn format_faults(faults: &[(&str, &str)]) -> String {
-    let texts: Vec<String> = faults
+    let descriptions: Vec<String> = faults
         .iter()
         .map(|(field, hint)| format!("'{field}' cannot be used: {hint}"))
         .collect();
-    texts.join("; ")
+    descriptions.join("; ")
 }
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "checked to lie below an hour"
+    reason = "validated to be at most an hour"
 )]
-#[expect(clippy::cast_sign_loss, reason = "checked to be positive")]
-fn millis_from_seconds(value: f64) -> Millis {
-    Millis((value * 1000.0) as u64)
+#[expect(clippy::cast_sign_loss, reason = "validated to be positive")]
+fn millis_from_seconds(seconds: f64) -> Millis {
+    Millis((seconds * 1000.0) as u64)
 }
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an instance share, on its one thread.
+//! The state shared by all tasks of an instance, which run on one thread.
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -34,24 +34,24 @@
 use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_interface::Interface;
 
-/// What a waiting request is told.
+/// The scheduling decision for a queued request: its endpoint, or a refusal.
 pub type SchedulingResult = Result<Arc<Endpoint>, Refusal>;
 
-/// What is known of a request that is turned away, for its log line.
+/// The known facts about a refused request, for its log line.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RefusedRequest<'a> {
-    /// Its identity.
+    /// The request id.
     pub id: Option<&'a str>,
-    /// Its organisation.
+    /// The name of its organisation.
     pub organisation: Option<&'a str>,
-    /// What the filters found, if it passed them.
+    /// The result of routing, if it was routed.
     pub route: Option<&'a RoutedRequest>,
-    /// Whether it was let in, so that it has an answer's line besides.
+    /// Whether it was admitted, in which case an `answer` line is logged as well.
     pub admitted: bool,
 }
 
 impl<'a> RefusedRequest<'a> {
-    /// What is known of a request of which only the identity counts.
+    /// Creates the entry of a request that was refused before it was routed.
     pub fn unrouted(id: Option<&'a str>) -> Self {
         Self {
             id,
@@ -59,71 +59,71 @@
         }
     }
 
-    /// What is known of a request that passed the filters.
-    pub fn routed(id: Option<&'a str>, pass: &'a RoutedRequest) -> Self {
+    /// Creates the entry of a routed request.
+    pub fn routed(id: Option<&'a str>, route: &'a RoutedRequest) -> Self {
         Self {
             id,
-            organisation: pass.organisation.as_ref().map(|it| &*it.name),
-            route: Some(pass),
+            organisation: route.organisation.as_ref().map(|it| &*it.name),
+            route: Some(route),
             admitted: false,
         }
     }
 }
 
-/// What all tasks of an instance share, on its one thread.
+/// The state shared by all tasks of an instance.
 #[derive(Debug)]
 pub struct Shell {
-    /// The state that decides.
+    /// The state on which all decisions are based; it does no I/O.
     pub core: RefCell<Core>,
-    /// How callers, endpoints, operators and the store are spoken to.
+    /// The protocols of callers, endpoints, operators and the store.
     pub interface: Interface,
-    /// The settings at present.
+    /// The current settings.
     pub settings: RefCell<Rc<Settings>>,
-    /// Connections to endpoints.
+    /// The pool of connections to endpoints.
     pub pool: Pool,
-    /// The metrics.
+    /// The metrics of this instance.
     pub metrics: Metrics,
-    /// What the store said, to be handed to peers.
+    /// A copy of the store's content, from which peers catch up.
     pub replica: RefCell<Replica>,
-    /// Whether the store answered this instance last.
+    /// Whether the last read or watch of the store by this instance succeeded.
     pub store_reachable: Cell<bool>,
-    /// When the store last answered a watch or a reading.
+    /// When the store last answered a read or a watch.
     pub store_answered: Cell<Millis>,
-    /// Whether this instance watches the store, rather than follow a peer.
+    /// Whether this instance watches the store itself, rather than following a peer.
     pub watching: Cell<bool>,
-    /// The socket for messages between instances, once it is bound.
+    /// The UDP socket for messages between instances, once it is bound.
     pub socket: OnceCell<UdpSocket>,
-    /// Questions to other shards.
+    /// Pending borrow requests to other shards.
     pub lending: Lending,
-    /// Takes from peers what they know of the store.
+    /// The client that fetches store changes from peers.
     pub peer_client: RefCell<Client>,
     /// When the process started.
     pub started_at: Millis,
-    /// Wakes requests that are held until a configuration is known.
+    /// Wakes requests held until the first configuration is known.
     pub configuration_known: Notify,
-    /// Wakes the sender of reports.
+    /// Wakes the sender of reports to peers.
     pub report_due: Notify,
-    /// Whether peers are to be looked for with the next report.
+    /// Whether the next report is also sent to addresses where no peer is known yet.
     pub search_due: Cell<bool>,
-    /// Wakes the renewal of the lease.
+    /// Wakes the task that renews this instance's lease in the store.
     pub lease_renewal: Notify,
-    /// Wakes a watch whose store did not answer another call.
+    /// Aborts a watch call after the store failed to answer another call.
     pub store_unresponsive: Notify,
-    /// Wakes a watcher that leaves the store alone for a moment, as no peer told it what is new.
+    /// Ends the watcher's pause between two calls when no peer could hand over changes.
     pub handover_failed: Notify,
-    /// The peer that failed to hand over what it has, and when.
+    /// The peer that last failed to hand over changes, and when.
     pub failed_peer: Cell<Option<(SocketAddr, Millis)>>,
-    /// Wakes the timer of waiting requests.
+    /// Wakes the timer that reschedules queued requests.
     pub queue_timer: Notify,
-    /// Wakes all who must know that the instance is leaving.
+    /// Wakes the tasks that wait for the start of the shutdown.
     pub leaving: Notify,
-    /// Whether something is being taken from a peer.
+    /// Whether changes are being fetched from a peer.
     pub catching_up: Cell<bool>,
-    /// Whether the state of a rollout is being written.
+    /// Whether rollout statuses are being written to the store.
     pub writing_status: Cell<bool>,
-    /// Bytes of bodies that are held at present.
+    /// The total size of the request bodies held in memory.
     pub held_bytes: Cell<usize>,
-    /// Requests that are being served at present.
+    /// The number of open connections of callers.
     pub caller_connections: Cell<usize>,
     /// When the last request arrived.
     pub last_arrival: Cell<Millis>,
@@ -133,11 +133,11 @@
 }
 
 impl Shell {
-    /// Makes the shared state of an instance.
+    /// Creates the shared state of an instance.
     ///
     /// # Errors
     ///
-    /// What keeps the metrics from being set up.
+    /// Returns the exporter's message if the metrics cannot be set up.
     pub fn new(
         interface: Interface,
         settings: Settings,
@@ -178,12 +178,12 @@
         })
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Returns the settings at present.
+    /// Returns the current settings.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
@@ -195,7 +195,7 @@
             .write(self.now(), event, fields);
     }
 
-    /// Writes the line of a refusal, with what decided it.
+    /// Writes the log line of a refusal, with the state on which it was based.
     pub fn log_refusal(&self, request: RefusedRequest<'_>, refusal: Refusal) {
         let now = self.now();
         let core = self.core.borrow();
@@ -222,27 +222,28 @@
         self.log("refusal", fields);
     }
 
-    /// Looks for peers at once.
+    /// Sends the next report at once, also to addresses where no peer is known yet.
     ///
-    /// Until instances hear of each other, each can only guess what the others use.
+    /// Until instances receive each other's reports, each can only estimate the quota that the
+    /// others use.
     pub fn search_peers(&self) {
         self.search_due.set(true);
         self.report_due.notify_one();
     }
 
-    /// Hands gathered log lines to their writer.
+    /// Passes buffered log lines to the writer thread.
     pub fn flush(&self) {
         self.log_writer.borrow_mut().flush();
     }
 
-    /// Waits for what is decided of a request.
+    /// Returns a receiver for the scheduling decision for a request.
     pub fn add_waiter(&self, ticket: Ticket) -> oneshot::Receiver<SchedulingResult> {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, sender);
         receiver
     }
 
-    /// Takes out a request, waiting or running, whose caller left.
+    /// Cancels a queued or running request, and returns its slot if that was borrowed.
     pub fn cancel(&self, ticket: Ticket) {
         self.waiters.borrow_mut().remove(&ticket);
         lending::give_back(self, ticket);
@@ -250,15 +251,15 @@
         self.report_due.notify_one();
     }
 
-    /// Decides what can be decided now and tells those who wait.
+    /// Starts or refuses queued requests where that is possible now, and notifies their waiters.
     pub fn decide(&self) {
         let decisions = self.core.borrow_mut().decide(self.now());
         for decision in decisions {
-            let (ticket, word) = match decision {
+            let (ticket, result) = match decision {
                 Decision::Start(ticket, endpoint) => (ticket, Ok(endpoint)),
                 Decision::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            self.notify_waiter(ticket, word);
+            self.notify_waiter(ticket, result);
         }
         lending::places(self);
         self.report_due.notify_one();
@@ -267,11 +268,11 @@
         }
     }
 
-    /// Tells whoever waits for it what was decided of a request.
-    pub fn notify_waiter(&self, ticket: Ticket, word: SchedulingResult) {
-        // A waiter that is gone has its guard end the stay.
+    /// Sends the scheduling decision for a request to its waiter.
+    pub fn notify_waiter(&self, ticket: Ticket, result: SchedulingResult) {
+        // If the waiter is gone, the drop of its `Permit` has cancelled the request.
         if let Some(waiter) = self.waiters.borrow_mut().remove(&ticket)
-            && waiter.send(word).is_err()
+            && waiter.send(result).is_err()
         {
             self.log("word_unheard", json!({ "ticket": ticket.0 }));
         }
--- a/crates/siskinyoke-gateway/src/signals.rs
+++ b/crates/siskinyoke-gateway/src/signals.rs
@@ -1,4 +1,4 @@
-//! What the signals to stop and to reload bring about.
+//! Handlers of the signals to stop and to reload.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -13,17 +13,18 @@
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
 
-/// How long before the kill this process ends by itself, so that its last log lines get out.
+/// How long before the end of the grace period the process exits, so that its last log lines are
+/// written before it is killed.
 const LOG_FLUSH_TIME: Millis = Millis(250);
 
-/// How often it looks whether the last connection is gone.
-const LOOK: Millis = Millis(50);
+/// How often open connections are counted during the shutdown.
+const DRAIN_POLL_INTERVAL: Millis = Millis(50);
 
-/// Reloads the settings at each signal to do so.
+/// Reloads the settings at each `SIGHUP`.
 ///
 /// # Errors
 ///
-/// The system's reason if signals cannot be heard.
+/// Returns the system's error if the signal handler cannot be installed.
 pub async fn reload_on_signal(shell: Rc<Shell>, path: PathBuf) -> std::io::Result<()> {
     let mut signals = signal(SignalKind::hangup())?;
     while signals.recv().await.is_some() {
@@ -33,11 +34,12 @@
     Ok(())
 }
 
-/// Waits for the signal to stop, then until all work is done or the kill is near.
+/// Waits for `SIGTERM`, then until all connections of callers are closed or the grace period is
+/// nearly over.
 ///
 /// # Errors
 ///
-/// The system's reason if signals cannot be heard.
+/// Returns the system's error if the signal handler cannot be installed.
 pub async fn stop_on_signal(shell: Rc<Shell>) -> std::io::Result<()> {
     let mut signals = signal(SignalKind::terminate())?;
     signals.recv().await;
@@ -48,15 +50,15 @@
     shell.log("leaving", json!({ "open": shell.caller_connections.get() }));
     let end = start + shell.settings().grace_period().since(LOG_FLUSH_TIME);
     loop {
-        sleep(LOOK.into()).await;
+        sleep(DRAIN_POLL_INTERVAL.into()).await;
         let now = shell.now();
-        let lingered = now >= start + LINGER;
-        if now >= end || (lingered && shell.caller_connections.get() == 0) {
+        let linger_over = now >= start + LINGER;
+        if now >= end || (linger_over && shell.caller_connections.get() == 0) {
             break;
         }
     }
     shell.log("stop", json!({ "open": shell.caller_connections.get() }));
     shell.flush();
-    sleep(LOOK.into()).await;
+    sleep(DRAIN_POLL_INTERVAL.into()).await;
     Ok(())
 }
