--- a/crates/siskinyoke-gateway/src/beliefs.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -13,7 +13,7 @@
 use siskinyoke_interface::Item;
 
 /// Organisations that are named in the log line of a new configuration.
-const LOGGED: usize = 8;
+const MAX_LOGGED_ORGANISATIONS: usize = 8;
 
 /// Takes in changes, or the whole state; what is known already changes nothing.
 pub fn take(shell: &Shell, update: Update, source: &str) {
@@ -27,20 +27,20 @@
     // Before removals: what went while the store was away is given time to return.
     notice_store(shell);
     let count = items.len();
-    let news: Vec<StoreUpdate> = items
+    let updates: Vec<StoreUpdate> = items
         .into_iter()
-        .filter_map(|item| read(shell, item, source))
+        .filter_map(|item| decode(shell, item, source))
         .collect();
     // A first reading names everything.
     if before > 0 {
-        for it in &news {
+        for it in &updates {
             log_endpoint(shell, it);
         }
     }
     shell
         .core
         .borrow_mut()
-        .apply_updates(shell.now(), revision, news);
+        .apply_updates(shell.now(), revision, updates);
     let fields = json!({
         "source": source,
         "revision": revision,
@@ -68,19 +68,19 @@
 }
 
 // Reads an item, which may come from another writer; what cannot be understood names nothing.
-fn read(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
+fn decode(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
     match shell.interface.documents.entry(&item.key) {
         Entry::Endpoint(id) => match item.value {
-            Some(value) => endpoint(shell, id, &value).map(StoreUpdate::Endpoint),
+            Some(value) => decode_endpoint(shell, id, &value).map(StoreUpdate::Endpoint),
             None => Some(StoreUpdate::EndpointRemoved(id.to_owned())),
         },
         Entry::Instance(name) => match item.value {
-            Some(value) => instance(shell, name, &value),
+            Some(value) => decode_instance(shell, name, &value),
             None => Some(StoreUpdate::InstanceRemoved(name.to_owned())),
         },
         Entry::Configuration => {
             if let Some(value) = item.value {
-                adopt(shell, &value, source);
+                apply_configuration(shell, &value, source);
             }
             None
         }
@@ -88,17 +88,17 @@
             let Some(value) = item.value else {
                 return Some(StoreUpdate::RolloutOrderRemoved(service.into()));
             };
-            order(shell, service, &value, item.revision).map(StoreUpdate::RolloutOrder)
+            decode_order(shell, service, &value, item.revision).map(StoreUpdate::RolloutOrder)
         }
         Entry::Status(service) => {
-            let status = state(shell, service, &item.value?, item.revision)?;
+            let status = decode_status(shell, service, &item.value?, item.revision)?;
             Some(StoreUpdate::RolloutStatus(service.into(), status))
         }
         Entry::Other => None,
     }
 }
 
-fn endpoint(shell: &Shell, id: &str, value: &[u8]) -> Option<Endpoint> {
+fn decode_endpoint(shell: &Shell, id: &str, value: &[u8]) -> Option<Endpoint> {
     match shell.interface.documents.endpoint(id, value) {
         Ok(endpoint) => Some(endpoint),
         Err(err) => {
@@ -109,7 +109,7 @@
     }
 }
 
-fn order(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Order> {
+fn decode_order(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Order> {
     match shell.interface.documents.order(service, value) {
         Ok(text) => {
             let fields = json!({
@@ -134,7 +134,7 @@
     }
 }
 
-fn state(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Status> {
+fn decode_status(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Status> {
     match shell.interface.documents.state(value) {
         Ok((state, version)) => Some(Status {
             state,
@@ -149,7 +149,7 @@
     }
 }
 
-fn instance(shell: &Shell, name: &str, value: &[u8]) -> Option<StoreUpdate> {
+fn decode_instance(shell: &Shell, name: &str, value: &[u8]) -> Option<StoreUpdate> {
     match serde_json::from_slice(value) {
         Ok(place) => Some(StoreUpdate::Instance(name.to_owned(), place)),
         Err(err) => {
@@ -160,8 +160,8 @@
     }
 }
 
-fn log_endpoint(shell: &Shell, news: &StoreUpdate) {
-    match news {
+fn log_endpoint(shell: &Shell, update: &StoreUpdate) {
+    match update {
         StoreUpdate::Endpoint(endpoint) => {
             let fields = json!({
                 "endpoint": &*endpoint.id,
@@ -181,7 +181,7 @@
 }
 
 // Puts a configuration in force, unless it is no newer than the one that is.
-fn adopt(shell: &Shell, bytes: &[u8], source: &str) {
+fn apply_configuration(shell: &Shell, bytes: &[u8], source: &str) {
     let configuration = match shell.interface.documents.configuration(bytes) {
         Ok(configuration) => configuration,
         Err(err) => {
@@ -194,7 +194,7 @@
     let quotas: Vec<_> = configuration
         .organisations()
         .iter()
-        .take(LOGGED)
+        .take(MAX_LOGGED_ORGANISATIONS)
         .map(|it| json!([&*it.name, it.priority, it.rate, it.burst]))
         .collect();
     let before = shell.core.borrow().configuration_version();
--- a/crates/siskinyoke-gateway/src/first_read.rs
+++ b/crates/siskinyoke-gateway/src/first_read.rs
@@ -15,13 +15,13 @@
 use siskinyoke_interface::Call;
 
 /// An answer, with the connection over which it came.
-pub type Answered = (Bytes, Client);
+pub type ReadResponse = (Bytes, Client);
 
 /// Calls that are in flight for one reading.
 #[derive(Debug, Default)]
 pub struct FirstRead {
-    calls: JoinSet<Result<Answered, StoreError>>,
-    made: u32,
+    calls: JoinSet<Result<ReadResponse, StoreError>>,
+    sent: u32,
 }
 
 impl FirstRead {
@@ -35,42 +35,43 @@
         address: SocketAddr,
         call: &Call,
         limit: Millis,
-    ) -> Result<Answered, StoreError> {
-        let answered = timeout(limit.into(), self.race(address, call, limit)).await;
+    ) -> Result<ReadResponse, StoreError> {
+        let result = timeout(limit.into(), self.send_hedged(address, call, limit)).await;
         // Dropping the set ends the calls that lost.
         self.calls = JoinSet::new();
-        answered.unwrap_or(Err(StoreError::Silent))
+        result.unwrap_or(Err(StoreError::Silent))
     }
 
     /// Returns how many calls were made.
     pub fn made(&self) -> u32 {
-        self.made
+        self.sent
     }
 
-    async fn race(
+    async fn send_hedged(
         &mut self,
         address: SocketAddr,
         call: &Call,
         limit: Millis,
-    ) -> Result<Answered, StoreError> {
+    ) -> Result<ReadResponse, StoreError> {
         loop {
-            if self.made < MAX_PARALLEL_READS {
-                self.made += 1;
-                self.calls.spawn_local(once(address, call.clone(), limit));
+            if self.sent < MAX_PARALLEL_READS {
+                self.sent += 1;
+                self.calls
+                    .spawn_local(call_once(address, call.clone(), limit));
             }
-            if let Some(result) = self.answered().await {
+            if let Some(result) = self.next_result().await {
                 return result;
             }
         }
     }
 
     // Waits until a call succeeded or all failed, or until it is time for the next one.
-    async fn answered(&mut self) -> Option<Result<Answered, StoreError>> {
-        let mut again = std::pin::pin!(sleep(READ_HEDGE_DELAY.into()));
+    async fn next_result(&mut self) -> Option<Result<ReadResponse, StoreError>> {
+        let mut hedge_delay = std::pin::pin!(sleep(READ_HEDGE_DELAY.into()));
         loop {
             let result = tokio::select! {
                 result = self.calls.join_next() => result?,
-                () = &mut again => return None,
+                () = &mut hedge_delay => return None,
             };
             let result = result.unwrap_or(Err(StoreError::Silent));
             if result.is_ok() || self.calls.is_empty() {
@@ -80,7 +81,11 @@
     }
 }
 
-async fn once(address: SocketAddr, call: Call, limit: Millis) -> Result<Answered, StoreError> {
+async fn call_once(
+    address: SocketAddr,
+    call: Call,
+    limit: Millis,
+) -> Result<ReadResponse, StoreError> {
     let mut client = Client::default();
     let body = client.call(address, &call, limit).await?;
     Ok((body, client))
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::beliefs;
+use crate::cluster_view;
 use crate::gossip;
 use crate::gossip::Gossip;
 use crate::journal::LogWriter;
@@ -136,7 +136,7 @@
         sleep(SWEEP_INTERVAL.into()).await;
         let now = shell.now();
         shell.core.borrow_mut().sweep(now);
-        beliefs::notice_store(&shell);
+        cluster_view::notice_store(&shell);
         rollouts::advance(&shell);
         rollouts::write_due(&shell);
         shell.pool.sweep(now);
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -22,31 +22,31 @@
 use siskinyoke_dispatch::Report;
 
 /// How often an instance reports that has nothing new to say.
-const BEAT: Millis = Millis(100);
+const REPORT_INTERVAL: Millis = Millis(100);
 
 /// The shortest time between reports while requests wait.
 ///
 /// A place that came free is worth a request within that time; ten milliseconds are a thirtieth
 /// of a usual stay.
-const PRESSED: Millis = Millis(10);
+const LOADED_REPORT_SPACING: Millis = Millis(10);
 
 /// The shortest time between reports while none waits: places are plenty then.
-const CALM: Millis = Millis(50);
+const IDLE_REPORT_SPACING: Millis = Millis(50);
 
 /// How often addresses are tried whose instance was not heard of.
-const SEARCH: Millis = Millis(500);
+const DISCOVERY_INTERVAL: Millis = Millis(500);
 
 /// The longest message that is sent, in bytes; longer ones may be cut up on their way.
-const LARGEST: usize = 8 * 1024;
+const MAX_MESSAGE_BYTES: usize = 8 * 1024;
 
 /// Instances of other shards that are told in each search.
-const OTHERS: usize = 3;
+const OTHER_SHARD_TARGETS: usize = 3;
 
 /// The exchange of reports.
 #[derive(Debug, Default)]
 pub struct Gossip {
     // Where other instances may be, by what peers told.
-    told: RefCell<BTreeSet<SocketAddr>>,
+    advertised: RefCell<BTreeSet<SocketAddr>>,
 }
 
 /// Binds the socket for messages between instances.
@@ -78,39 +78,44 @@
         {
             shell.log("peers_untold", json!({ "error": err.to_string() }));
         }
-        let mut searched = Millis::ZERO;
+        let mut last_search = Millis::ZERO;
         loop {
             let now = shell.now();
-            let search = shell.search_due.replace(false) || now.since(searched) >= SEARCH;
+            let search =
+                shell.search_due.replace(false) || now.since(last_search) >= DISCOVERY_INTERVAL;
             if search {
-                searched = now;
+                last_search = now;
             }
-            self.report(&shell, search);
-            let spacing = if pressed(&shell, now) { PRESSED } else { CALM };
+            self.send_report(&shell, search);
+            let spacing = if requests_waiting(&shell, now) {
+                LOADED_REPORT_SPACING
+            } else {
+                IDLE_REPORT_SPACING
+            };
             sleep(spacing.into()).await;
             // Elapsed or changed: either way the next report is due.
-            let rest = Duration::from(BEAT.since(spacing));
+            let rest = Duration::from(REPORT_INTERVAL.since(spacing));
             drop(timeout(rest, shell.report_due.notified()).await);
         }
     }
 
     /// Hears reports for as long as the process runs.
     pub async fn hear(self: Rc<Self>, shell: Rc<Shell>) {
-        let mut buffer = vec![0; LARGEST];
+        let mut buffer = vec![0; MAX_MESSAGE_BYTES];
         while let Some(socket) = shell.socket.get() {
             match socket.recv_from(&mut buffer).await {
-                Ok((length, from)) => self.receive(&shell, &buffer[..length], from),
+                Ok((length, from)) => self.handle_message(&shell, &buffer[..length], from),
                 Err(err) => {
                     shell.log("peers_unheard", json!({ "error": err.to_string() }));
-                    sleep(BEAT.into()).await;
+                    sleep(REPORT_INTERVAL.into()).await;
                 }
             }
         }
     }
 
-    fn receive(&self, shell: &Rc<Shell>, bytes: &[u8], from: SocketAddr) {
+    fn handle_message(&self, shell: &Rc<Shell>, bytes: &[u8], from: SocketAddr) {
         match postcard::from_bytes(bytes) {
-            Ok(Message::Report(report)) => self.take(shell, *report, from),
+            Ok(Message::Report(report)) => self.handle_report(shell, *report, from),
             Ok(Message::Borrow(id, need)) => lending::answer(shell, from, id, need),
             Ok(Message::Lend(id, grant)) => lending::answered(shell, from, id, grant),
             Ok(Message::Return(id)) => {
@@ -124,19 +129,19 @@
         }
     }
 
-    fn take(&self, shell: &Rc<Shell>, report: Report, from: SocketAddr) {
+    fn handle_report(&self, shell: &Rc<Shell>, report: Report, from: SocketAddr) {
         let mut name = String::new();
-        if let Some(about) = &report.info {
-            let told = about
+        if let Some(info) = &report.info {
+            let addresses = info
                 .peers
                 .iter()
                 .filter_map(|it| it.parse::<SocketAddr>().ok());
-            self.told.borrow_mut().extend(told);
-            name.clone_from(&about.name);
+            self.advertised.borrow_mut().extend(addresses);
+            name.clone_from(&info.name);
         }
         let revision = report.revision;
         if report.configuration == 0 && report.info.is_some() {
-            Self::introduce(shell, from);
+            Self::send_full_report(shell, from);
         }
         let fields = json!({ "peer": name, "age_ms": report.age, "from": from.to_string() });
         let first = shell.core.borrow_mut().receive_report(shell.now(), report);
@@ -151,32 +156,32 @@
         }
     }
 
-    fn report(&self, shell: &Shell, search: bool) {
-        let addresses = self.addresses(shell, shell.now(), search);
-        Self::tell_all(shell, &addresses, search);
+    fn send_report(&self, shell: &Shell, search: bool) {
+        let recipients = self.recipients(shell, shell.now(), search);
+        Self::send_report_to(shell, &recipients, search);
     }
 
-    fn tell_all(shell: &Shell, to: &BTreeSet<SocketAddr>, whole: bool) {
-        let report = shell.core.borrow_mut().next_report(shell.now(), whole);
+    fn send_report_to(shell: &Shell, to: &BTreeSet<SocketAddr>, full: bool) {
+        let report = shell.core.borrow_mut().next_report(shell.now(), full);
         let message = Message::Report(Box::new(report));
         let Some(bytes) = encode(shell, &message) else {
             return;
         };
         for address in to {
             // The next report is soon, so only a whole one is missed.
-            send_bytes(shell, *address, &bytes, whole);
+            send_bytes(shell, *address, &bytes, full);
         }
     }
 
     // Answers an instance that knows no configuration yet, so that it can take ours. It may have
     // started while the store is away, and belong to another shard, whose instances it cannot find.
-    fn introduce(shell: &Shell, to: SocketAddr) {
+    fn send_full_report(shell: &Shell, to: SocketAddr) {
         if shell.core.borrow().configuration_version() > 0 {
-            Self::tell_all(shell, &BTreeSet::from([to]), true);
+            Self::send_report_to(shell, &BTreeSet::from([to]), true);
         }
     }
 
-    fn addresses(&self, shell: &Shell, now: Millis, search: bool) -> BTreeSet<SocketAddr> {
+    fn recipients(&self, shell: &Shell, now: Millis, search: bool) -> BTreeSet<SocketAddr> {
         let core = shell.core.borrow();
         let mut all: BTreeSet<SocketAddr> = core
             .peers()
@@ -185,9 +190,9 @@
             .collect();
         let settings = shell.settings();
         if search {
-            all.extend(listed(&core));
+            all.extend(discovery_targets(&core));
             if core.other_instances().next().is_none() {
-                all.append(&mut self.told.borrow_mut());
+                all.append(&mut self.advertised.borrow_mut());
                 all.extend(&settings.seeds);
             }
         }
@@ -198,7 +203,7 @@
 
 fn encode(shell: &Shell, message: &Message) -> Option<Vec<u8>> {
     match postcard::to_allocvec(message) {
-        Ok(bytes) if bytes.len() <= LARGEST => Some(bytes),
+        Ok(bytes) if bytes.len() <= MAX_MESSAGE_BYTES => Some(bytes),
         Ok(bytes) => {
             shell.log("message_too_long", json!({ "bytes": bytes.len() }));
             None
@@ -211,10 +216,10 @@
 }
 
 // A peer that cannot be reached shows by its silence.
-fn send_bytes(shell: &Shell, to: SocketAddr, bytes: &[u8], missed: bool) {
+fn send_bytes(shell: &Shell, to: SocketAddr, bytes: &[u8], log_failure: bool) {
     let sent = shell.socket.get().map(|it| it.try_send_to(bytes, to));
     if let Some(Err(err)) = sent
-        && missed
+        && log_failure
     {
         let fields = json!({ "to": to.to_string(), "error": err.to_string() });
         shell.log("message_unsent", fields);
@@ -223,16 +228,16 @@
 
 // The listed instances of this one's shard, and a few others by chance: so news of work that
 // crashes endpoints reaches all shards in some rounds.
-fn listed(core: &Core) -> Vec<SocketAddr> {
+fn discovery_targets(core: &Core) -> Vec<SocketAddr> {
     let (members, others): (Vec<_>, Vec<_>) = core.other_instances().partition(|row| row.1);
-    let some = others.choose_multiple(&mut rand::rng(), OTHERS);
+    let some = others.choose_multiple(&mut rand::rng(), OTHER_SHARD_TARGETS);
     let places = members.iter().chain(some).map(|row| row.0);
     places
         .filter_map(|place| place.peer_address.parse().ok())
         .collect()
 }
 
-fn pressed(shell: &Shell, now: Millis) -> bool {
+fn requests_waiting(shell: &Shell, now: Millis) -> bool {
     let core = shell.core.borrow();
     core.scheduler().request_counts().0 > 0
         || core
--- a/crates/siskinyoke-gateway/src/lib.rs
+++ b/crates/siskinyoke-gateway/src/lib.rs
@@ -3,9 +3,9 @@
 pub mod admin;
 pub mod answer;
 pub mod attempt;
-pub mod beliefs;
 pub mod callers;
 pub mod clock;
+pub mod cluster_view;
 pub mod connection;
 pub mod events;
 pub mod first_read;
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -14,7 +14,7 @@
 
 use crate::answer;
 use crate::answer::AnswerBody;
-use crate::beliefs;
+use crate::cluster_view;
 use crate::replica::Update;
 use crate::shell::Shell;
 use crate::store::StoreError;
@@ -22,32 +22,32 @@
 use siskinyoke_interface::Call;
 
 /// How long a peer may take to hand over what it has.
-const LIMIT: Millis = Millis(1_000);
+const FETCH_TIMEOUT: Millis = Millis(1_000);
 
 /// How long an instance that watches the store itself waits for it before it asks a peer.
 ///
 /// The store brings changes within milliseconds where it can be reached.
-const BEHIND: Millis = Millis(150);
+const WATCHER_FETCH_DELAY: Millis = Millis(150);
 
 /// How long a process that started reads the store before it asks a peer for everything.
 ///
 /// Reading some thousand items takes a small instance about a second. Where all start at once, the
 /// first to have read them would be asked by all others, for a megabyte each.
-const READING: Millis = Millis(1_500);
+const FIRST_READ_FETCH_DELAY: Millis = Millis(1_500);
 
 /// The longest pause before a follower asks, drawn anew each time: all of a shard hear of a change at
 /// the same moment, from the same instance.
-const SPREAD: Millis = Millis(60);
+const MAX_FETCH_JITTER: Millis = Millis(60);
 
 /// How long a peer is not asked again that failed to answer; others know the same.
-const AVOIDED: Millis = Millis::from_secs(3);
+const FAILED_PEER_BACKOFF: Millis = Millis::from_secs(3);
 
-const PATH: &str = "/changes/";
+const CHANGES_PATH: &str = "/changes/";
 
 quick_error! {
     /// Why a peer handed over nothing.
     #[derive(Debug)]
-    pub enum HandoverError {
+    pub enum FetchError {
         /// The call failed.
         Call(err: StoreError) {
             display("{err}")
@@ -65,7 +65,7 @@
 
 /// Answers a peer that asks for what it lacks: the path names the revision that it knows.
 pub fn hand_over(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
-    let known = request.uri().path().strip_prefix(PATH);
+    let known = request.uri().path().strip_prefix(CHANGES_PATH);
     let Some(Ok(known)) = known.map(str::parse) else {
         return answer::plain(StatusCode::NOT_FOUND, "no such page");
     };
@@ -83,18 +83,18 @@
     let now = shell.now();
     let ahead = shell.core.borrow_mut().record_peer_revision(now, revision);
     let failed = shell.failed_peer.get();
-    let avoided = failed.is_some_and(|it| it.0 == from && now.since(it.1) < AVOIDED);
+    let avoided = failed.is_some_and(|it| it.0 == from && now.since(it.1) < FAILED_PEER_BACKOFF);
     if !ahead || avoided || shell.catching_up.replace(true) {
         return;
     }
     let shell = shell.clone();
     tokio::task::spawn_local(async move {
         let pause = if shell.core.borrow().is_first_read() {
-            READING
+            FIRST_READ_FETCH_DELAY
         } else if shell.watching.get() {
-            BEHIND
+            WATCHER_FETCH_DELAY
         } else {
-            Millis(rand::rng().random_range(0..SPREAD.0))
+            Millis(rand::rng().random_range(0..MAX_FETCH_JITTER.0))
         };
         sleep(pause.into()).await;
         if shell.core.borrow().store_revision() < revision {
@@ -105,10 +105,10 @@
 }
 
 async fn fetch(shell: &Shell, from: SocketAddr) {
-    match ask(shell, from).await {
-        Ok(update) => beliefs::take(shell, update, "peer"),
+    match request_update(shell, from).await {
+        Ok(update) => cluster_view::take(shell, update, "peer"),
         // The store has the changes for one call.
-        Err(HandoverError::Call(StoreError::Status(StatusCode::CONFLICT))) => {
+        Err(FetchError::Call(StoreError::Status(StatusCode::CONFLICT))) => {
             shell.core.borrow_mut().request_store_read();
             shell.handover_failed.notify_waiters();
         }
@@ -121,12 +121,12 @@
     }
 }
 
-async fn ask(shell: &Shell, from: SocketAddr) -> Result<Update, HandoverError> {
+async fn request_update(shell: &Shell, from: SocketAddr) -> Result<Update, FetchError> {
     let known = shell.replica.borrow().revision();
-    let call = Call::get(format!("{PATH}{known}"));
+    let call = Call::get(format!("{CHANGES_PATH}{known}"));
     // Nobody else asks meanwhile: `catching` is set.
     let mut client = shell.peer_client.take();
-    let result = client.call(from, &call, LIMIT).await;
+    let result = client.call(from, &call, FETCH_TIMEOUT).await;
     shell.peer_client.replace(client);
     shell.metrics.record_store_call("peer", result.is_ok());
     Ok(postcard::from_bytes(&result?)?)
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -17,9 +17,9 @@
     endpoint: &Endpoint,
     sent: Millis,
     verdict: Verdict,
-    named: Result<Option<f64>, FormatError>,
+    limit: Result<Option<f64>, FormatError>,
 ) {
-    let rate = match named {
+    let rate = match limit {
         Ok(None) if verdict != Verdict::Answer => return,
         Ok(rate) => rate,
         Err(err) => {
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -16,45 +16,49 @@
 ///
 /// It is only a place to look for others; who is alive shows in their reports, but for those of other
 /// shards in a large fleet, which callers are still told of for that long.
-const LEASE: Millis = Millis(12_000);
+const LEASE_TTL: Millis = Millis(12_000);
 
 /// How often the lease is renewed: twice may fail.
-const RENEW: Millis = Millis(4_000);
+const RENEWAL_INTERVAL: Millis = Millis(4_000);
 
 /// How often it is renewed by an instance that watches the store for others.
 ///
 /// A renewal costs the store a tenth of another call. One that is not answered shows that the store
 /// cannot be reached while a watch is still silent as usual, so that a peer takes over.
-const PROBE: Millis = Millis(1_000);
+const WATCHER_RENEWAL_INTERVAL: Millis = Millis(1_000);
 
 /// How long to wait after a failed call; it doubles up to the longest.
-const RETRY: Millis = Millis(1_000);
+const MIN_RETRY_DELAY: Millis = Millis(1_000);
 
 /// The longest wait after failed calls: a store that refuses all counts each call.
-const LONGEST: Millis = Millis(4_000);
+const MAX_RETRY_DELAY: Millis = Millis(4_000);
 
 /// How long a call may take.
-const LIMIT: Millis = Millis(1_500);
+const CALL_TIMEOUT: Millis = Millis(1_500);
 
 /// Keeps this instance's entry for as long as the process runs.
 pub async fn keep(shell: Rc<Shell>) {
     let mut client = Client::default();
     let mut lease = None;
-    let mut retry = RETRY;
+    let mut retry = MIN_RETRY_DELAY;
     loop {
-        let pause = match step(&shell, &mut client, lease).await {
-            Ok(kept) => {
-                lease = Some(kept);
-                retry = RETRY;
+        let pause = match renew_or_register(&shell, &mut client, lease).await {
+            Ok(id) => {
+                lease = Some(id);
+                retry = MIN_RETRY_DELAY;
                 shell.core.borrow_mut().store_call_succeeded();
-                if shell.watching.get() { PROBE } else { RENEW }
+                if shell.watching.get() {
+                    WATCHER_RENEWAL_INTERVAL
+                } else {
+                    RENEWAL_INTERVAL
+                }
             }
             Err(err) => {
                 shell.log("registration_failed", json!({ "error": err.to_string() }));
                 shell.core.borrow_mut().store_call_failed(shell.now());
                 shell.store_unresponsive.notify_waiters();
                 let pause = retry;
-                retry = Millis(retry.0 * 2).min(LONGEST);
+                retry = Millis(retry.0 * 2).min(MAX_RETRY_DELAY);
                 pause
             }
         };
@@ -64,7 +68,7 @@
             () = shell.leaving.notified() => {}
         }
         if shell.core.borrow().leaving() {
-            leave(&shell, &mut client, lease).await;
+            deregister(&shell, &mut client, lease).await;
             return;
         }
     }
@@ -72,19 +76,23 @@
 
 // Renews the lease. One that has ended took the entry with it, which is then written anew at once, as
 // nobody else can find this instance meanwhile.
-async fn step(shell: &Shell, client: &mut Client, lease: Option<u64>) -> Result<u64, StoreError> {
+async fn renew_or_register(
+    shell: &Shell,
+    client: &mut Client,
+    lease: Option<u64>,
+) -> Result<u64, StoreError> {
     if let Some(lease) = lease
         && renew(shell, client, lease).await?
     {
         return Ok(lease);
     }
-    enter(shell, client).await
+    register(shell, client).await
 }
 
-async fn enter(shell: &Shell, client: &mut Client) -> Result<u64, StoreError> {
+async fn register(shell: &Shell, client: &mut Client) -> Result<u64, StoreError> {
     let settings = shell.settings();
     let store = &shell.interface.store;
-    let body = call(shell, client, "lease", &store.grant(LEASE)).await?;
+    let body = call(shell, client, "lease", &store.grant(LEASE_TTL)).await?;
     let lease = store.decode_grant(&body)?;
     let key = shell.interface.documents.instance_key(&settings.instance);
     let value = json!(settings.location()).to_string();
@@ -95,7 +103,7 @@
 }
 
 // Takes the entry away, so that callers are sent here no more; else the lease does so in time.
-async fn leave(shell: &Shell, client: &mut Client, lease: Option<u64>) {
+async fn deregister(shell: &Shell, client: &mut Client, lease: Option<u64>) {
     let Some(lease) = lease else { return };
     let end = shell.interface.store.end(lease);
     if let Err(err) = call(shell, client, "leave", &end).await {
@@ -119,7 +127,9 @@
     kind: &'static str,
     call: &Call,
 ) -> Result<Bytes, StoreError> {
-    let result = client.call(shell.settings().store, call, LIMIT).await;
+    let result = client
+        .call(shell.settings().store, call, CALL_TIMEOUT)
+        .await;
     shell.metrics.record_store_call(kind, result.is_ok());
     result
 }
--- a/crates/siskinyoke-gateway/src/replica.rs
+++ b/crates/siskinyoke-gateway/src/replica.rs
@@ -12,7 +12,7 @@
 ///
 /// A peer asks within a second or two. A rolling restart of a fleet removes some hundred items in that
 /// time; a peer that lacks more is given everything.
-const REMOVED: usize = 1_024;
+const MAX_TOMBSTONES: usize = 1_024;
 
 /// What a peer lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
 struct Entry {
     item: Item,
     // The revision that was reached by taking it in; a reading page by page may run ahead of it.
-    reached: u64,
+    applied_revision: u64,
 }
 
 /// What the store said, up to a revision.
@@ -40,9 +40,9 @@
     entries: BTreeMap<String, Entry>,
     // The revision from which on no removal is missing among these: that of the last state that came whole,
     // or of a removal that was forgotten since.
-    since: u64,
+    complete_since: u64,
     // The revision of the first state that came whole.
-    first: u64,
+    first_revision: u64,
 }
 
 impl Replica {
@@ -74,10 +74,10 @@
             return Vec::new();
         }
         let known = self.revision;
-        let mut news = batch.items;
-        news.retain(|item| item.revision > known);
-        self.keep(batch.revision, &news);
-        news
+        let mut changed = batch.items;
+        changed.retain(|item| item.revision > known);
+        self.record(batch.revision, &changed);
+        changed
     }
 
     /// Takes in everything there is at a revision, and returns what differs from what was known.
@@ -88,23 +88,24 @@
             return Vec::new();
         }
         // What came and went in between is not seen here, and a peer may know it.
-        self.since = batch.revision;
+        self.complete_since = batch.revision;
         if self.revision == 0 {
-            self.first = batch.revision;
+            self.first_revision = batch.revision;
         }
-        let mut gone: BTreeMap<&str, &Item> = self.present().map(|it| (&*it.key, it)).collect();
-        let mut news = batch.items;
-        news.retain(|item| {
-            let known = gone.remove(&*item.key);
+        let mut missing: BTreeMap<&str, &Item> =
+            self.live_items().map(|it| (&*it.key, it)).collect();
+        let mut changed = batch.items;
+        changed.retain(|item| {
+            let known = missing.remove(&*item.key);
             known.is_none_or(|known| known.revision < item.revision)
         });
-        news.extend(gone.into_keys().map(|key| Item {
+        changed.extend(missing.into_keys().map(|key| Item {
             key: key.to_owned(),
             revision: batch.revision,
             value: None,
         }));
-        self.keep(batch.revision, &news);
-        news
+        self.record(batch.revision, &changed);
+        changed
     }
 
     /// Returns what a peer lacks that knows everything up to a revision.
@@ -113,51 +114,54 @@
     /// the store for one call. Instances that start together are all in that position, and a whole state
     /// from each to each fills their links for seconds.
     pub fn update(&self, known: u64) -> Option<Update> {
-        let whole = known < self.since;
-        if whole && known > 0 && self.since == self.first {
+        let full = known < self.complete_since;
+        if full && known > 0 && self.complete_since == self.first_revision {
             return None;
         }
-        let items = if whole {
-            self.present().cloned().collect()
+        let items = if full {
+            self.live_items().cloned().collect()
         } else {
-            let later = self.entries.values().filter(|it| it.reached > known);
+            let later = self
+                .entries
+                .values()
+                .filter(|it| it.applied_revision > known);
             later.map(|it| it.item.clone()).collect()
         };
         Some(Update {
             revision: self.revision,
-            whole,
+            whole: full,
             items,
         })
     }
 
-    fn present(&self) -> impl Iterator<Item = &Item> {
+    fn live_items(&self) -> impl Iterator<Item = &Item> {
         let items = self.entries.values().map(|it| &it.item);
         items.filter(|item| item.value.is_some())
     }
 
-    fn keep(&mut self, revision: u64, news: &[Item]) {
+    fn record(&mut self, revision: u64, changed: &[Item]) {
         self.revision = revision;
-        for item in news {
+        for item in changed {
             let entry = Entry {
                 item: item.clone(),
-                reached: revision,
+                applied_revision: revision,
             };
             self.entries.insert(item.key.clone(), entry);
         }
-        self.forget();
+        self.prune_tombstones();
     }
 
     // Forgets the removals that are longest past.
-    fn forget(&mut self) {
+    fn prune_tombstones(&mut self) {
         let removed = self.entries.values().filter(|it| it.item.value.is_none());
-        let mut reached: Vec<u64> = removed.map(|it| it.reached).collect();
-        if reached.len() <= REMOVED {
+        let mut revisions: Vec<u64> = removed.map(|it| it.applied_revision).collect();
+        if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
-        reached.sort_unstable();
-        let before = reached[reached.len() - REMOVED];
+        revisions.sort_unstable();
+        let before = revisions[revisions.len() - MAX_TOMBSTONES];
         self.entries
-            .retain(|_, it| it.item.value.is_some() || it.reached >= before);
-        self.since = self.since.max(before - 1);
+            .retain(|_, it| it.item.value.is_some() || it.applied_revision >= before);
+        self.complete_since = self.complete_since.max(before - 1);
     }
 }
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -13,19 +13,19 @@
 use siskinyoke_dispatch::core::StatusWrite;
 
 /// How long a write may take. One whose answer is lost may still take effect: its condition decides.
-const LIMIT: Millis = Millis(1_500);
+const WRITE_TIMEOUT: Millis = Millis(1_500);
 
 /// Applies what was decided of rollouts by now.
 pub fn advance(shell: &Shell) {
-    let shifts = shell.core.borrow_mut().advance_rollouts(shell.now());
-    if shifts.is_empty() {
+    let transitions = shell.core.borrow_mut().advance_rollouts(shell.now());
+    if transitions.is_empty() {
         return;
     }
-    for shift in shifts {
+    for transition in transitions {
         let fields = json!({
-            "service": &*shift.service,
-            "version": &*shift.version,
-            "phase": shift.phase.as_str(),
+            "service": &*transition.service,
+            "version": &*transition.version,
+            "phase": transition.phase.as_str(),
         });
         shell.log("rollout", fields);
     }
@@ -44,13 +44,13 @@
     spawn_local(async move {
         let mut client = Client::default();
         for due in due {
-            write(&shell, &mut client, &due).await;
+            write_state(&shell, &mut client, &due).await;
         }
         shell.writing_status.set(false);
     });
 }
 
-async fn write(shell: &Shell, client: &mut Client, due: &StatusWrite) {
+async fn write_state(shell: &Shell, client: &mut Client, due: &StatusWrite) {
     let documents = &shell.interface.documents;
     let store = &shell.interface.store;
     let key = documents.state_key(&due.order.service);
@@ -58,7 +58,9 @@
     let order = documents.order_key(&due.order.service);
     let expected = [(&*order, due.order_revision), (&*key, due.status_revision)];
     let call = store.put_if(&key, &value, &expected);
-    let result = client.call(shell.settings().store, &call, LIMIT).await;
+    let result = client
+        .call(shell.settings().store, &call, WRITE_TIMEOUT)
+        .await;
     shell.metrics.record_store_call("rollout", result.is_ok());
     let outcome = match result {
         Ok(body) => match store.decode_put_if(&body) {
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -58,7 +58,7 @@
 /// A client of the store that keeps one connection.
 #[derive(Debug, Default)]
 pub struct Client {
-    kept: Option<(SocketAddr, Connection)>,
+    connection: Option<(SocketAddr, Connection)>,
 }
 
 impl Client {
@@ -75,8 +75,8 @@
         call: &Call,
         limit: Millis,
     ) -> Result<Bytes, StoreError> {
-        let whole = |bytes: &[u8], ended: bool| Ok(ended.then(|| Bytes::copy_from_slice(bytes)));
-        self.within(address, call, limit, whole).await
+        let complete = |bytes: &[u8], ended: bool| Ok(ended.then(|| Bytes::copy_from_slice(bytes)));
+        self.call_until(address, call, limit, complete).await
     }
 
     /// Waits for changes until the store says that they are whole.
@@ -91,18 +91,20 @@
         limit: Millis,
         store: &dyn Store,
     ) -> Result<Batch, StoreError> {
-        let heard = Cell::new(false);
+        let responded = Cell::new(false);
         let read = |bytes: &[u8], ended: bool| {
-            heard.set(true);
+            responded.set(true);
             store.decode_watch(bytes, ended)
         };
-        match self.within(address, call, limit, read).await {
-            Err(StoreError::Silent) if store.quiet_watch() && heard.get() => Ok(Batch::default()),
+        match self.call_until(address, call, limit, read).await {
+            Err(StoreError::Silent) if store.quiet_watch() && responded.get() => {
+                Ok(Batch::default())
+            }
             other => other,
         }
     }
 
-    async fn within<T>(
+    async fn call_until<T>(
         &mut self,
         address: SocketAddr,
         call: &Call,
@@ -112,11 +114,11 @@
         let limit = Duration::from(limit);
         let result = timeout(limit, self.exchange(address, call, read)).await;
         let Ok(result) = result else {
-            self.kept = None;
+            self.connection = None;
             return Err(StoreError::Silent);
         };
         if !matches!(result, Ok(_) | Err(StoreError::Status(_))) {
-            self.kept = None;
+            self.connection = None;
         }
         result
     }
@@ -127,8 +129,8 @@
         call: &Call,
         read: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
     ) -> Result<T, StoreError> {
-        let (at, mut connection) = match self.kept.take() {
-            Some((at, kept)) if at == address && kept.ready() => (at, kept),
+        let (at, mut connection) = match self.connection.take() {
+            Some((at, open)) if at == address && open.ready() => (at, open),
             _ => (address, Connection::open(address).await?),
         };
         let response = match connection.send(encode(address, call)).await {
@@ -155,7 +157,7 @@
             }
         }
         if connection.settle().await {
-            self.kept = Some((at, connection));
+            self.connection = Some((at, connection));
         }
         if !status.is_success() {
             return Err(StoreError::Status(status));
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::beliefs;
+use crate::cluster_view;
 use crate::first_read::FirstRead;
 use crate::replica::Update;
 use crate::shell::Shell;
@@ -24,39 +24,39 @@
 use siskinyoke_interface::Item;
 
 /// How long a read may take: a hundred times the store's usual four milliseconds.
-const READ: Millis = Millis(1_000);
+const READ_TIMEOUT: Millis = Millis(1_000);
 
 /// The first pause after a failed call; it doubles up to the longest.
-const PAUSE: Millis = Millis(100);
+const MIN_RETRY_DELAY: Millis = Millis(100);
 
 /// The longest pause after failed calls, so that the return of the store is noticed soon.
-const LONGEST: Millis = Millis(500);
+const MAX_RETRY_DELAY: Millis = Millis(500);
 
 /// How often an instance that follows a peer looks whether it is to watch by itself.
 ///
 /// Half of the time after which a silent peer no longer counts as heard.
-const LOOK: Millis = Millis(200);
+const ROLE_CHECK_INTERVAL: Millis = Millis(200);
 
 /// Follows the store for as long as the process runs, by itself or through peers.
 pub async fn follow(shell: Rc<Shell>) {
     let mut watcher = Watcher {
         shell,
         client: Client::default(),
-        forgotten: false,
-        duty: None,
+        compacted: false,
+        role: None,
     };
-    let mut pause = PAUSE;
+    let mut pause = MIN_RETRY_DELAY;
     loop {
-        if watcher.duty() == StoreRole::Follower {
-            sleep(LOOK.into()).await;
+        if watcher.update_role() == StoreRole::Follower {
+            sleep(ROLE_CHECK_INTERVAL.into()).await;
             continue;
         }
         match watcher.step().await {
-            Ok(()) => pause = PAUSE,
+            Ok(()) => pause = MIN_RETRY_DELAY,
             Err(err) => {
-                watcher.failed(&err);
+                watcher.call_failed(&err);
                 sleep(pause.into()).await;
-                pause = Millis(pause.0 * 2).min(LONGEST);
+                pause = Millis(pause.0 * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
@@ -66,50 +66,50 @@
     shell: Rc<Shell>,
     client: Client,
     // Whether the store has forgotten changes that are not known here: only a whole reading tells.
-    forgotten: bool,
+    compacted: bool,
     // What was decided last.
-    duty: Option<StoreRole>,
+    role: Option<StoreRole>,
 }
 
 impl Watcher {
-    fn duty(&mut self) -> StoreRole {
+    fn update_role(&mut self) -> StoreRole {
         let now = self.shell.now();
         let core = self.shell.core.borrow();
-        let duty = core.store_role(now);
-        if self.duty != Some(duty) {
+        let role = core.store_role(now);
+        if self.role != Some(role) {
             let fields = json!({
-                "duty": duty.as_str(),
+                "duty": role.as_str(),
                 "watcher": core.watcher(now),
                 "peers": core.peers().instance_count(now) - 1,
                 "revision": core.store_revision(),
             });
             self.shell.log("store_duty", fields);
-            self.duty = Some(duty);
-            self.shell.watching.set(duty == StoreRole::Watcher);
+            self.role = Some(role);
+            self.shell.watching.set(role == StoreRole::Watcher);
             self.shell.lease_renewal.notify_one();
         }
-        duty
+        role
     }
 
     async fn step(&mut self) -> Result<(), StoreError> {
         let revision = self.shell.replica.borrow().revision();
-        if revision > 0 && !self.forgotten {
+        if revision > 0 && !self.compacted {
             return self.watch(revision).await;
         }
-        if revision == 0 && self.read(Consistency::Serializable).await? {
+        if revision == 0 && self.read_all(Consistency::Serializable).await? {
             return Ok(());
         }
-        self.read(Consistency::Linearizable).await?;
+        self.read_all(Consistency::Linearizable).await?;
         Ok(())
     }
 
     // Reads everything, and returns whether there was a configuration: an old state may have none yet.
-    async fn read(&mut self, consistency: Consistency) -> Result<bool, StoreError> {
+    async fn read_all(&mut self, consistency: Consistency) -> Result<bool, StoreError> {
         let mut items = Vec::new();
         let mut after = String::new();
         let mut revision = u64::MAX;
         loop {
-            let page = self.page(&after, consistency).await?;
+            let page = self.read_page(&after, consistency).await?;
             // Pages are no snapshot: the watch starts where the first of them stood.
             revision = revision.min(page.revision);
             after = page
@@ -125,27 +125,31 @@
         let documents = &self.shell.interface.documents;
         let configured = |item: &Item| documents.entry(&item.key) == Entry::Configuration;
         let configured = items.iter().any(configured);
-        self.forgotten = false;
-        self.answered();
+        self.compacted = false;
+        self.call_succeeded();
         let update = Update {
             revision,
             whole: true,
             items,
         };
-        beliefs::take(&self.shell, update, "store");
+        cluster_view::take(&self.shell, update, "store");
         Ok(configured)
     }
 
-    async fn page(&mut self, after: &str, consistency: Consistency) -> Result<Batch, StoreError> {
+    async fn read_page(
+        &mut self,
+        after: &str,
+        consistency: Consistency,
+    ) -> Result<Batch, StoreError> {
         let shell = self.shell.clone();
         let address = shell.settings().store;
         let store = &shell.interface.store;
         let call = store.range(after, consistency);
         // Only the cheap kind of reading is made more than once.
         let body = if consistency == Consistency::Serializable && after.is_empty() {
-            self.first_page(address, &call).await?
+            self.read_first_page(address, &call).await?
         } else {
-            let result = self.client.call(address, &call, READ).await;
+            let result = self.client.call(address, &call, READ_TIMEOUT).await;
             let kind = match consistency {
                 Consistency::Linearizable => "read",
                 Consistency::Serializable => "read_cached",
@@ -156,9 +160,13 @@
         Ok(store.decode_range(&body)?)
     }
 
-    async fn first_page(&mut self, address: SocketAddr, call: &Call) -> Result<Bytes, StoreError> {
+    async fn read_first_page(
+        &mut self,
+        address: SocketAddr,
+        call: &Call,
+    ) -> Result<Bytes, StoreError> {
         let mut read = FirstRead::default();
-        let result = read.call(address, call, READ).await;
+        let result = read.call(address, call, READ_TIMEOUT).await;
         let unanswered = read.made() - u32::from(result.is_ok());
         for _ in 0..unanswered {
             self.shell.metrics.record_store_call("read_cached", false);
@@ -185,7 +193,7 @@
         };
         let call = store.watch(revision, held);
         let sent = self.shell.now();
-        let doubted = !self.shell.core.borrow().reaches_store();
+        let unreachable = !self.shell.core.borrow().reaches_store();
         let result = tokio::select! {
             result = self.client.watch(address, &call, limit, store) => result,
             // The store did not answer another call: the connection of this one may be dead too.
@@ -198,42 +206,42 @@
             let fields = json!({
                 "sent_ms_ago": self.shell.now().since(sent).0,
                 "held_ms": held.0,
-                "doubted": doubted,
+                "doubted": unreachable,
                 "revision": revision,
                 "error": err.to_string(),
             });
             self.shell.log("store_watch_failed", fields);
         }
         let batch = result?;
-        self.answered();
+        self.call_succeeded();
         let changed = !batch.items.is_empty();
         let update = Update {
             revision: batch.revision,
             whole: false,
             items: batch.items,
         };
-        beliefs::take(&self.shell, update, "store");
+        cluster_view::take(&self.shell, update, "store");
         if changed {
-            let gather = self.shell.core.borrow().update_batch_delay();
+            let delay = self.shell.core.borrow().update_batch_delay();
             tokio::select! {
-                () = sleep(gather.into()) => {}
+                () = sleep(delay.into()) => {}
                 () = self.shell.handover_failed.notified() => {}
             }
         }
         Ok(())
     }
 
-    fn answered(&mut self) {
+    fn call_succeeded(&mut self) {
         self.shell.store_answered.set(self.shell.now());
         self.shell.core.borrow_mut().store_call_succeeded();
         if !self.shell.store_reachable.replace(true) {
             self.shell.log("store_regained", json!({}));
         }
-        beliefs::notice_store(&self.shell);
+        cluster_view::notice_store(&self.shell);
     }
 
-    fn failed(&mut self, err: &StoreError) {
-        self.forgotten |= forgotten(err);
+    fn call_failed(&mut self, err: &StoreError) {
+        self.compacted |= is_compacted(err);
         self.shell
             .core
             .borrow_mut()
@@ -245,7 +253,7 @@
     }
 }
 
-fn forgotten(err: &StoreError) -> bool {
+fn is_compacted(err: &StoreError) -> bool {
     match err {
         StoreError::Status(status) => *status == http::StatusCode::GONE,
         StoreError::Format(FormatError::Forgotten) => true,
