--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -251,7 +251,7 @@
     let Some(need) = need else {
         return Err(refusal);
     };
-    match lending::units(shell, need).await {
+    match lending::borrow_quota(shell, need).await {
         0 => Err(refusal),
         given => {
             let now = shell.now();
--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -16,7 +16,7 @@
 const MAX_LOGGED_ORGANISATIONS: usize = 8;
 
 /// Takes in changes, or the whole state; what is known already changes nothing.
-pub fn take(shell: &Shell, update: Update, source: &str) {
+pub fn apply(shell: &Shell, update: Update, source: &str) {
     let before = shell.replica.borrow().revision();
     let whole = update.whole;
     let items = shell.replica.borrow_mut().take(update);
@@ -25,7 +25,7 @@
         return;
     }
     // Before removals: what went while the store was away is given time to return.
-    notice_store(shell);
+    update_store_status(shell);
     let count = items.len();
     let updates: Vec<StoreUpdate> = items
         .into_iter()
@@ -56,7 +56,7 @@
 }
 
 /// Takes note if the store went away for the whole shard, or came back.
-pub fn notice_store(shell: &Shell) {
+pub fn update_store_status(shell: &Shell) {
     let changed = shell
         .core
         .borrow_mut()
--- a/crates/siskinyoke-gateway/src/first_read.rs
+++ b/crates/siskinyoke-gateway/src/first_read.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns how many calls were made.
-    pub fn made(&self) -> u32 {
+    pub fn calls_sent(&self) -> u32 {
         self.sent
     }
 
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -93,10 +93,10 @@
         let listener = listener::bind(address).await?;
         spawn_local(listener::accept(shell.clone(), listener, page));
     }
-    spawn_local(gossip.clone().tell(shell.clone()));
-    spawn_local(gossip.hear(shell.clone()));
+    spawn_local(gossip.clone().send_reports(shell.clone()));
+    spawn_local(gossip.receive_reports(shell.clone()));
     spawn_local(watcher::follow(shell.clone()));
-    spawn_local(registration::keep(shell.clone()));
+    spawn_local(registration::maintain(shell.clone()));
     spawn_local(reload::poll_file(shell.clone(), path.clone()));
     spawn_local(signals::reload_on_signal(shell.clone(), path));
     spawn_local(poll_queue(shell.clone()));
@@ -136,11 +136,11 @@
         sleep(SWEEP_INTERVAL.into()).await;
         let now = shell.now();
         shell.core.borrow_mut().sweep(now);
-        cluster_view::notice_store(&shell);
+        cluster_view::update_store_status(&shell);
         rollouts::advance(&shell);
-        rollouts::write_due(&shell);
+        rollouts::write_due_states(&shell);
         shell.pool.sweep(now);
-        shell.lending.sweep(now);
+        shell.lending.remove_expired(now);
         shell.flush();
     }
 }
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -71,7 +71,7 @@
 
 impl Gossip {
     /// Reports for as long as the process runs.
-    pub async fn tell(self: Rc<Self>, shell: Rc<Shell>) {
+    pub async fn send_reports(self: Rc<Self>, shell: Rc<Shell>) {
         // A new socket takes nothing before the system has said that it is writable.
         if let Some(socket) = shell.socket.get()
             && let Err(err) = socket.writable().await
@@ -100,7 +100,7 @@
     }
 
     /// Hears reports for as long as the process runs.
-    pub async fn hear(self: Rc<Self>, shell: Rc<Shell>) {
+    pub async fn receive_reports(self: Rc<Self>, shell: Rc<Shell>) {
         let mut buffer = vec![0; MAX_MESSAGE_BYTES];
         while let Some(socket) = shell.socket.get() {
             match socket.recv_from(&mut buffer).await {
@@ -116,8 +116,8 @@
     fn handle_message(&self, shell: &Rc<Shell>, bytes: &[u8], from: SocketAddr) {
         match postcard::from_bytes(bytes) {
             Ok(Message::Report(report)) => self.handle_report(shell, *report, from),
-            Ok(Message::Borrow(id, need)) => lending::answer(shell, from, id, need),
-            Ok(Message::Lend(id, grant)) => lending::answered(shell, from, id, grant),
+            Ok(Message::Borrow(id, need)) => lending::handle_request(shell, from, id, need),
+            Ok(Message::Lend(id, grant)) => lending::handle_reply(shell, from, id, grant),
             Ok(Message::Return(id)) => {
                 shell.core.borrow_mut().reclaim_slot(id);
                 shell.decide();
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -67,7 +67,7 @@
 
 impl Lending {
     /// Drops what is long past.
-    pub fn sweep(&self, now: Millis) {
+    pub fn remove_expired(&self, now: Millis) {
         self.quota_denied
             .borrow_mut()
             .retain(|_, at| now.since(*at) < QUOTA_RETRY_DELAY);
@@ -77,7 +77,7 @@
 }
 
 /// Takes in the answer to a question.
-pub fn answered(shell: &Shell, from: SocketAddr, id: u64, grant: Grant) {
+pub fn handle_reply(shell: &Shell, from: SocketAddr, id: u64, grant: Grant) {
     if let Some(sender) = shell.lending.quota_requests.borrow().get(&id) {
         // A receiver that is gone has all it needs.
         sender.send(grant).unwrap_or_default();
@@ -92,7 +92,7 @@
 }
 
 /// Asks other shards, or holders of rate limits, for places for requests that cannot start yet.
-pub fn places(shell: &Shell) {
+pub fn request_slots(shell: &Shell) {
     let now = shell.now();
     let requests = shell.core.borrow_mut().borrow_requests(now);
     for (ticket, request) in requests {
@@ -120,7 +120,7 @@
 }
 
 /// Returns the place that a request was given by another shard, if it had one.
-pub fn give_back(shell: &Shell, ticket: Ticket) {
+pub fn return_slot(shell: &Shell, ticket: Ticket) {
     let borrowed = shell.lending.borrowed_slots.borrow_mut().remove(&ticket);
     if let Some((lender, id)) = borrowed {
         gossip::send(shell, lender, &Message::Return(id));
@@ -192,7 +192,7 @@
 }
 
 /// Asks other shards for units of an organisation's quota, and returns how many they gave.
-pub async fn units(shell: &Shell, request: UnitsRequest) -> u64 {
+pub async fn borrow_quota(shell: &Shell, request: UnitsRequest) -> u64 {
     let UnitsRequest {
         organisation,
         units,
@@ -227,7 +227,7 @@
 }
 
 /// Answers an instance of another shard.
-pub fn answer(shell: &Shell, from: SocketAddr, id: u64, request: BorrowRequest) {
+pub fn handle_request(shell: &Shell, from: SocketAddr, id: u64, request: BorrowRequest) {
     let grant = shell.core.borrow_mut().lend(shell.now(), id, request);
     if let Grant::Slot(_) = grant {
         // Peers must not give the same place away.
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -134,7 +134,7 @@
         Page::Health => admin::health(shell, &request),
         Page::Directory => admin::directory(shell, &request),
         Page::Metrics => admin::metrics_page(shell, &request),
-        Page::PeerApi => crate::peer_api::hand_over(shell, &request),
+        Page::PeerApi => crate::peer_api::serve_changes(shell, &request),
     }
 }
 
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -64,12 +64,12 @@
 }
 
 /// Answers a peer that asks for what it lacks: the path names the revision that it knows.
-pub fn hand_over(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn serve_changes(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
     let known = request.uri().path().strip_prefix(CHANGES_PATH);
     let Some(Ok(known)) = known.map(str::parse) else {
         return answer::plain(StatusCode::NOT_FOUND, "no such page");
     };
-    let Some(update) = shell.replica.borrow().update(known) else {
+    let Some(update) = shell.replica.borrow().changes_since(known) else {
         return answer::plain(StatusCode::CONFLICT, "not known from that revision on");
     };
     match postcard::to_allocvec(&update) {
@@ -106,7 +106,7 @@
 
 async fn fetch(shell: &Shell, from: SocketAddr) {
     match request_update(shell, from).await {
-        Ok(update) => cluster_view::take(shell, update, "peer"),
+        Ok(update) => cluster_view::apply(shell, update, "peer"),
         // The store has the changes for one call.
         Err(FetchError::Call(StoreError::Status(StatusCode::CONFLICT))) => {
             shell.core.borrow_mut().request_store_read();
--- a/crates/siskinyoke-gateway/src/permit.rs
+++ b/crates/siskinyoke-gateway/src/permit.rs
@@ -37,7 +37,7 @@
     pub fn end(mut self, outcome: Outcome, more: bool) -> Option<Ticket> {
         let ticket = self.ticket.take()?;
         self.shell.metrics.record_attempt(name(outcome));
-        lending::give_back(&self.shell, ticket);
+        lending::return_slot(&self.shell, ticket);
         self.shell
             .core
             .borrow_mut()
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -37,7 +37,7 @@
 const CALL_TIMEOUT: Millis = Millis(1_500);
 
 /// Keeps this instance's entry for as long as the process runs.
-pub async fn keep(shell: Rc<Shell>) {
+pub async fn maintain(shell: Rc<Shell>) {
     let mut client = Client::default();
     let mut lease = None;
     let mut retry = MIN_RETRY_DELAY;
--- a/crates/siskinyoke-gateway/src/replica.rs
+++ b/crates/siskinyoke-gateway/src/replica.rs
@@ -59,7 +59,7 @@
             more: false,
         };
         if update.whole {
-            self.replace(batch)
+            self.replace_all(batch)
         } else {
             self.apply(batch)
         }
@@ -83,7 +83,7 @@
     /// Takes in everything there is at a revision, and returns what differs from what was known.
     ///
     /// A state no later than the known one is passed over.
-    pub fn replace(&mut self, batch: Batch) -> Vec<Item> {
+    pub fn replace_all(&mut self, batch: Batch) -> Vec<Item> {
         if batch.revision <= self.revision {
             return Vec::new();
         }
@@ -113,7 +113,7 @@
     /// Nothing is returned to one that knows what was before this instance began to: it has the changes from
     /// the store for one call. Instances that start together are all in that position, and a whole state
     /// from each to each fills their links for seconds.
-    pub fn update(&self, known: u64) -> Option<Update> {
+    pub fn changes_since(&self, known: u64) -> Option<Update> {
         let full = known < self.complete_since;
         if full && known > 0 && self.complete_since == self.first_revision {
             return None;
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -35,7 +35,7 @@
 }
 
 /// Writes the states that this instance is to write, unless it is at it already.
-pub fn write_due(shell: &Rc<Shell>) {
+pub fn write_due_states(shell: &Rc<Shell>) {
     let due = shell.core.borrow().status_writes(shell.now());
     if due.is_empty() || shell.writing_status.replace(true) {
         return;
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -245,7 +245,7 @@
     /// Takes out a request, waiting or running, whose caller left.
     pub fn cancel(&self, ticket: Ticket) {
         self.waiters.borrow_mut().remove(&ticket);
-        lending::give_back(self, ticket);
+        lending::return_slot(self, ticket);
         self.core.borrow_mut().cancel(self.now(), ticket);
         self.report_due.notify_one();
     }
@@ -260,7 +260,7 @@
             };
             self.notify_waiter(ticket, word);
         }
-        lending::places(self);
+        lending::request_slots(self);
         self.report_due.notify_one();
         if self.core.borrow().scheduler().request_counts().0 > 0 {
             self.queue_timer.notify_one();
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -132,7 +132,7 @@
             whole: true,
             items,
         };
-        cluster_view::take(&self.shell, update, "store");
+        cluster_view::apply(&self.shell, update, "store");
         Ok(configured)
     }
 
@@ -167,7 +167,7 @@
     ) -> Result<Bytes, StoreError> {
         let mut read = FirstRead::default();
         let result = read.call(address, call, READ_TIMEOUT).await;
-        let unanswered = read.made() - u32::from(result.is_ok());
+        let unanswered = read.calls_sent() - u32::from(result.is_ok());
         for _ in 0..unanswered {
             self.shell.metrics.record_store_call("read_cached", false);
         }
@@ -220,7 +220,7 @@
             whole: false,
             items: batch.items,
         };
-        cluster_view::take(&self.shell, update, "store");
+        cluster_view::apply(&self.shell, update, "store");
         if changed {
             let delay = self.shell.core.borrow().update_batch_delay();
             tokio::select! {
@@ -237,7 +237,7 @@
         if !self.shell.store_reachable.replace(true) {
             self.shell.log("store_regained", json!({}));
         }
-        cluster_view::notice_store(&self.shell);
+        cluster_view::update_store_status(&self.shell);
     }
 
     fn call_failed(&mut self, err: &StoreError) {
--- a/crates/siskinyoke-gateway/tests/first_read.rs
+++ b/crates/siskinyoke-gateway/tests/first_read.rs
@@ -59,7 +59,7 @@
     let (result, made) = with_store(&[None, Some(ANSWER)], async |address| {
         let mut read = FirstRead::default();
         let result = read.call(address, &Call::get("/"), LIMIT).await;
-        (result.map(|it| it.0), read.made())
+        (result.map(|it| it.0), read.calls_sent())
     });
     assert_eq!(&result.unwrap()[..], b"whole");
     assert!((2..=MAX_PARALLEL_READS).contains(&made), "{made}");
@@ -71,7 +71,7 @@
     let (result, made) = with_store(&[Some(BUSY), Some(ANSWER)], async |address| {
         let mut read = FirstRead::default();
         let result = read.call(address, &Call::get("/"), LIMIT).await;
-        (result.map(|it| it.0), read.made())
+        (result.map(|it| it.0), read.calls_sent())
     });
     assert!(matches!(result, Err(StoreError::Status(status)) if status == 503));
     assert_eq!(made, 1);
@@ -84,7 +84,7 @@
     let (result, made) = with_store(&[], async |address| {
         let mut read = FirstRead::default();
         let result = read.call(address, &Call::get("/"), limit).await;
-        (result.map(|it| it.0), read.made())
+        (result.map(|it| it.0), read.calls_sent())
     });
     assert!(matches!(result, Err(StoreError::Silent)));
     assert!(made <= MAX_PARALLEL_READS, "{made}");
--- a/crates/siskinyoke-gateway/tests/replica.rs
+++ b/crates/siskinyoke-gateway/tests/replica.rs
@@ -46,7 +46,7 @@
 }
 
 fn state(replica: &Replica) -> BTreeMap<String, Item> {
-    let all = replica.update(0).expect("everything").items;
+    let all = replica.changes_since(0).expect("everything").items;
     let all = all.into_iter().filter(|it| it.value.is_some());
     all.map(|it| (it.key.clone(), it)).collect()
 }
@@ -90,7 +90,7 @@
     for (replica, beliefs) in &mut replicas {
         let batch = model.watch(replica.revision());
         let news = if replica.revision() == 0 {
-            replica.replace(Batch {
+            replica.replace_all(Batch {
                 items: model.items.values().cloned().collect(),
                 ..batch
             })
@@ -140,12 +140,12 @@
                 revision,
                 more: false,
             };
-            let news = replicas[at].0.replace(batch);
+            let news = replicas[at].0.replace_all(batch);
             believe(&mut replicas[at].1, news);
         }
         _ => {
             let from = u.int_in_range(0..=2)?;
-            if let Some(update) = replicas[from].0.update(replicas[at].0.revision()) {
+            if let Some(update) = replicas[from].0.changes_since(replicas[at].0.revision()) {
                 let news = replicas[at].0.take(update);
                 believe(&mut replicas[at].1, news);
             }
@@ -161,19 +161,19 @@
         model.write(key, Some(key));
     }
     let mut replica = Replica::default();
-    replica.replace(Batch {
+    replica.replace_all(Batch {
         items: model.items.values().cloned().collect(),
         ..model.watch(0)
     });
     model.write(1, None);
     replica.apply(model.watch(4));
-    let update = replica.update(4).unwrap();
+    let update = replica.changes_since(4).unwrap();
     assert!(!update.whole);
     assert_eq!(update.items.len(), 1);
     assert_eq!(update.items[0].value, None);
     // A reading tells nothing of removals before it.
-    assert_eq!(replica.update(3), None);
-    let update = replica.update(0).unwrap();
+    assert_eq!(replica.changes_since(3), None);
+    let update = replica.changes_since(0).unwrap();
     assert!(update.whole);
     assert_eq!(update.items.len(), 3);
 }
@@ -185,7 +185,7 @@
     let mut model = Model::default();
     model.write(0, Some(0));
     let mut replica = Replica::default();
-    replica.replace(Batch {
+    replica.replace_all(Batch {
         items: model.items.values().cloned().collect(),
         ..model.watch(0)
     });
@@ -201,8 +201,8 @@
             more: false,
         });
     }
-    assert!(replica.update(2_900).unwrap().items.len() <= 1_024);
-    let update = replica.update(500).unwrap();
+    assert!(replica.changes_since(2_900).unwrap().items.len() <= 1_024);
+    let update = replica.changes_since(500).unwrap();
     assert!(update.whole);
     assert_eq!(update.items.len(), 1);
 }
@@ -221,16 +221,16 @@
         ..model.watch(0)
     };
     let mut early = Replica::default();
-    early.replace(read(&model));
+    early.replace_all(read(&model));
     model.write(1, None);
     let mut late = Replica::default();
-    late.replace(read(&model));
-    assert_eq!(late.update(early.revision()), None);
+    late.replace_all(read(&model));
+    assert_eq!(late.changes_since(early.revision()), None);
     // What it has from the store itself is known to both from then on.
     early.apply(model.watch(early.revision()));
     model.write(2, Some(9));
     late.apply(model.watch(late.revision()));
-    let update = late.update(early.revision()).unwrap();
+    let update = late.changes_since(early.revision()).unwrap();
     assert!(!update.whole);
     assert_eq!(update.items.len(), 1);
 }
