--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -18,8 +18,8 @@
 /// Takes in changes, or the whole state; what is known already changes nothing.
 pub fn apply(shell: &Shell, update: Update, source: &str) {
     let before = shell.replica.borrow().revision();
-    let whole = update.whole;
-    let items = shell.replica.borrow_mut().take(update);
+    let full = update.full;
+    let items = shell.replica.borrow_mut().apply_update(update);
     let revision = shell.replica.borrow().revision();
     if revision == before {
         return;
@@ -45,7 +45,7 @@
         "source": source,
         "revision": revision,
         "before": before,
-        "whole": whole,
+        "whole": full,
         "changes": count,
     });
     shell.log("store_read", fields);
--- a/crates/siskinyoke-gateway/src/replica.rs
+++ b/crates/siskinyoke-gateway/src/replica.rs
@@ -20,7 +20,8 @@
     /// The revision up to which the items speak.
     pub revision: u64,
     /// Whether they are everything there is, so that what is not among them is gone.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub full: bool,
     /// The items.
     pub items: Vec<Item>,
 }
@@ -52,16 +53,16 @@
     }
 
     /// Takes in what the store or a peer said, and returns what is news.
-    pub fn take(&mut self, update: Update) -> Vec<Item> {
+    pub fn apply_update(&mut self, update: Update) -> Vec<Item> {
         let batch = Batch {
             items: update.items,
             revision: update.revision,
             more: false,
         };
-        if update.whole {
+        if update.full {
             self.replace_all(batch)
         } else {
-            self.apply(batch)
+            self.apply_changes(batch)
         }
     }
 
@@ -69,7 +70,7 @@
     ///
     /// The same changes may come from the store and from peers; what is not later than the known
     /// revision is no news.
-    pub fn apply(&mut self, batch: Batch) -> Vec<Item> {
+    pub fn apply_changes(&mut self, batch: Batch) -> Vec<Item> {
         if batch.revision <= self.revision {
             return Vec::new();
         }
@@ -129,7 +130,7 @@
         };
         Some(Update {
             revision: self.revision,
-            whole: full,
+            full,
             items,
         })
     }
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -33,13 +33,13 @@
             from()
         }
         /// The connection broke; a write may have taken effect.
-        Broken(err: hyper::Error) {
+        ConnectionLost(err: hyper::Error) {
             display("the connection broke: {err}")
             source(err)
             from()
         }
         /// No answer came in time; a write may have taken effect.
-        Silent {
+        NoResponse {
             display("no answer in time")
         }
         /// It answered with a failure.
@@ -97,7 +97,7 @@
             store.decode_watch(bytes, ended)
         };
         match self.call_until(address, call, limit, read).await {
-            Err(StoreError::Silent) if store.quiet_watch() && responded.get() => {
+            Err(StoreError::NoResponse) if store.quiet_watch() && responded.get() => {
                 Ok(Batch::default())
             }
             other => other,
@@ -115,7 +115,7 @@
         let result = timeout(limit, self.exchange(address, call, read)).await;
         let Ok(result) = result else {
             self.connection = None;
-            return Err(StoreError::Silent);
+            return Err(StoreError::NoResponse);
         };
         if !matches!(result, Ok(_) | Err(StoreError::Status(_))) {
             self.connection = None;
@@ -141,7 +141,7 @@
                 match connection.send(*request).await {
                     Sent::Head(response) => response,
                     Sent::Broken(err) => return Err(err.into()),
-                    Sent::Unsent(_) => return Err(StoreError::Silent),
+                    Sent::Unsent(_) => return Err(StoreError::NoResponse),
                 }
             }
         };
@@ -162,7 +162,7 @@
         if !status.is_success() {
             return Err(StoreError::Status(status));
         }
-        read(&bytes, true)?.ok_or(StoreError::Silent)
+        read(&bytes, true)?.ok_or(StoreError::NoResponse)
     }
 }
 
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -129,7 +129,7 @@
         self.call_succeeded();
         let update = Update {
             revision,
-            whole: true,
+            full: true,
             items,
         };
         cluster_view::apply(&self.shell, update, "store");
@@ -197,7 +197,7 @@
         let result = tokio::select! {
             result = self.client.watch(address, &call, limit, store) => result,
             // The store did not answer another call: the connection of this one may be dead too.
-            () = self.shell.store_unresponsive.notified() => Err(StoreError::Silent),
+            () = self.shell.store_unresponsive.notified() => Err(StoreError::NoResponse),
         };
         self.shell
             .metrics
@@ -217,7 +217,7 @@
         let changed = !batch.items.is_empty();
         let update = Update {
             revision: batch.revision,
-            whole: false,
+            full: false,
             items: batch.items,
         };
         cluster_view::apply(&self.shell, update, "store");
--- a/crates/siskinyoke-gateway/tests/replica.rs
+++ b/crates/siskinyoke-gateway/tests/replica.rs
@@ -95,7 +95,7 @@
                 ..batch
             })
         } else {
-            replica.apply(batch)
+            replica.apply_changes(batch)
         };
         believe(beliefs, news);
         assert_eq!(state(replica), model.items);
@@ -118,7 +118,9 @@
             model.write(u.int_in_range(0..=5)?, value);
         }
         3 if replicas[at].0.revision() > 0 => {
-            let news = replicas[at].0.apply(model.watch(replicas[at].0.revision()));
+            let news = replicas[at]
+                .0
+                .apply_changes(model.watch(replicas[at].0.revision()));
             believe(&mut replicas[at].1, news);
         }
         4 => {
@@ -146,7 +148,7 @@
         _ => {
             let from = u.int_in_range(0..=2)?;
             if let Some(update) = replicas[from].0.changes_since(replicas[at].0.revision()) {
-                let news = replicas[at].0.take(update);
+                let news = replicas[at].0.apply_update(update);
                 believe(&mut replicas[at].1, news);
             }
         }
@@ -166,15 +168,15 @@
         ..model.watch(0)
     });
     model.write(1, None);
-    replica.apply(model.watch(4));
+    replica.apply_changes(model.watch(4));
     let update = replica.changes_since(4).unwrap();
-    assert!(!update.whole);
+    assert!(!update.full);
     assert_eq!(update.items.len(), 1);
     assert_eq!(update.items[0].value, None);
     // A reading tells nothing of removals before it.
     assert_eq!(replica.changes_since(3), None);
     let update = replica.changes_since(0).unwrap();
-    assert!(update.whole);
+    assert!(update.full);
     assert_eq!(update.items.len(), 3);
 }
 
@@ -195,7 +197,7 @@
             revision: number + 2,
             value: None,
         };
-        replica.apply(Batch {
+        replica.apply_changes(Batch {
             items: vec![gone],
             revision: number + 2,
             more: false,
@@ -203,7 +205,7 @@
     }
     assert!(replica.changes_since(2_900).unwrap().items.len() <= 1_024);
     let update = replica.changes_since(500).unwrap();
-    assert!(update.whole);
+    assert!(update.full);
     assert_eq!(update.items.len(), 1);
 }
 
@@ -227,10 +229,10 @@
     late.replace_all(read(&model));
     assert_eq!(late.changes_since(early.revision()), None);
     // What it has from the store itself is known to both from then on.
-    early.apply(model.watch(early.revision()));
+    early.apply_changes(model.watch(early.revision()));
     model.write(2, Some(9));
-    late.apply(model.watch(late.revision()));
+    late.apply_changes(model.watch(late.revision()));
     let update = late.changes_since(early.revision()).unwrap();
-    assert!(!update.whole);
+    assert!(!update.full);
     assert_eq!(update.items.len(), 1);
 }
