--- a/crates/siskinyoke-cli/src/operate/rollout.rs
+++ b/crates/siskinyoke-cli/src/operate/rollout.rs
@@ -48,7 +48,7 @@
 
 /// An order with its state, as it is printed.
 #[derive(Debug, Default, Serialize)]
-struct Row {
+struct RolloutRow {
     order: Option<RolloutOrder>,
     status: Option<RolloutStatus>,
 }
@@ -99,14 +99,14 @@
 }
 
 fn rollout_status(context: &Context, service: Option<&str>) -> Result<String, OperateError> {
-    let mut rows: BTreeMap<String, Row> = BTreeMap::new();
+    let mut rows: BTreeMap<String, RolloutRow> = BTreeMap::new();
     for item in list_items(context, names::ORDER_PREFIX)? {
         let name = item.key.trim_start_matches(names::ORDER_PREFIX);
-        rows.entry(name.to_owned()).or_default().order = parse(&item)?;
+        rows.entry(name.to_owned()).or_default().order = parse_value(&item)?;
     }
     for item in list_items(context, names::STATE_PREFIX)? {
         let name = item.key.trim_start_matches(names::STATE_PREFIX);
-        rows.entry(name.to_owned()).or_default().status = parse(&item)?;
+        rows.entry(name.to_owned()).or_default().status = parse_value(&item)?;
     }
     if let Some(service) = service {
         rows.retain(|name, _| name == service);
@@ -120,7 +120,7 @@
     if context.json {
         return Ok(to_json(&rows));
     }
-    let lines: Vec<String> = rows.iter().map(|row| describe(row.0, row.1)).collect();
+    let lines: Vec<String> = rows.iter().map(|row| format_row(row.0, row.1)).collect();
     Ok(lines.join("\n"))
 }
 
@@ -131,7 +131,7 @@
     Ok(format!("the order for {service} is taken away"))
 }
 
-fn describe(service: &str, row: &Row) -> String {
+fn format_row(service: &str, row: &RolloutRow) -> String {
     let order = row.order.as_ref().map_or_else(
         || "no order".to_owned(),
         |it| format!("to {} within {} s", it.version, it.seconds),
@@ -148,7 +148,7 @@
     format!("{service}: {order}, {state}")
 }
 
-fn parse<T: serde::de::DeserializeOwned>(item: &Item) -> Result<Option<T>, OperateError> {
+fn parse_value<T: serde::de::DeserializeOwned>(item: &Item) -> Result<Option<T>, OperateError> {
     let Some(value) = &item.value else {
         return Ok(None);
     };
--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -84,7 +84,7 @@
         if self.total() == 0 {
             return 1.0;
         }
-        number(self.within) / number(self.total())
+        u64_to_f64(self.within) / u64_to_f64(self.total())
     }
 
     // 1 just uses up the error budget.
@@ -146,7 +146,7 @@
             return Err(ReportError::Objective);
         }
         let logs = read_all(&self.logs)?;
-        let (answers, missing) = requests::read(&logs)?;
+        let (answers, missing) = requests::read_requests(&logs)?;
         let lines = count_outcomes(&answers);
         if let Some(path) = &self.html {
             fs::write(path, self.page(&answers, &lines, missing)?)?;
@@ -177,7 +177,7 @@
     ) -> Result<String, ReportError> {
         let mut page = Page::new("Service-level burn");
         if let Some(incomplete_notice) = incomplete_notice(missing) {
-            page.text(&incomplete_notice);
+            page.paragraph(&incomplete_notice);
         }
         page.heading("By tier and organisation over the last hour");
         let row = |line: &BurnRow| (line.state(self.objective), line.cells(self.objective));
@@ -234,7 +234,7 @@
         Curve {
             name: format!("tier {tier}"),
             points: points
-                .map(|(step, tally)| (-number(*step), value(tally)))
+                .map(|(step, tally)| (-u64_to_f64(*step), value(tally)))
                 .collect(),
         }
     };
@@ -242,6 +242,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
-fn number(count: u64) -> f64 {
+fn u64_to_f64(count: u64) -> f64 {
     count as f64
 }
--- a/crates/siskinyoke-cli/src/report/page.rs
+++ b/crates/siskinyoke-cli/src/report/page.rs
@@ -24,12 +24,12 @@
 
     /// Adds a heading.
     pub fn heading(&mut self, text: &str) {
-        self.put(&format!("<h2>{}</h2>", escape(text)));
+        self.push_line(&format!("<h2>{}</h2>", escape(text)));
     }
 
     /// Adds a paragraph.
-    pub fn text(&mut self, text: &str) {
-        self.put(&format!("<p>{}</p>", escape(text)));
+    pub fn paragraph(&mut self, text: &str) {
+        self.push_line(&format!("<p>{}</p>", escape(text)));
     }
 
     /// Adds a table; each row comes with the class that colours it.
@@ -39,16 +39,16 @@
             row.iter().map(cell).collect::<String>()
         };
         let head: Vec<String> = head.iter().map(|cell| (*cell).to_owned()).collect();
-        self.put(&format!("<table><tr>{}</tr>", cells("th", &head)));
+        self.push_line(&format!("<table><tr>{}</tr>", cells("th", &head)));
         for (class, row) in rows {
-            self.put(&format!("<tr class=\"{class}\">{}</tr>", cells("td", row)));
+            self.push_line(&format!("<tr class=\"{class}\">{}</tr>", cells("td", row)));
         }
-        self.put("</table>");
+        self.push_line("</table>");
     }
 
     /// Adds a drawing.
     pub fn svg(&mut self, svg: &str) {
-        self.put(svg);
+        self.push_line(svg);
     }
 
     /// Returns the whole page.
@@ -60,7 +60,7 @@
         )
     }
 
-    fn put(&mut self, html: &str) {
+    fn push_line(&mut self, html: &str) {
         writeln!(self.body, "{html}").expect("a string takes all");
     }
 }
--- a/crates/siskinyoke-cli/src/report/plot.rs
+++ b/crates/siskinyoke-cli/src/report/plot.rs
@@ -117,14 +117,16 @@
             .label_style(LABEL_FONT);
         mesh.draw().map_err(plot_error)?;
         for (number, bar) in bars.iter().rev().enumerate() {
-            chart.draw_series(parts(number, bar)).map_err(plot_error)?;
+            chart
+                .draw_series(bar_segments(number, bar))
+                .map_err(plot_error)?;
         }
         area.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-fn parts(number: usize, bar: &Bar) -> Vec<Rectangle<(f64, SegmentValue<usize>)>> {
+fn bar_segments(number: usize, bar: &Bar) -> Vec<Rectangle<(f64, SegmentValue<usize>)>> {
     let mut from = 0.0;
     let mut drawn = Vec::new();
     for (colour, part) in bar.segments.iter().enumerate() {
--- a/crates/siskinyoke-cli/src/report/requests.rs
+++ b/crates/siskinyoke-cli/src/report/requests.rs
@@ -40,7 +40,9 @@
 /// # Errors
 ///
 /// [`ReportError::Empty`] if no line tells of an answer.
-pub fn read(logs: &[(String, Log)]) -> Result<(Vec<FinishedRequest<'_>>, u64), ReportError> {
+pub fn read_requests(
+    logs: &[(String, Log)],
+) -> Result<(Vec<FinishedRequest<'_>>, u64), ReportError> {
     let mut answers = Vec::new();
     let mut missing = 0;
     for (_, log) in logs {
--- a/crates/siskinyoke-cli/src/report/usage.rs
+++ b/crates/siskinyoke-cli/src/report/usage.rs
@@ -20,7 +20,7 @@
 use crate::logs::read_all;
 
 /// Heads of the columns.
-const HEAD: [&str; 4] = [
+const COLUMN_HEADINGS: [&str; 4] = [
     "ORGANISATION",
     "ANSWERS",
     "UNITS",
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Default, Serialize)]
-struct Line {
+struct UsageRow {
     organisation: String,
     answers: u64,
     units: f64,
@@ -56,10 +56,10 @@
     /// [`ReportError`] if a log cannot be read, tells of no answer, or the report cannot be written.
     pub fn run(&self, json: bool, out: &mut dyn Write) -> Result<(), ReportError> {
         let logs = read_all(&self.logs)?;
-        let (answers, missing) = requests::read(&logs)?;
-        let lines = lines(&answers);
+        let (answers, missing) = requests::read_requests(&logs)?;
+        let lines = sum_usage(&answers);
         if let Some(path) = &self.html {
-            fs::write(path, page(&lines, missing)?)?;
+            fs::write(path, html_page(&lines, missing)?)?;
         }
         if json {
             let report = serde_json::json!({ "missing": missing, "lines": lines });
@@ -69,14 +69,14 @@
         if let Some(note) = burn::incomplete_notice(missing) {
             writeln!(out, "{note}")?;
         }
-        let rows: Vec<_> = lines.iter().map(Line::row).collect();
-        write!(out, "{}", table::text(&HEAD, &rows))?;
+        let rows: Vec<_> = lines.iter().map(UsageRow::cells).collect();
+        write!(out, "{}", table::text(&COLUMN_HEADINGS, &rows))?;
         Ok(())
     }
 }
 
-impl Line {
-    fn row(&self) -> Vec<String> {
+impl UsageRow {
+    fn cells(&self) -> Vec<String> {
         vec![
             self.organisation.clone(),
             self.answers.to_string(),
@@ -87,8 +87,8 @@
 }
 
 // A whole answer is charged, late ones too; what was refused has used nothing.
-fn lines(answers: &[FinishedRequest<'_>]) -> Vec<Line> {
-    let mut lines: BTreeMap<&str, Line> = BTreeMap::new();
+fn sum_usage(answers: &[FinishedRequest<'_>]) -> Vec<UsageRow> {
+    let mut lines: BTreeMap<&str, UsageRow> = BTreeMap::new();
     for answer in answers {
         let line = lines.entry(answer.organisation).or_default();
         answer.organisation.clone_into(&mut line.organisation);
@@ -101,19 +101,19 @@
             RequestOutcome::Refused => {}
         }
     }
-    let mut lines: Vec<Line> = lines.into_values().collect();
+    let mut lines: Vec<UsageRow> = lines.into_values().collect();
     lines.sort_by(|one, other| other.units.total_cmp(&one.units));
     lines
 }
 
-fn page(lines: &[Line], missing: u64) -> Result<String, ReportError> {
+fn html_page(lines: &[UsageRow], missing: u64) -> Result<String, ReportError> {
     let mut page = Page::new("Use by organisation");
     if let Some(incomplete_notice) = burn::incomplete_notice(missing) {
-        page.text(&incomplete_notice);
+        page.paragraph(&incomplete_notice);
     }
-    let rows: Vec<_> = lines.iter().map(|line| ("", line.row())).collect();
-    page.table(&HEAD, &rows);
-    let bar = |line: &Line| Bar {
+    let rows: Vec<_> = lines.iter().map(|line| ("", line.cells())).collect();
+    page.table(&COLUMN_HEADINGS, &rows);
+    let bar = |line: &UsageRow| Bar {
         name: line.organisation.clone(),
         segments: vec![line.units, line.wasted],
     };
