--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -165,7 +165,7 @@
             .iter()
             .map(|line| line.cells(self.objective))
             .collect();
-        write!(out, "{}", table::text(&COLUMN_HEADINGS, &rows))?;
+        write!(out, "{}", table::format_table(&COLUMN_HEADINGS, &rows))?;
         Ok(())
     }
 
--- a/crates/siskinyoke-cli/src/report/table.rs
+++ b/crates/siskinyoke-cli/src/report/table.rs
@@ -1,7 +1,7 @@
 //! Plain tables on a terminal.
 
 /// Writes rows in columns as wide as their widest cell.
-pub fn text(head: &[&str], rows: &[Vec<String>]) -> String {
+pub fn format_table(head: &[&str], rows: &[Vec<String>]) -> String {
     let head: Vec<String> = head.iter().map(|cell| (*cell).to_owned()).collect();
     let mut widths = vec![0; head.len()];
     for row in std::iter::once(&head).chain(rows) {
--- a/crates/siskinyoke-cli/src/report/usage.rs
+++ b/crates/siskinyoke-cli/src/report/usage.rs
@@ -70,7 +70,7 @@
             writeln!(out, "{note}")?;
         }
         let rows: Vec<_> = lines.iter().map(UsageRow::cells).collect();
-        write!(out, "{}", table::text(&COLUMN_HEADINGS, &rows))?;
+        write!(out, "{}", table::format_table(&COLUMN_HEADINGS, &rows))?;
         Ok(())
     }
 }
