--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -175,7 +175,7 @@
         // The others are answers of another endpoint, or to another request.
         if matches!(verdict, Verdict::Answer | Verdict::Full) {
             let named = shell.interface.exchange.rate_limit(response.headers());
-            rate_limits::take(&shell, endpoint, start, verdict, named);
+            rate_limits::record(&shell, endpoint, start, verdict, named);
         }
         match verdict {
             Verdict::Foreign => Step::Again(Outcome::ConnectionLost),
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -12,7 +12,7 @@
 /// Takes in what the head of an answer says of a limit; its request was sent at `sent`.
 ///
 /// Only an answer of the endpoint's own shows that it names none any more: a refusal need not name what it takes.
-pub fn take(
+pub fn record(
     shell: &Shell,
     endpoint: &Endpoint,
     sent: Millis,
