--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use hyper::body::Incoming;
 
-use crate::answer;
-use crate::answer::AnswerBody;
+use crate::response;
+use crate::response::ResponseBody;
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
 
@@ -17,21 +17,21 @@
 const MAX_DIRECTORY_TTL: Millis = Millis(2_000);
 
 /// Answers whether this instance takes callers.
-pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() != shell.interface.pages.ready_path() {
-        return answer::plain(StatusCode::NOT_FOUND, "no such page");
+        return response::text(StatusCode::NOT_FOUND, "no such page");
     }
     if shell.core.borrow().ready() {
-        answer::plain(StatusCode::OK, "ready")
+        response::text(StatusCode::OK, "ready")
     } else {
-        answer::plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
 
 /// Answers which instances a caller should use.
-pub fn directory(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn directory(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() != shell.interface.pages.directory_path() {
-        return answer::plain(StatusCode::NOT_FOUND, "no such page");
+        return response::text(StatusCode::NOT_FOUND, "no such page");
     }
     let centre = shell
         .interface
@@ -39,14 +39,14 @@
         .centre(request.uri().query().unwrap_or(""));
     let addresses = shell.core.borrow().caller_addresses(shell.now(), centre);
     if addresses.is_empty() {
-        return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
+        return response::text(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
     let keep = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
-    answer::json(shell.interface.pages.directory(&addresses, keep))
+    response::json(shell.interface.pages.directory(&addresses, keep))
 }
 
 /// Answers with the metrics page.
-pub fn metrics_page(shell: &Shell, _: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn metrics_page(shell: &Shell, _: &Request<Incoming>) -> Response<ResponseBody> {
     let core = shell.core.borrow();
     let (waiting, running) = core.scheduler().request_counts();
     shell.metrics.set_state("waiting", to_f64(waiting));
@@ -70,14 +70,14 @@
         .set_state("configuration", core.configuration_version() as f64);
     match shell.metrics.render() {
         Ok(page) => {
-            let mut response = Response::new(AnswerBody::Whole(Some(page.into())));
+            let mut response = Response::new(ResponseBody::Full(Some(page.into())));
             let value = http::HeaderValue::from_static("text/plain; version=0.0.4");
             response
                 .headers_mut()
                 .insert(http::header::CONTENT_TYPE, value);
             response
         }
-        Err(err) => answer::plain(StatusCode::INTERNAL_SERVER_ERROR, &err),
+        Err(err) => response::text(StatusCode::INTERNAL_SERVER_ERROR, &err),
     }
 }
 
--- a/crates/siskinyoke-gateway/src/attempt.rs
+++ b/crates/siskinyoke-gateway/src/attempt.rs
@@ -13,14 +13,14 @@
 use serde_json::json;
 
 use crate::connection::Connection;
-use crate::connection::Sent;
-use crate::held::Held;
+use crate::connection::SendOutcome;
+use crate::memory::MemoryReservation;
 use crate::shell::Shell;
 use siskinyoke_dispatch::Endpoint;
 
 /// A request as it goes to endpoints.
 #[derive(Debug, Clone)]
-pub struct Parcel {
+pub struct EndpointRequest {
     /// The method.
     pub method: Method,
     /// The path with its query, as the caller sent it.
@@ -32,7 +32,7 @@
     /// Identifies what runs: the same for each resend of the same work.
     pub fingerprint: u64,
     /// Counts the body's bytes until the last copy is gone.
-    pub held: Rc<Held>,
+    pub reservation: Rc<MemoryReservation>,
 }
 
 /// What came of a sending.
@@ -41,9 +41,9 @@
     /// The head of an answer, and the connection that brings its body.
     Head(Response<Incoming>, Connection),
     /// No connection could be made; nothing was sent.
-    Unreached,
+    ConnectFailed,
     /// The connection broke after something had left.
-    Broken,
+    ConnectionLost,
 }
 
 /// Sends a request to an endpoint and waits for the head of its answer.
@@ -53,31 +53,31 @@
 pub async fn send(
     shell: &Rc<Shell>,
     endpoint: &Endpoint,
-    parcel: &Parcel,
+    outgoing: &EndpointRequest,
     headers: HeaderMap,
 ) -> Reply {
-    let mut request = Request::new(Full::new(parcel.body.clone()));
-    *request.method_mut() = parcel.method.clone();
-    *request.uri_mut() = parcel.target.clone();
+    let mut request = Request::new(Full::new(outgoing.body.clone()));
+    *request.method_mut() = outgoing.method.clone();
+    *request.uri_mut() = outgoing.target.clone();
     *request.headers_mut() = headers;
-    while let Some(mut kept) = shell.pool.take(shell.now(), endpoint.key()) {
-        match kept.send(request).await {
-            Sent::Head(response) => return Reply::Head(response, kept),
-            Sent::Unsent(back) => request = *back,
-            Sent::Broken(err) => return broken(shell, endpoint, &err),
+    while let Some(mut pooled) = shell.pool.take(shell.now(), endpoint.key()) {
+        match pooled.send(request).await {
+            SendOutcome::Head(response) => return Reply::Head(response, pooled),
+            SendOutcome::NotSent(unsent) => request = *unsent,
+            SendOutcome::ConnectionLost(err) => return connection_lost(shell, endpoint, &err),
         }
     }
-    let Some(mut connection) = open(shell, endpoint).await else {
-        return Reply::Unreached;
+    let Some(mut connection) = connect(shell, endpoint).await else {
+        return Reply::ConnectFailed;
     };
     match connection.send(request).await {
-        Sent::Head(response) => Reply::Head(response, connection),
-        Sent::Unsent(_) => Reply::Unreached,
-        Sent::Broken(err) => broken(shell, endpoint, &err),
+        SendOutcome::Head(response) => Reply::Head(response, connection),
+        SendOutcome::NotSent(_) => Reply::ConnectFailed,
+        SendOutcome::ConnectionLost(err) => connection_lost(shell, endpoint, &err),
     }
 }
 
-async fn open(shell: &Shell, endpoint: &Endpoint) -> Option<Connection> {
+async fn connect(shell: &Shell, endpoint: &Endpoint) -> Option<Connection> {
     let Ok(address) = endpoint.address.parse::<SocketAddr>() else {
         shell.log("endpoint_address", json!({ "endpoint": &*endpoint.id, "address": &*endpoint.address, "hint": "not IP:PORT" }));
         return None;
@@ -92,8 +92,8 @@
     }
 }
 
-fn broken(shell: &Shell, endpoint: &Endpoint, err: &hyper::Error) -> Reply {
+fn connection_lost(shell: &Shell, endpoint: &Endpoint, err: &hyper::Error) -> Reply {
     let fields = json!({ "endpoint": &*endpoint.id, "error": err.to_string() });
     shell.log("endpoint_broken", fields);
-    Reply::Broken
+    Reply::ConnectionLost
 }
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -1,6 +1,6 @@
 //! Takes a caller's request in, and brings its answer back.
 
-mod early;
+mod hold;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,17 +20,17 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-use crate::answer;
-use crate::answer::AnswerBody;
-use crate::attempt::Parcel;
-use crate::events::Events;
-use crate::held::Held;
-use crate::job::Caller;
-use crate::job::Head;
+use crate::attempt::EndpointRequest;
+use crate::events::EventBuffer;
+use crate::job::CallerChannel;
 use crate::job::Job;
+use crate::job::ResponseStart;
 use crate::job::progress::Progress;
 use crate::lending;
+use crate::memory::MemoryReservation;
 use crate::permit::Permit;
+use crate::response;
+use crate::response::ResponseBody;
 use crate::shell::RefusedRequest;
 use crate::shell::Shell;
 use siskinyoke_base::Code;
@@ -39,23 +39,23 @@
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::RefusalReason;
-use siskinyoke_dispatch::core::IncomingRequest as Wanted;
+use siskinyoke_dispatch::core::IncomingRequest;
 use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_dispatch::stable_hash;
 use siskinyoke_interface::FormatError;
 
 /// Pieces of a stream that wait for a slow caller before its endpoint is read no further.
-const PIECES: usize = 8;
+const MAX_BUFFERED_CHUNKS: usize = 8;
 
 /// When to come back if bodies fill the memory.
-const CROWDED: Millis = Millis(500);
+const MEMORY_RETRY_AFTER: Millis = Millis(500);
 
 /// Why a body was not taken.
-enum BodyFault {
-    Large,
-    Slow,
-    Broken,
-    Crowded,
+enum BodyError {
+    TooLarge,
+    TimedOut,
+    Interrupted,
+    OutOfMemory,
 }
 
 /// When a request arrived.
@@ -63,13 +63,13 @@
 struct Arrival {
     at: Millis,
     // Whether it was held until a configuration was known.
-    early: bool,
+    held: bool,
 }
 
 /// Serves one request of a caller.
-pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     shell.last_arrival.set(shell.now());
-    let mut response = answer(&shell, request).await;
+    let mut response = handle(&shell, request).await;
     if shell.core.borrow().leaving() {
         let close = http::HeaderValue::from_static("close");
         response
@@ -79,114 +79,115 @@
     response
 }
 
-async fn answer(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(shell: &Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let arrival = Arrival {
         at: shell.now(),
-        early: false,
+        held: false,
     };
     let limits = shell.core.borrow().configuration().map(|it| it.limits);
     let Some(limits) = limits else {
-        return answer_early(shell, parts, body, arrival).await;
+        return handle_unconfigured(shell, parts, body, arrival).await;
     };
-    if let Some(refused) = refuse_head(shell, &parts, limits) {
+    if let Some(refused) = check_head_size(shell, &parts, limits) {
         return refused;
     }
     if shell.interface.exchange.in_body(&parts) {
-        answer_by_body(shell, parts, body, limits, arrival).await
+        handle_by_body(shell, parts, body, limits, arrival).await
     } else {
-        answer_by_head(shell, parts, body, limits, arrival).await
+        handle_by_head(shell, parts, body, limits, arrival).await
     }
 }
 
 // Nothing can be checked of a request that arrives before the configuration, so it is held whole first.
-async fn answer_early(
+async fn handle_unconfigured(
     shell: &Rc<Shell>,
     parts: Parts,
     body: Incoming,
     arrival: Arrival,
-) -> Response<AnswerBody> {
-    let (limits, body, held) = match early::hold(shell, &parts, body).await {
+) -> Response<ResponseBody> {
+    let (limits, body, reservation) = match hold::until_configured(shell, &parts, body).await {
         Ok(taken) => taken,
         Err(refusal) => {
             let id = shell.interface.exchange.id(&parts);
             return refuse(shell, RefusedRequest::unrouted(id), refusal);
         }
     };
-    if let Some(refused) = refuse_head(shell, &parts, limits) {
+    if let Some(refused) = check_head_size(shell, &parts, limits) {
         return refused;
     }
     if body.len() > limits.max_body {
-        return refuse_body(shell, None, &BodyFault::Large);
+        return reject_body(shell, None, &BodyError::TooLarge);
     }
     let arrival = Arrival {
-        early: true,
+        held: true,
         ..arrival
     };
-    answer_whole(shell, parts, body, held, arrival).await
+    handle_buffered(shell, parts, body, reservation, arrival).await
 }
 
-fn refuse_head(shell: &Shell, parts: &Parts, limits: Limits) -> Option<Response<AnswerBody>> {
+fn check_head_size(shell: &Shell, parts: &Parts, limits: Limits) -> Option<Response<ResponseBody>> {
     let size = head_size(parts);
     if size <= limits.max_head {
         return None;
     }
     shell.log("head_refused", json!({ "bytes": size }));
     let answer = shell.interface.exchange.fail(Code::HeadTooLarge);
-    Some(answer::own(answer))
+    Some(response::from_buffered(answer))
 }
 
 // Decides by the head alone, so that no body is read for a request that is turned away.
-async fn answer_by_head(
+async fn handle_by_head(
     shell: &Rc<Shell>,
     parts: Parts,
     body: Incoming,
     limits: Limits,
     arrival: Arrival,
-) -> Response<AnswerBody> {
-    let (id, pass) = match filter(shell, &parts, &[], arrival).await {
-        Ok(passed) => passed,
+) -> Response<ResponseBody> {
+    let (id, routed) = match decode_and_route(shell, &parts, &[], arrival).await {
+        Ok(accepted) => accepted,
         Err(refused) => return *refused,
     };
-    let left = pass.deadline.since(shell.now());
-    match collect(shell, limits.max_body, left, body).await {
-        Ok((body, held)) => {
-            let parcel = parcel(shell, parts, &pass, body, held);
-            admit(shell, id, pass, parcel, arrival).await
+    let remaining = routed.deadline.since(shell.now());
+    match read_body(shell, limits.max_body, remaining, body).await {
+        Ok((body, reservation)) => {
+            let outgoing = endpoint_request(shell, parts, &routed, body, reservation);
+            admit(shell, id, routed, outgoing, arrival).await
         }
-        Err(fault) => {
-            shell.core.borrow_mut().refund(&pass);
-            refuse_body(shell, id.as_deref(), &fault)
+        Err(error) => {
+            shell.core.borrow_mut().refund(&routed);
+            reject_body(shell, id.as_deref(), &error)
         }
     }
 }
 
 // Reads the whole request first, as its head does not say what it wants.
-async fn answer_by_body(
+async fn handle_by_body(
     shell: &Rc<Shell>,
     parts: Parts,
     body: Incoming,
     limits: Limits,
     arrival: Arrival,
-) -> Response<AnswerBody> {
-    let (body, held) = match collect(shell, limits.max_body, limits.head_timeout, body).await {
-        Ok(taken) => taken,
-        Err(fault) => return refuse_body(shell, None, &fault),
-    };
-    answer_whole(shell, parts, body, held, arrival).await
+) -> Response<ResponseBody> {
+    let (body, reservation) =
+        match read_body(shell, limits.max_body, limits.head_timeout, body).await {
+            Ok(taken) => taken,
+            Err(error) => return reject_body(shell, None, &error),
+        };
+    handle_buffered(shell, parts, body, reservation, arrival).await
 }
 
-async fn answer_whole(
+async fn handle_buffered(
     shell: &Rc<Shell>,
     parts: Parts,
     body: Bytes,
-    held: Held,
+    reservation: MemoryReservation,
     arrival: Arrival,
-) -> Response<AnswerBody> {
-    match filter(shell, &parts, &body, arrival).await {
-        Ok((id, pass)) => {
-            let parcel = parcel(shell, parts, &pass, body, held);
-            admit(shell, id, pass, parcel, arrival).await
+) -> Response<ResponseBody> {
+    match decode_and_route(shell, &parts, &body, arrival).await {
+        Ok((id, routed)) => {
+            let outgoing = endpoint_request(shell, parts, &routed, body, reservation);
+            admit(shell, id, routed, outgoing, arrival).await
         }
         Err(refused) => *refused,
     }
@@ -194,30 +195,30 @@
 
 // The bytes of a head, with those between its parts.
 fn head_size(parts: &Parts) -> usize {
-    const LINE: usize = "  HTTP/1.1\r\n".len();
-    const ROW: usize = ": \r\n".len();
+    const LINE_OVERHEAD_BYTES: usize = "  HTTP/1.1\r\n".len();
+    const FIELD_OVERHEAD_BYTES: usize = ": \r\n".len();
     let target = parts.uri.path_and_query();
     let target = target.map_or(0, |it| it.as_str().len());
-    let line = parts.method.as_str().len() + target + LINE;
-    let rows = parts.headers.iter();
-    rows.fold(line, |sum, row| {
-        sum + row.0.as_str().len() + row.1.len() + ROW
+    let request_line = parts.method.as_str().len() + target + LINE_OVERHEAD_BYTES;
+    let fields = parts.headers.iter();
+    fields.fold(request_line, |sum, field| {
+        sum + field.0.as_str().len() + field.1.len() + FIELD_OVERHEAD_BYTES
     })
 }
 
 // Understands a request and lets it through the filters that need no more than its head; else returns
 // what its caller is told.
-async fn filter(
+async fn decode_and_route(
     shell: &Shell,
     parts: &Parts,
     body: &[u8],
     arrival: Arrival,
-) -> Result<(Option<String>, RoutedRequest), Box<Response<AnswerBody>>> {
+) -> Result<(Option<String>, RoutedRequest), Box<Response<ResponseBody>>> {
     let head = match shell.interface.exchange.decode(parts, body) {
         Ok(head) => head,
-        Err(err) => return Err(Box::new(unreadable(shell, &err))),
+        Err(err) => return Err(Box::new(reject_malformed(shell, &err))),
     };
-    let wanted = Wanted {
+    let incoming = IncomingRequest {
         host: head.host,
         path: &head.path,
         hold_time: shell.now().since(arrival.at),
@@ -227,167 +228,183 @@
         output_estimate: head.estimate,
         draw: stable_hash(&head.id),
     };
-    let refusal = match pass(shell, wanted).await {
-        Ok(pass) => return Ok((head.id.map(ToOwned::to_owned), pass)),
+    let refusal = match route(shell, incoming).await {
+        Ok(routed) => return Ok((head.id.map(ToOwned::to_owned), routed)),
         Err(refusal) => refusal,
     };
-    let holder = head.key.and_then(|key| holder(shell, &key));
+    let organisation = head.key.and_then(|key| organisation_by_key(shell, &key));
     let request = RefusedRequest {
         id: head.id,
-        organisation: holder.as_ref().map(|it| &*it.name),
+        organisation: organisation.as_ref().map(|it| &*it.name),
         ..RefusedRequest::default()
     };
     Err(Box::new(refuse(shell, request, refusal)))
 }
 
 // Where the own shard's part of a quota is used up, others are asked before the request is refused.
-async fn pass(shell: &Shell, wanted: Wanted<'_>) -> Result<RoutedRequest, Refusal> {
-    let passed = shell.core.borrow_mut().route(shell.now(), wanted);
+async fn route(shell: &Shell, incoming: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
+    let passed = shell.core.borrow_mut().route(shell.now(), incoming);
     let refusal = match passed {
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
     };
-    let need = shell.core.borrow().missing_quota(shell.now(), wanted);
-    let Some(need) = need else {
+    let missing = shell.core.borrow().missing_quota(shell.now(), incoming);
+    let Some(missing) = missing else {
         return Err(refusal);
     };
-    match lending::borrow_quota(shell, need).await {
+    match lending::borrow_quota(shell, missing).await {
         0 => Err(refusal),
-        given => {
+        borrowed => {
             let now = shell.now();
             shell
                 .core
                 .borrow_mut()
-                .route_with_borrowed_quota(now, wanted, given)
+                .route_with_borrowed_quota(now, incoming, borrowed)
         }
     }
 }
 
-fn holder(shell: &Shell, key: &str) -> Option<Arc<Organisation>> {
+fn organisation_by_key(shell: &Shell, key: &str) -> Option<Arc<Organisation>> {
     let core = shell.core.borrow();
     core.configuration()?.organisation_by_key(key).cloned()
 }
 
-fn parcel(shell: &Shell, parts: Parts, pass: &RoutedRequest, body: Bytes, held: Held) -> Parcel {
+fn endpoint_request(
+    shell: &Shell,
+    parts: Parts,
+    routed: &RoutedRequest,
+    body: Bytes,
+    reservation: MemoryReservation,
+) -> EndpointRequest {
     let exchange = &shell.interface.exchange;
-    let organisation = pass.organisation.as_ref().map(|it| &*it.name);
-    Parcel {
+    let organisation = routed.organisation.as_ref().map(|it| &*it.name);
+    EndpointRequest {
         fingerprint: stable_hash(&(parts.uri.path(), organisation, &body[..])),
         method: parts.method,
         target: exchange.target(&parts.uri),
         headers: exchange.request(&parts.headers, organisation),
         body,
-        held: Rc::new(held),
+        reservation: Rc::new(reservation),
     }
 }
 
 async fn admit(
     shell: &Rc<Shell>,
     id: Option<String>,
-    pass: RoutedRequest,
-    parcel: Parcel,
+    routed: RoutedRequest,
+    outgoing: EndpointRequest,
     arrival: Arrival,
-) -> Response<AnswerBody> {
-    let fingerprint = parcel.fingerprint;
+) -> Response<ResponseBody> {
+    let fingerprint = outgoing.fingerprint;
     let admitted = shell
         .core
         .borrow_mut()
-        .admit(shell.now(), &pass, fingerprint);
+        .admit(shell.now(), &routed, fingerprint);
     let ticket = match admitted {
         Ok(ticket) => ticket,
         Err(refusal) => {
-            return refuse(shell, RefusedRequest::routed(id.as_deref(), &pass), refusal);
+            return refuse(
+                shell,
+                RefusedRequest::routed(id.as_deref(), &routed),
+                refusal,
+            );
         }
     };
     let permit = Permit::new(shell, ticket);
-    let word = shell.add_waiter(ticket);
-    if arrival.early {
+    let decision = shell.add_waiter(ticket);
+    if arrival.held {
         // All that were held are let in before the first is placed, so that the most urgent goes first.
         yield_now().await;
     }
     shell.decide();
-    let (head_sender, head) = oneshot::channel();
-    let (piece_sender, pieces) = mpsc::channel(PIECES);
+    let (start_sender, start) = oneshot::channel();
+    let (chunk_sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let job = Job {
         shell: shell.clone(),
-        pass,
-        parcel,
+        routed,
+        outgoing,
         id,
-        caller: Caller {
-            head: Some(head_sender),
-            pieces: piece_sender,
+        caller: CallerChannel {
+            start: Some(start_sender),
+            chunks: chunk_sender,
         },
-        events: Events::default(),
-        ran: false,
-        endpoint: None,
+        events: EventBuffer::default(),
+        maybe_executed: false,
+        last_endpoint: None,
         progress: Progress::default(),
-        answer: None,
+        response: None,
     };
-    tokio::task::spawn_local(job.run(permit, word));
-    match head.await {
-        Ok(Head::Whole(response)) => response,
-        Ok(Head::Stream(status, headers)) => {
-            let mut response = Response::new(AnswerBody::Stream(pieces));
+    tokio::task::spawn_local(job.run(permit, decision));
+    match start.await {
+        Ok(ResponseStart::Complete(response)) => response,
+        Ok(ResponseStart::Stream(status, headers)) => {
+            let mut response = Response::new(ResponseBody::Stream(chunks));
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response
         }
-        // The job ended without a word, by a fault of ours.
-        Err(_) => answer::own(shell.interface.exchange.fail(Code::Broken)),
+        // The job ended without a decision, by a error of ours.
+        Err(_) => response::from_buffered(shell.interface.exchange.fail(Code::Broken)),
     }
 }
 
-async fn collect(
+async fn read_body(
     shell: &Rc<Shell>,
-    most: usize,
-    left: Millis,
+    max_bytes: usize,
+    remaining: Millis,
     body: Incoming,
-) -> Result<(Bytes, Held), BodyFault> {
+) -> Result<(Bytes, MemoryReservation), BodyError> {
     let expected = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if expected > most {
-        return Err(BodyFault::Large);
+    if expected > max_bytes {
+        return Err(BodyError::TooLarge);
     }
-    let expecting = Held::take(shell, expected).ok_or(BodyFault::Crowded)?;
-    let collected = timeout(Duration::from(left), Limited::new(body, most).collect()).await;
-    drop(expecting);
+    let provisional =
+        MemoryReservation::try_reserve(shell, expected).ok_or(BodyError::OutOfMemory)?;
+    let collected = timeout(
+        Duration::from(remaining),
+        Limited::new(body, max_bytes).collect(),
+    )
+    .await;
+    drop(provisional);
     let body = match collected {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => {
-            return Err(BodyFault::Large);
+            return Err(BodyError::TooLarge);
         }
-        Ok(Err(_)) => return Err(BodyFault::Broken),
-        Err(_) => return Err(BodyFault::Slow),
+        Ok(Err(_)) => return Err(BodyError::Interrupted),
+        Err(_) => return Err(BodyError::TimedOut),
     };
-    let held = Held::take(shell, body.len()).ok_or(BodyFault::Crowded)?;
-    Ok((body, held))
+    let reservation =
+        MemoryReservation::try_reserve(shell, body.len()).ok_or(BodyError::OutOfMemory)?;
+    Ok((body, reservation))
 }
 
-fn refuse(shell: &Shell, request: RefusedRequest<'_>, refusal: Refusal) -> Response<AnswerBody> {
+fn refuse(shell: &Shell, request: RefusedRequest<'_>, refusal: Refusal) -> Response<ResponseBody> {
     shell.log_refusal(request, refusal);
     shell
         .metrics
         .record_answer(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
-    answer::own(shell.interface.exchange.refuse(refusal))
+    response::from_buffered(shell.interface.exchange.refuse(refusal))
 }
 
-fn unreadable(shell: &Shell, err: &FormatError) -> Response<AnswerBody> {
+fn reject_malformed(shell: &Shell, err: &FormatError) -> Response<ResponseBody> {
     shell.log("request_unreadable", json!({ "error": err.to_string() }));
-    answer::own(shell.interface.exchange.fail(Code::Malformed))
+    response::from_buffered(shell.interface.exchange.fail(Code::Malformed))
 }
 
-fn refuse_body(shell: &Shell, id: Option<&str>, fault: &BodyFault) -> Response<AnswerBody> {
-    let code = match fault {
-        BodyFault::Large => Code::BodyTooLarge,
-        BodyFault::Slow => Code::SlowSender,
-        BodyFault::Broken => Code::Malformed,
-        BodyFault::Crowded => {
+fn reject_body(shell: &Shell, id: Option<&str>, error: &BodyError) -> Response<ResponseBody> {
+    let code = match error {
+        BodyError::TooLarge => Code::BodyTooLarge,
+        BodyError::TimedOut => Code::SlowSender,
+        BodyError::Interrupted => Code::Malformed,
+        BodyError::OutOfMemory => {
             let refusal = Refusal {
                 reason: RefusalReason::Overload,
-                retry_after: CROWDED,
+                retry_after: MEMORY_RETRY_AFTER,
             };
             return refuse(shell, RefusedRequest::unrouted(id), refusal);
         }
     };
     shell.log("body_refused", json!({ "id": id, "why": code.text() }));
-    answer::own(shell.interface.exchange.fail(code))
+    response::from_buffered(shell.interface.exchange.fail(code))
 }
--- a/crates/siskinyoke-gateway/src/callers/early.rs
+++ b/crates/siskinyoke-gateway/src/callers/hold.rs
@@ -8,10 +8,10 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use super::BodyFault;
-use super::CROWDED;
-use super::collect;
-use crate::held::Held;
+use super::BodyError;
+use super::MEMORY_RETRY_AFTER;
+use super::read_body;
+use crate::memory::MemoryReservation;
 use crate::shell::Shell;
 use siskinyoke_dispatch::Limits;
 use siskinyoke_dispatch::Refusal;
@@ -19,12 +19,12 @@
 use siskinyoke_dispatch::cold_start;
 
 /// The longest body that is held before the configuration says how long one may be, in bytes.
-const BODY: usize = 1024 * 1024;
+const MAX_HELD_BODY_BYTES: usize = 1024 * 1024;
 
 /// What a held request takes of the memory for bodies, beside its own, in bytes.
 ///
 /// Its connection's buffers: it bounds the number of requests that are held.
-const OVERHEAD: usize = 16 * 1024;
+const HELD_REQUEST_OVERHEAD_BYTES: usize = 16 * 1024;
 
 /// Holds a request, with its body read, until a configuration is known.
 ///
@@ -33,27 +33,27 @@
 /// # Errors
 ///
 /// The refusal, if none is known in time or the memory is full; the request has not run.
-pub(super) async fn hold(
+pub(super) async fn until_configured(
     shell: &Rc<Shell>,
     parts: &Parts,
     body: Incoming,
-) -> Result<(Limits, Bytes, Held), Refusal> {
+) -> Result<(Limits, Bytes, MemoryReservation), Refusal> {
     let arrived = shell.now();
-    let until = arrived + cold_start::hold_timeout(shell.interface.exchange.deadline(parts));
-    let Some(place) = Held::take(shell, OVERHEAD) else {
-        return Err(crowded());
+    let deadline = arrived + cold_start::hold_timeout(shell.interface.exchange.deadline(parts));
+    let Some(overhead) = MemoryReservation::try_reserve(shell, HELD_REQUEST_OVERHEAD_BYTES) else {
+        return Err(out_of_memory());
     };
-    let left = until.since(shell.now());
-    let (body, held) = match collect(shell, BODY, left, body).await {
+    let remaining = deadline.since(shell.now());
+    let (body, reservation) = match read_body(shell, MAX_HELD_BODY_BYTES, remaining, body).await {
         Ok(taken) => taken,
-        Err(BodyFault::Crowded) => return Err(crowded()),
-        Err(_) => return Err(unready(shell)),
+        Err(BodyError::OutOfMemory) => return Err(out_of_memory()),
+        Err(_) => return Err(not_ready(shell)),
     };
-    let left = until.since(shell.now());
-    let limits = timeout(left.into(), configured(shell)).await;
-    drop(place);
+    let remaining = deadline.since(shell.now());
+    let limits = timeout(remaining.into(), configured_limits(shell)).await;
+    drop(overhead);
     let Ok(limits) = limits else {
-        return Err(unready(shell));
+        return Err(not_ready(shell));
     };
     let fields = json!({
         "id": shell.interface.exchange.id(parts),
@@ -61,10 +61,10 @@
         "configuration": shell.core.borrow().configuration_version(),
     });
     shell.log("request_held", fields);
-    Ok((limits, body, held))
+    Ok((limits, body, reservation))
 }
 
-async fn configured(shell: &Shell) -> Limits {
+async fn configured_limits(shell: &Shell) -> Limits {
     loop {
         let changed = shell.configuration_known.notified();
         if let Some(known) = shell.core.borrow().configuration() {
@@ -74,14 +74,14 @@
     }
 }
 
-fn crowded() -> Refusal {
+fn out_of_memory() -> Refusal {
     Refusal {
         reason: RefusalReason::NotReady,
-        retry_after: CROWDED,
+        retry_after: MEMORY_RETRY_AFTER,
     }
 }
 
-fn unready(shell: &Shell) -> Refusal {
+fn not_ready(shell: &Shell) -> Refusal {
     Refusal {
         reason: RefusalReason::NotReady,
         retry_after: cold_start::retry_after(shell.now().since(shell.started_at)),
--- a/crates/siskinyoke-gateway/src/connection.rs
+++ b/crates/siskinyoke-gateway/src/connection.rs
@@ -20,29 +20,29 @@
 /// Two data centres are some three milliseconds apart there and back; a machine that is down
 /// behind a cut never answers, and an opening packet that was dropped is sent again after a
 /// second only.
-const CONNECT: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// How long sent bytes may stay unacknowledged before the connection counts as dead, in ms.
 ///
 /// A cut link drops packets in silence; without it a connection hangs for minutes.
-const UNACKNOWLEDGED: u32 = 2_000;
+const TCP_USER_TIMEOUT_MS: u32 = 2_000;
 
 quick_error! {
     /// Why a connection could not be made.
     #[derive(Debug)]
     pub enum ConnectError {
         /// The machine refused it, or there is no way to it.
-        Refused(err: std::io::Error) {
+        Io(err: std::io::Error) {
             display("no connection: {err}")
             source(err)
             from()
         }
         /// It took too long.
-        Slow {
-            display("no connection within {CONNECT:?}")
+        TimedOut {
+            display("no connection within {CONNECT_TIMEOUT:?}")
         }
         /// It was closed at once.
-        Closed(err: hyper::Error) {
+        Handshake(err: hyper::Error) {
             display("closed at once: {err}")
             source(err)
             from()
@@ -59,13 +59,13 @@
 
 /// What came of sending a request.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The head of the answer.
     Head(http::Response<hyper::body::Incoming>),
     /// Nothing of the request left this process; here it is again.
-    Unsent(Box<Request<Full<Bytes>>>),
+    NotSent(Box<Request<Full<Bytes>>>),
     /// The connection broke after the request, or a part of it, had left.
-    Broken(hyper::Error),
+    ConnectionLost(hyper::Error),
 }
 
 impl Connection {
@@ -75,12 +75,12 @@
     ///
     /// Why it could not be made; nothing was sent.
     pub async fn open(address: SocketAddr) -> Result<Self, ConnectError> {
-        let Ok(stream) = timeout(CONNECT, TcpStream::connect(address)).await else {
-            return Err(ConnectError::Slow);
+        let Ok(stream) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
+            return Err(ConnectError::TimedOut);
         };
         let stream = stream?;
         stream.set_nodelay(true)?;
-        set_tcp_user_timeout(&stream, UNACKNOWLEDGED).map_err(std::io::Error::from)?;
+        set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS).map_err(std::io::Error::from)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         let task = tokio::task::spawn_local(async move {
             // Its end shows in the call that used it, or the pool drops it unused.
@@ -90,23 +90,23 @@
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Sent {
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         match self.sender.try_send_request(request).await {
-            Ok(response) => Sent::Head(response),
+            Ok(response) => SendOutcome::Head(response),
             Err(mut err) => match err.take_message() {
-                Some(request) => Sent::Unsent(Box::new(request)),
-                None => Sent::Broken(err.into_error()),
+                Some(request) => SendOutcome::NotSent(Box::new(request)),
+                None => SendOutcome::ConnectionLost(err.into_error()),
             },
         }
     }
 
     /// Returns whether another request may be sent now.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
     /// Waits until another request may be sent, and returns whether it ever may.
-    pub async fn settle(&mut self) -> bool {
+    pub async fn wait_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use crate::gossip;
 use crate::gossip::Gossip;
 use crate::listener;
-use crate::listener::Page;
+use crate::listener::ListenerKind;
 use crate::log_writer::LogWriter;
 use crate::registration;
 use crate::reload;
@@ -74,11 +74,11 @@
     let gossip = Rc::new(Gossip::default());
     let metrics = std::net::SocketAddr::new(settings.ip, settings.metrics);
     let pages = [
-        (listen.callers, Page::Callers),
-        (listen.health, Page::Health),
-        (listen.directory, Page::Directory),
-        (listen.peers, Page::PeerApi),
-        (metrics, Page::Metrics),
+        (listen.callers, ListenerKind::Callers),
+        (listen.health, ListenerKind::Health),
+        (listen.directory, ListenerKind::Directory),
+        (listen.peers, ListenerKind::PeerApi),
+        (metrics, ListenerKind::Metrics),
     ];
     let identity = identity(&settings);
     let shell = Rc::new(Shell::new(
@@ -139,7 +139,7 @@
         cluster_view::update_store_status(&shell);
         rollouts::advance(&shell);
         rollouts::write_due_states(&shell);
-        shell.pool.sweep(now);
+        shell.pool.remove_expired(now);
         shell.lending.remove_expired(now);
         shell.flush();
     }
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -1,8 +1,8 @@
 //! One request from its admission to its last byte.
 
-mod ending;
+mod completion;
+mod forwarding;
 pub mod progress;
-mod reading;
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -18,14 +18,14 @@
 use tokio::time::timeout;
 
 use self::progress::Progress;
-use crate::answer::AnswerBody;
 use crate::attempt;
-use crate::attempt::Parcel;
+use crate::attempt::EndpointRequest;
 use crate::attempt::Reply;
-use crate::events::Events;
+use crate::events::EventBuffer;
 use crate::permit::Permit;
 use crate::pool;
 use crate::rate_limits;
+use crate::response::ResponseBody;
 use crate::shell::SchedulingResult;
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
@@ -37,18 +37,18 @@
 
 /// The way back to the caller.
 #[derive(Debug)]
-pub struct Caller {
+pub struct CallerChannel {
     /// Takes the head of the answer, or a whole one.
-    pub head: Option<oneshot::Sender<Head>>,
+    pub start: Option<oneshot::Sender<ResponseStart>>,
     /// Takes the pieces of a stream; closed when the caller is gone.
-    pub pieces: mpsc::Sender<Option<Bytes>>,
+    pub chunks: mpsc::Sender<Option<Bytes>>,
 }
 
 /// What the caller is told first.
 #[derive(Debug)]
-pub enum Head {
+pub enum ResponseStart {
     /// A whole answer.
-    Whole(Response<AnswerBody>),
+    Complete(Response<ResponseBody>),
     /// A stream begins.
     Stream(StatusCode, HeaderMap),
 }
@@ -59,113 +59,115 @@
     /// What all tasks share.
     pub shell: Rc<Shell>,
     /// The request as the decisions see it.
-    pub pass: RoutedRequest,
+    pub routed: RoutedRequest,
     /// The request as endpoints see it.
-    pub parcel: Parcel,
+    pub outgoing: EndpointRequest,
     /// Its identity.
     pub id: Option<String>,
     /// The way back to the caller.
-    pub caller: Caller,
+    pub caller: CallerChannel,
     /// The events passed on so far.
-    pub events: Events,
+    pub events: EventBuffer,
     /// Whether it may have run.
-    pub ran: bool,
+    pub maybe_executed: bool,
     /// The endpoint it was given to last.
-    pub endpoint: Option<Arc<Endpoint>>,
+    pub last_endpoint: Option<Arc<Endpoint>>,
     /// How far it has come.
     pub progress: Progress,
     /// An endpoint's whole answer; a failure is passed on if no other endpoint does better.
-    pub answer: Option<Response<AnswerBody>>,
+    pub response: Option<Response<ResponseBody>>,
 }
 
-enum Step {
+enum AttemptEnd {
     // The answer is whole.
     Finished(Outcome),
     // The endpoint did not bring a whole answer; another might.
-    Again(Outcome),
+    Retry(Outcome),
     // It broke off, and no other may go on.
-    Cut,
+    Truncated,
 }
 
 impl Job {
     /// Serves the request until its answer is whole, its time is up, or its caller left.
-    pub async fn run(mut self, permit: Permit, word: oneshot::Receiver<SchedulingResult>) {
-        let pieces = self.caller.pieces.clone();
-        let left = Duration::from(self.pass.deadline.since(self.shell.now()));
+    pub async fn run(mut self, permit: Permit, decision: oneshot::Receiver<SchedulingResult>) {
+        let chunks = self.caller.chunks.clone();
+        let remaining = Duration::from(self.routed.deadline.since(self.shell.now()));
         let outcome = tokio::select! {
             biased;
-            () = pieces.closed() => "caller_left",
-            done = timeout(left, self.serve(permit, word)) => done.unwrap_or("late"),
+            () = chunks.closed() => "caller_left",
+            done = timeout(remaining, self.serve(permit, decision)) => done.unwrap_or("late"),
         };
         if outcome == "late" {
-            self.expired();
+            self.time_out();
         }
-        self.note(outcome);
+        self.record_end(outcome);
         self.shell.decide();
     }
 
     async fn serve(
         &mut self,
         permit: Permit,
-        word: oneshot::Receiver<SchedulingResult>,
+        decision: oneshot::Receiver<SchedulingResult>,
     ) -> &'static str {
-        let mut turn = (permit, word);
+        let mut pending = (permit, decision);
         loop {
-            let (permit, word) = turn;
-            let endpoint = match word.await {
+            let (permit, decision) = pending;
+            let endpoint = match decision.await {
                 Ok(Ok(endpoint)) => endpoint,
                 Ok(Err(refusal)) => {
-                    permit.refused();
-                    return self.refused(refusal);
+                    permit.disarm();
+                    return self.refuse(refusal);
                 }
-                Err(_) => return self.failed(Outcome::Cancelled),
+                Err(_) => return self.fail(Outcome::Cancelled),
             };
-            self.progress.waited = self.shell.now().since(self.pass.arrived);
-            self.shell.metrics.record_queue_wait(self.progress.waited);
-            let (outcome, more) = match self.attempt(&endpoint, &permit).await {
-                Step::Finished(outcome) => (outcome, false),
-                Step::Again(outcome) => (outcome, true),
-                Step::Cut => {
-                    permit.end(Outcome::ConnectionLost, false);
-                    return self.failed(Outcome::ConnectionLost);
+            self.progress.queue_time = self.shell.now().since(self.routed.arrived);
+            self.shell
+                .metrics
+                .record_queue_wait(self.progress.queue_time);
+            let (outcome, retry) = match self.attempt(&endpoint, &permit).await {
+                AttemptEnd::Finished(outcome) => (outcome, false),
+                AttemptEnd::Retry(outcome) => (outcome, true),
+                AttemptEnd::Truncated => {
+                    permit.end_attempt(Outcome::ConnectionLost, false);
+                    return self.fail(Outcome::ConnectionLost);
                 }
             };
-            self.trace(&endpoint, outcome);
-            match permit.end(outcome, more) {
+            self.log_attempt(&endpoint, outcome);
+            match permit.end_attempt(outcome, retry) {
                 Some(ticket) => {
-                    turn = (
+                    pending = (
                         Permit::new(&self.shell, ticket),
                         self.shell.add_waiter(ticket),
                     );
                     self.shell.decide();
                 }
-                None if more => return self.failed(outcome),
-                None => return self.finished().await,
+                None if retry => return self.fail(outcome),
+                None => return self.finish().await,
             }
         }
     }
 
-    async fn attempt(&mut self, endpoint: &Arc<Endpoint>, permit: &Permit) -> Step {
+    async fn attempt(&mut self, endpoint: &Arc<Endpoint>, permit: &Permit) -> AttemptEnd {
         let start = self.shell.now();
-        self.endpoint = Some(endpoint.clone());
-        let ran = std::mem::replace(&mut self.ran, true);
+        self.last_endpoint = Some(endpoint.clone());
+        let executed_before = std::mem::replace(&mut self.maybe_executed, true);
         let shell = self.shell.clone();
-        let headers = self.headers(endpoint, start);
+        let headers = self.request_headers(endpoint, start);
         let reply = {
-            let mut sending = pin!(attempt::send(&shell, endpoint, &self.parcel, headers));
+            let mut sending = pin!(attempt::send(&shell, endpoint, &self.outgoing, headers));
             match timeout(permit.stall_timeout().into(), &mut sending).await {
                 Ok(reply) => reply,
-                Err(_) if permit.spare() => return Step::Again(Outcome::Stalled),
+                Err(_) if permit.try_abandon() => return AttemptEnd::Retry(Outcome::Stalled),
                 Err(_) => sending.await,
             }
         };
         let (response, connection) = match reply {
             Reply::Head(response, connection) => (response, connection),
-            Reply::Unreached => {
-                self.ran = ran;
-                return Step::Again(Outcome::ConnectFailed);
+            Reply::ConnectFailed => {
+                self.maybe_executed = executed_before;
+                return AttemptEnd::Retry(Outcome::ConnectFailed);
             }
-            Reply::Broken => return Step::Again(Outcome::ConnectionLost),
+            Reply::ConnectionLost => return AttemptEnd::Retry(Outcome::ConnectionLost),
         };
         let verdict = shell.interface.exchange.verdict(
             response.status(),
@@ -178,43 +180,46 @@
             rate_limits::record(&shell, endpoint, start, verdict, named);
         }
         match verdict {
-            Verdict::Foreign => Step::Again(Outcome::ConnectionLost),
+            Verdict::Foreign => AttemptEnd::Retry(Outcome::ConnectionLost),
             Verdict::Full | Verdict::Moved => {
-                self.ran = ran;
+                self.maybe_executed = executed_before;
                 pool::drain(&self.shell, endpoint, response, connection);
                 let full = verdict == Verdict::Full;
-                Step::Again(if full {
+                AttemptEnd::Retry(if full {
                     Outcome::Full
                 } else {
                     Outcome::Misdirected
                 })
             }
-            Verdict::Answer if self.pass.is_stream() && response.status().is_success() => {
-                self.stream(endpoint, permit, start, response, connection)
+            Verdict::Answer if self.routed.is_stream() && response.status().is_success() => {
+                self.stream_response(endpoint, permit, start, response, connection)
+                    .await
+            }
+            Verdict::Answer => {
+                self.buffer_response(endpoint, start, response, connection)
                     .await
             }
-            Verdict::Answer => self.whole(endpoint, start, response, connection).await,
         }
     }
 
-    fn headers(&self, endpoint: &Endpoint, now: Millis) -> HeaderMap {
+    fn request_headers(&self, endpoint: &Endpoint, now: Millis) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
-        let mut headers = self.parcel.headers.clone();
-        exchange.address(&mut headers, endpoint, self.pass.deadline.since(now));
-        if let Some(event) = self.events.last() {
+        let mut headers = self.outgoing.headers.clone();
+        exchange.address(&mut headers, endpoint, self.routed.deadline.since(now));
+        if let Some(event) = self.events.last_id() {
             exchange.resume(&mut headers, event);
         }
         headers
     }
 
-    fn translate(&self, parts: &http::response::Parts) -> HeaderMap {
+    fn response_headers(&self, parts: &http::response::Parts) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
         exchange.answer(parts.status, &parts.headers)
     }
 
     // How the service's requests fared lately.
-    fn load(&self) -> LatencyModel {
+    fn latency_model(&self) -> LatencyModel {
         let core = self.shell.core.borrow();
-        core.scheduler().latency_model(&self.pass.service)
+        core.scheduler().latency_model(&self.routed.service)
     }
 }
--- /dev/null
+++ b/crates/siskinyoke-gateway/src/job/completion.rs
@@ -0,0 +1,137 @@
+//! How a request ends: what its caller is told, and what is logged and counted.
+
+use http::Response;
+use serde_json::json;
+
+use crate::job::Job;
+use crate::job::ResponseStart;
+use crate::permit::outcome_name;
+use crate::response;
+use crate::response::ResponseBody;
+use crate::shell::RefusedRequest;
+use siskinyoke_base::Code;
+use siskinyoke_dispatch::Endpoint;
+use siskinyoke_dispatch::Outcome;
+use siskinyoke_dispatch::Refusal;
+use siskinyoke_dispatch::RefusalReason;
+
+impl Job {
+    pub(super) async fn finish(&mut self) -> &'static str {
+        if let Some(response) = self.response.take()
+            && self.caller.start.is_some()
+        {
+            self.send_response(response);
+            return "answered";
+        }
+        // The end mark waits for its turn behind the pieces of a slow caller; without it the answer
+        // looks broken off. A caller that is gone needs none.
+        drop(self.caller.chunks.send(None).await);
+        "streamed"
+    }
+
+    pub(super) fn refuse(&mut self, refusal: Refusal) -> &'static str {
+        if self.maybe_executed {
+            return self.fail(Outcome::Cancelled);
+        }
+        self.shell.core.borrow_mut().refund(&self.routed);
+        let request = RefusedRequest {
+            admitted: true,
+            ..RefusedRequest::routed(self.id.as_deref(), &self.routed)
+        };
+        self.shell.log_refusal(request, refusal);
+        self.send_response(response::from_buffered(
+            self.shell.interface.exchange.refuse(refusal),
+        ));
+        refusal.reason.as_str()
+    }
+
+    // No endpoint brought a whole answer, and no other may be asked.
+    pub(super) fn fail(&mut self, outcome: Outcome) -> &'static str {
+        if self.caller.start.is_none() {
+            return "cut";
+        }
+        if let Some(response) = self.response.take() {
+            self.send_response(response);
+            return "endpoint_failed";
+        }
+        if !self.maybe_executed {
+            let full = outcome == Outcome::Full;
+            let reason = if full {
+                RefusalReason::EndpointRejected
+            } else {
+                RefusalReason::NoEndpoint
+            };
+            return self.refuse(Refusal {
+                reason,
+                retry_after: self.latency_model().mean_service_time(),
+            });
+        }
+        self.send_response(self.error_response(Code::Broken));
+        "no_answer"
+    }
+
+    pub(super) fn time_out(&mut self) {
+        if self.caller.start.is_none() {
+            return;
+        }
+        if self.maybe_executed {
+            self.send_response(self.error_response(Code::TimedOut));
+        } else {
+            self.refuse(Refusal {
+                reason: RefusalReason::QueueTimeout,
+                retry_after: self.latency_model().mean_service_time(),
+            });
+        }
+    }
+
+    fn error_response(&self, code: Code) -> Response<ResponseBody> {
+        response::from_buffered(self.shell.interface.exchange.fail(code))
+    }
+
+    pub(super) fn send_response(&mut self, response: Response<ResponseBody>) {
+        if let Some(sender) = self.caller.start.take() {
+            drop(sender.send(ResponseStart::Complete(response)));
+        }
+    }
+
+    pub(super) fn log_attempt(&self, endpoint: &Endpoint, outcome: Outcome) {
+        let fields = json!({
+            "id": self.id,
+            "endpoint": &*endpoint.id,
+            "born": endpoint.started_ms,
+            "version": &*endpoint.version,
+            "outcome": outcome_name(outcome),
+            "since_arrival_ms": self.shell.now().since(self.routed.arrived).0,
+        });
+        self.shell.log("attempt", fields);
+    }
+
+    pub(super) fn record_end(&self, outcome: &'static str) {
+        let took = self.shell.now().since(self.routed.arrived);
+        self.shell
+            .metrics
+            .record_answer(self.routed.route.priority, outcome, took);
+        let progress = &self.progress;
+        let fields = json!({
+            "id": self.id,
+            "route": &*self.routed.route.name,
+            "rank": self.routed.priority.0,
+            "organisation": self.routed.organisation.as_ref().map(|it| &*it.name),
+            "units": self.routed.quota_cost,
+            "outcome": outcome,
+            "endpoint": self.last_endpoint.as_ref().map(|it| it.id.to_string()),
+            "prompt": self.routed.tokens.prompt,
+            "output": self.routed.tokens.output,
+            "waited_ms": progress.queue_time.0,
+            "first_ms": progress.first_part.map(|it| it.since(self.routed.arrived).0),
+            "pause_ms": progress.longest_pause.0,
+            "parts": progress.parts,
+            "took_ms": took.0,
+            "aim_ms": self.routed.route.latency_target.0,
+            "gap_ms": self.routed.route.gap_target.0,
+            "left_ms": self.routed.deadline.since(self.shell.now()).0,
+            "configuration": self.shell.core.borrow().configuration_version(),
+        });
+        self.shell.log("answer", fields);
+    }
+}
--- /dev/null
+++ b/crates/siskinyoke-gateway/src/job/forwarding.rs
@@ -0,0 +1,165 @@
+//! Reads an endpoint's answer and passes it on: whole, as it comes, or event by event.
+
+use std::pin::pin;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use bytes::BytesMut;
+use http::Response;
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use tokio::time::timeout;
+
+use super::AttemptEnd;
+use super::Job;
+use super::ResponseStart;
+use super::progress::Progress;
+use crate::connection::Connection;
+use crate::permit::Permit;
+use crate::pool;
+use crate::response::ResponseBody;
+use siskinyoke_base::Millis;
+use siskinyoke_dispatch::Endpoint;
+use siskinyoke_dispatch::Outcome;
+use siskinyoke_dispatch::stall_timeout::STREAM_STALL_TIMEOUT;
+
+/// Bytes of a whole answer that are held before they are passed on.
+///
+/// Held back, an answer that breaks off can still be asked for again or fail cleanly.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
+
+impl Job {
+    pub(super) async fn buffer_response(
+        &mut self,
+        endpoint: &Arc<Endpoint>,
+        start: Millis,
+        response: Response<Incoming>,
+        connection: Connection,
+    ) -> AttemptEnd {
+        let (parts, mut body) = response.into_parts();
+        let mut buffered = BytesMut::new();
+        while let Some(frame) = body.frame().await {
+            let Ok(frame) = frame else {
+                return AttemptEnd::Retry(Outcome::ConnectionLost);
+            };
+            buffered.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                return self.relay(&parts, buffered.freeze(), body, start).await;
+            }
+        }
+        pool::reuse(&self.shell, endpoint, &parts.headers, connection);
+        let mut response = Response::new(ResponseBody::Full(Some(buffered.freeze())));
+        *response.status_mut() = parts.status;
+        *response.headers_mut() = self.response_headers(&parts);
+        self.response = Some(response);
+        // Where a stream has begun, only the rest of its events can end it.
+        if parts.status.is_server_error() || self.caller.start.is_none() {
+            return AttemptEnd::Retry(Outcome::Failed);
+        }
+        let took = self.shell.now().since(start);
+        AttemptEnd::Finished(Outcome::Completed {
+            to_first_part: took,
+            total: took,
+            parts: 0,
+            longest_pause: Millis::ZERO,
+        })
+    }
+
+    // Passes an answer on as it comes that is too long to be buffered. What was passed on cannot be
+    // taken back, so no other endpoint may go on when it breaks.
+    async fn relay(
+        &mut self,
+        parts: &http::response::Parts,
+        buffered: Bytes,
+        mut body: Incoming,
+        start: Millis,
+    ) -> AttemptEnd {
+        let first = self.shell.now().since(start);
+        self.forward(parts, buffered).await;
+        while let Some(frame) = body.frame().await {
+            let Ok(frame) = frame else {
+                return AttemptEnd::Truncated;
+            };
+            let chunk = frame.into_data().unwrap_or_default();
+            self.forward(parts, chunk).await;
+        }
+        let took = self.shell.now().since(start);
+        AttemptEnd::Finished(Outcome::Completed {
+            to_first_part: first,
+            total: took,
+            parts: 0,
+            longest_pause: Millis::ZERO,
+        })
+    }
+
+    pub(super) async fn stream_response(
+        &mut self,
+        endpoint: &Arc<Endpoint>,
+        permit: &Permit,
+        start: Millis,
+        response: Response<Incoming>,
+        connection: Connection,
+    ) -> AttemptEnd {
+        let (parts, mut body) = response.into_parts();
+        let mut progress = Progress::default();
+        let mut stall_timeout = permit.stall_timeout();
+        loop {
+            let before = self.events.event_count();
+            let frame = {
+                let mut next = pin!(body.frame());
+                match timeout(stall_timeout.into(), &mut next).await {
+                    Ok(frame) => frame,
+                    Err(_) if permit.try_abandon() => return self.retry_stream(Outcome::Stalled),
+                    Err(_) => next.await,
+                }
+            };
+            let chunk = match frame {
+                Some(Ok(frame)) => {
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
+                    let Some(complete) = self.events.push(&data) else {
+                        continue;
+                    };
+                    complete
+                }
+                Some(Err(_)) => return self.retry_stream(Outcome::ConnectionLost),
+                None => break,
+            };
+            if progress.first_part.is_none() {
+                permit.first_part_received();
+            }
+            progress.record_parts(self.shell.now(), self.events.event_count() - before);
+            stall_timeout = STREAM_STALL_TIMEOUT;
+            self.forward(&parts, chunk).await;
+        }
+        let rest = self.events.take_rest();
+        self.forward(&parts, rest).await;
+        pool::reuse(&self.shell, endpoint, &parts.headers, connection);
+        let took = self.shell.now().since(start);
+        AttemptEnd::Finished(Outcome::Completed {
+            to_first_part: progress.first_part.map_or(took, |it| it.since(start)),
+            total: took,
+            parts: progress.parts,
+            longest_pause: progress.longest_pause,
+        })
+    }
+
+    fn retry_stream(&mut self, outcome: Outcome) -> AttemptEnd {
+        self.events.discard_partial();
+        AttemptEnd::Retry(outcome)
+    }
+
+    // A caller that is gone closes the channel, which ends the job; so a failed send needs no word.
+    async fn forward(&mut self, parts: &http::response::Parts, chunk: Bytes) {
+        if let Some(sender) = self.caller.start.take() {
+            let headers = self.response_headers(parts);
+            drop(sender.send(ResponseStart::Stream(parts.status, headers)));
+        }
+        if !chunk.is_empty() {
+            let parts = self.events.event_count() - self.progress.parts;
+            self.progress.record_parts(self.shell.now(), parts);
+            drop(self.caller.chunks.send(Some(chunk)).await);
+        }
+    }
+}
--- a/crates/siskinyoke-gateway/src/job/progress.rs
+++ b/crates/siskinyoke-gateway/src/job/progress.rs
@@ -9,24 +9,24 @@
 #[derive(Debug, Default)]
 pub struct Progress {
     /// How long it waited here before it was last sent.
-    pub waited: Millis,
+    pub queue_time: Millis,
     /// When the first part of a stream was passed on.
-    pub first: Option<Millis>,
+    pub first_part: Option<Millis>,
     /// The longest pause between two parts.
-    pub pause: Millis,
+    pub longest_pause: Millis,
     /// The parts passed on.
     pub parts: u32,
-    last: Millis,
+    last_part: Millis,
 }
 
 impl Progress {
     /// Takes note that so many parts are passed on.
-    pub fn passed(&mut self, now: Millis, parts: u32) {
-        if self.first.is_some() {
-            self.pause = self.pause.max(now.since(self.last));
+    pub fn record_parts(&mut self, now: Millis, parts: u32) {
+        if self.first_part.is_some() {
+            self.longest_pause = self.longest_pause.max(now.since(self.last_part));
         }
-        self.first.get_or_insert(now);
-        self.last = now;
+        self.first_part.get_or_insert(now);
+        self.last_part = now;
         self.parts += parts;
     }
 }
--- a/crates/siskinyoke-gateway/src/lib.rs
+++ b/crates/siskinyoke-gateway/src/lib.rs
@@ -1,7 +1,6 @@
 //! The runtime around the decisions: bytes in and out, timers and signals on one thread.
 
 pub mod admin;
-pub mod answer;
 pub mod attempt;
 pub mod callers;
 pub mod clock;
@@ -11,11 +10,11 @@
 pub mod first_read;
 pub mod gateway;
 pub mod gossip;
-pub mod held;
 pub mod job;
 pub mod lending;
 pub mod listener;
 pub mod log_writer;
+pub mod memory;
 pub mod metrics;
 pub mod peer_api;
 pub mod permit;
@@ -24,6 +23,7 @@
 pub mod registration;
 pub mod reload;
 pub mod replica;
+pub mod response;
 pub mod rollouts;
 pub mod settings;
 pub mod shell;
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -19,8 +19,8 @@
 use tokio::time::sleep;
 
 use crate::admin;
-use crate::answer::AnswerBody;
 use crate::callers;
+use crate::response::ResponseBody;
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
 
@@ -28,20 +28,20 @@
 ///
 /// Callers keep the directory's answer for two seconds. Until then they may still send here, and
 /// find a closed connection or none at all if we go sooner.
-pub const LINGER: Millis = Millis(2_500);
+pub const DRAIN_PERIOD: Millis = Millis(2_500);
 
 /// How long an idle connection may stay before the configuration says how long.
-const IDLE: Millis = Millis(15_000);
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(15_000);
 
 /// The longest head that is read, in bytes, if the configuration allows no longer one.
-const HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// How long to wait after the system refused another connection.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Page {
+pub enum ListenerKind {
     /// Callers' requests.
     Callers,
     /// Whether this instance takes callers.
@@ -55,22 +55,22 @@
 }
 
 /// Accepts connections until this instance has left.
-pub async fn accept(shell: Rc<Shell>, listener: TcpListener, page: Page) {
-    let mut left = pin!(departed(shell.clone(), page));
+pub async fn accept(shell: Rc<Shell>, listener: TcpListener, kind: ListenerKind) {
+    let mut drained = pin!(drain_period_elapsed(shell.clone(), kind));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = &mut left => return,
+            () = &mut drained => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(shell.clone(), stream, page));
+                tokio::task::spawn_local(serve_connection(shell.clone(), stream, kind));
             }
             Err(err) => {
                 let fields =
                     json!({ "error": err.to_string(), "hint": "are descriptors used up?" });
                 shell.log("accept_failed", fields);
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -87,123 +87,127 @@
     })
 }
 
-async fn connection(shell: Rc<Shell>, stream: TcpStream, page: Page) {
+async fn serve_connection(shell: Rc<Shell>, stream: TcpStream, kind: ListenerKind) {
     if let Err(err) = stream.set_nodelay(true) {
         shell.log("connection_option", json!({ "error": err.to_string() }));
     }
-    let open = Open::new(&shell, page);
-    let quiet = Rc::new(Quiet::new(shell.now()));
+    let guard = ConnectionGuard::new(&shell, kind);
+    let tracker = Rc::new(IdleTracker::new(shell.now()));
     let service = service_fn(|request| {
         let shell = shell.clone();
-        let quiet = quiet.clone();
+        let tracker = tracker.clone();
         async move {
-            quiet.begin();
-            let response = serve(&shell, request, page).await;
-            quiet.end(shell.now());
+            tracker.request_started();
+            let response = handle(&shell, request, kind).await;
+            tracker.request_ended(shell.now());
             Ok::<_, Infallible>(response)
         }
     });
     let mut builder = http1::Builder::new();
     builder
-        .max_buf_size(HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .half_close(false)
         .pipeline_flush(true);
     let mut serving = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    let mut leaving = pin!(departed(shell.clone(), page));
+    let mut drained = pin!(drain_period_elapsed(shell.clone(), kind));
     let mut closing = false;
     loop {
         tokio::select! {
             // Its end is the caller's business; what became of each request is logged there.
             _ = &mut serving => break,
-            () = &mut leaving, if !closing => {
+            () = &mut drained, if !closing => {
                 closing = true;
                 serving.as_mut().graceful_shutdown();
             }
-            () = idle(&shell, &quiet), if !closing => {
+            () = idle_timeout(&shell, &tracker), if !closing => {
                 closing = true;
                 serving.as_mut().graceful_shutdown();
             }
         }
     }
-    drop(open);
+    drop(guard);
 }
 
-async fn serve(shell: &Rc<Shell>, request: Request<Incoming>, page: Page) -> Response<AnswerBody> {
-    match page {
-        Page::Callers => callers::serve(shell.clone(), request).await,
-        Page::Health => admin::health(shell, &request),
-        Page::Directory => admin::directory(shell, &request),
-        Page::Metrics => admin::metrics_page(shell, &request),
-        Page::PeerApi => crate::peer_api::serve_changes(shell, &request),
+async fn handle(
+    shell: &Rc<Shell>,
+    request: Request<Incoming>,
+    kind: ListenerKind,
+) -> Response<ResponseBody> {
+    match kind {
+        ListenerKind::Callers => callers::serve(shell.clone(), request).await,
+        ListenerKind::Health => admin::health(shell, &request),
+        ListenerKind::Directory => admin::directory(shell, &request),
+        ListenerKind::Metrics => admin::metrics_page(shell, &request),
+        ListenerKind::PeerApi => crate::peer_api::serve_changes(shell, &request),
     }
 }
 
 // Ends when connections of this kind are to be closed, as this instance leaves.
-async fn departed(shell: Rc<Shell>, page: Page) {
-    if page != Page::Callers {
+async fn drain_period_elapsed(shell: Rc<Shell>, kind: ListenerKind) {
+    if kind != ListenerKind::Callers {
         return std::future::pending().await;
     }
     while !shell.core.borrow().leaving() {
         shell.leaving.notified().await;
     }
-    sleep(LINGER.into()).await;
+    sleep(DRAIN_PERIOD.into()).await;
 }
 
 // Ends when the connection was idle for as long as the configuration allows.
-async fn idle(shell: &Shell, quiet: &Quiet) {
+async fn idle_timeout(shell: &Shell, tracker: &IdleTracker) {
     loop {
         let limit = shell
             .core
             .borrow()
             .configuration()
-            .map_or(IDLE, |it| it.limits.keepalive_timeout);
-        let quiet_for = shell.now().since(quiet.since.get());
-        if !quiet.busy.get() && quiet_for >= limit {
+            .map_or(DEFAULT_IDLE_TIMEOUT, |it| it.limits.keepalive_timeout);
+        let idle_time = shell.now().since(tracker.idle_since.get());
+        if !tracker.busy.get() && idle_time >= limit {
             return;
         }
-        let left = if quiet.busy.get() {
+        let delay = if tracker.busy.get() {
             limit
         } else {
-            limit.since(quiet_for)
+            limit.since(idle_time)
         };
-        sleep(left.max(Millis(10)).into()).await;
+        sleep(delay.max(Millis(10)).into()).await;
     }
 }
 
 /// Since when a connection has had no request.
 #[derive(Debug)]
-struct Quiet {
-    since: Cell<Millis>,
+struct IdleTracker {
+    idle_since: Cell<Millis>,
     busy: Cell<bool>,
 }
 
-impl Quiet {
+impl IdleTracker {
     fn new(now: Millis) -> Self {
         Self {
-            since: Cell::new(now),
+            idle_since: Cell::new(now),
             busy: Cell::new(false),
         }
     }
 
-    fn begin(&self) {
+    fn request_started(&self) {
         self.busy.set(true);
     }
 
-    fn end(&self, now: Millis) {
+    fn request_ended(&self, now: Millis) {
         self.busy.set(false);
-        self.since.set(now);
+        self.idle_since.set(now);
     }
 }
 
 /// Counts an open connection of a caller.
-struct Open {
+struct ConnectionGuard {
     shell: Rc<Shell>,
     counted: bool,
 }
 
-impl Open {
-    fn new(shell: &Rc<Shell>, page: Page) -> Self {
-        let counted = page == Page::Callers;
+impl ConnectionGuard {
+    fn new(shell: &Rc<Shell>, kind: ListenerKind) -> Self {
+        let counted = kind == ListenerKind::Callers;
         shell
             .caller_connections
             .set(shell.caller_connections.get() + usize::from(counted));
@@ -214,7 +218,7 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.shell
             .caller_connections
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -12,10 +12,10 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::answer;
-use crate::answer::AnswerBody;
 use crate::cluster_view;
 use crate::replica::Update;
+use crate::response;
+use crate::response::ResponseBody;
 use crate::shell::Shell;
 use crate::store::StoreError;
 use siskinyoke_base::Millis;
@@ -64,17 +64,17 @@
 }
 
 /// Answers a peer that asks for what it lacks: the path names the revision that it knows.
-pub fn serve_changes(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn serve_changes(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
     let known = request.uri().path().strip_prefix(CHANGES_PATH);
     let Some(Ok(known)) = known.map(str::parse) else {
-        return answer::plain(StatusCode::NOT_FOUND, "no such page");
+        return response::text(StatusCode::NOT_FOUND, "no such page");
     };
     let Some(update) = shell.replica.borrow().changes_since(known) else {
-        return answer::plain(StatusCode::CONFLICT, "not known from that revision on");
+        return response::text(StatusCode::CONFLICT, "not known from that revision on");
     };
     match postcard::to_allocvec(&update) {
-        Ok(bytes) => Response::new(AnswerBody::Whole(Some(bytes.into()))),
-        Err(err) => answer::plain(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
+        Ok(bytes) => Response::new(ResponseBody::Full(Some(bytes.into()))),
+        Err(err) => response::text(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
     }
 }
 
--- a/crates/siskinyoke-gateway/src/permit.rs
+++ b/crates/siskinyoke-gateway/src/permit.rs
@@ -29,23 +29,23 @@
     }
 
     /// Takes note that the request was refused: nothing is left to end.
-    pub fn refused(mut self) {
+    pub fn disarm(mut self) {
         self.ticket = None;
     }
 
     /// Ends a running stay; returns a ticket to wait with if it may go on elsewhere.
-    pub fn end(mut self, outcome: Outcome, more: bool) -> Option<Ticket> {
+    pub fn end_attempt(mut self, outcome: Outcome, retry: bool) -> Option<Ticket> {
         let ticket = self.ticket.take()?;
-        self.shell.metrics.record_attempt(name(outcome));
+        self.shell.metrics.record_attempt(outcome_name(outcome));
         lending::return_slot(&self.shell, ticket);
         self.shell
             .core
             .borrow_mut()
-            .attempt_ended(self.shell.now(), ticket, outcome, more)
+            .attempt_ended(self.shell.now(), ticket, outcome, retry)
     }
 
     /// Takes note that the first part of the answer came.
-    pub fn began(&self) {
+    pub fn first_part_received(&self) {
         if let Some(ticket) = self.ticket {
             let now = self.shell.now();
             self.shell
@@ -64,7 +64,7 @@
     }
 
     /// Returns whether a try that stays silent may be given up for another endpoint.
-    pub fn spare(&self) -> bool {
+    pub fn try_abandon(&self) -> bool {
         let Some(ticket) = self.ticket else {
             return false;
         };
@@ -86,7 +86,7 @@
 }
 
 /// Returns an outcome's name in logs and metrics.
-pub fn name(outcome: Outcome) -> &'static str {
+pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Completed { .. } => "done",
         Outcome::Failed => "failed",
--- a/crates/siskinyoke-gateway/src/pool.rs
+++ b/crates/siskinyoke-gateway/src/pool.rs
@@ -24,21 +24,21 @@
 ///
 /// Work that crosses the close may have run and cannot be sent again; the margin covers the way
 /// there and a late timer.
-const MARGIN: Millis = Millis(700);
+const KEEP_ALIVE_MARGIN: Millis = Millis(700);
 
 /// How long an idle connection is used where its endpoint names no time.
-const UNNAMED: Millis = Millis(4_000);
+const DEFAULT_KEEP_ALIVE: Millis = Millis(4_000);
 
 /// How long a connection may take to be ready again after its answer ended.
-const SETTLE: Duration = Duration::from_millis(500);
+const REUSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The longest body of an answer that says "not run", in bytes.
-const SHORT: usize = 64 * 1024;
+const MAX_DRAINED_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    until: Millis,
+    expires_at: Millis,
 }
 
 /// Connections to endpoints that wait to be used again, the latest used first.
@@ -51,9 +51,13 @@
     /// Takes a connection to an endpoint, if a sound one waits.
     pub fn take(&self, now: Millis, key: EndpointKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.get_mut(&key)?;
-        while let Some(Idle { connection, until }) = list.pop() {
-            if now < until && connection.ready() {
+        let connections = idle.get_mut(&key)?;
+        while let Some(Idle {
+            connection,
+            expires_at,
+        }) = connections.pop()
+        {
+            if now < expires_at && connection.is_ready() {
                 return Some(connection);
             }
         }
@@ -61,27 +65,26 @@
     }
 
     /// Drops connections that cannot be used any more.
-    pub fn sweep(&self, now: Millis) {
+    pub fn remove_expired(&self, now: Millis) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
-            list.retain(|it| now < it.until && it.connection.ready());
+            list.retain(|it| now < it.expires_at && it.connection.is_ready());
         }
         idle.retain(|_, list| !list.is_empty());
     }
 
-    fn put(&self, key: EndpointKey, connection: Connection, until: Millis) {
-        self.idle
-            .borrow_mut()
-            .entry(key)
-            .or_default()
-            .push(Idle { connection, until });
+    fn put(&self, key: EndpointKey, connection: Connection, expires_at: Millis) {
+        self.idle.borrow_mut().entry(key).or_default().push(Idle {
+            connection,
+            expires_at,
+        });
     }
 }
 
 /// Keeps a connection whose answer is over, if its endpoint keeps it too.
 pub fn reuse(shell: &Rc<Shell>, endpoint: &Endpoint, head: &HeaderMap, connection: Connection) {
     if !headers::closes(head) {
-        keep(shell, endpoint.key(), connection, headers::keep(head));
+        put_when_ready(shell, endpoint.key(), connection, headers::keep(head));
     }
 }
 
@@ -96,24 +99,30 @@
     let endpoint = endpoint.clone();
     tokio::task::spawn_local(async move {
         let (parts, body) = response.into_parts();
-        let reading = Limited::new(body, SHORT).collect();
-        if let Ok(Ok(_)) = timeout(SETTLE, reading).await {
+        let reading = Limited::new(body, MAX_DRAINED_BODY_BYTES).collect();
+        if let Ok(Ok(_)) = timeout(REUSE_TIMEOUT, reading).await {
             reuse(&shell, &endpoint, &parts.headers, connection);
         }
     });
 }
 
 // Keeps a connection for later, once its last answer is over.
-fn keep(shell: &Rc<Shell>, key: EndpointKey, mut connection: Connection, named: Option<Millis>) {
-    let until = shell.now() + named.map_or(UNNAMED, |span| span.since(MARGIN));
-    if connection.ready() {
-        shell.pool.put(key, connection, until);
+fn put_when_ready(
+    shell: &Rc<Shell>,
+    key: EndpointKey,
+    mut connection: Connection,
+    keep_alive: Option<Millis>,
+) {
+    let expires_at =
+        shell.now() + keep_alive.map_or(DEFAULT_KEEP_ALIVE, |span| span.since(KEEP_ALIVE_MARGIN));
+    if connection.is_ready() {
+        shell.pool.put(key, connection, expires_at);
         return;
     }
     let shell = shell.clone();
     tokio::task::spawn_local(async move {
-        if timeout(SETTLE, connection.settle()).await == Ok(true) {
-            shell.pool.put(key, connection, until);
+        if timeout(REUSE_TIMEOUT, connection.wait_ready()).await == Ok(true) {
+            shell.pool.put(key, connection, expires_at);
         }
     });
 }
--- a/crates/siskinyoke-gateway/src/answer.rs
+++ b/crates/siskinyoke-gateway/src/response.rs
@@ -19,9 +19,9 @@
     /// It makes the server close the connection without the end mark, so that the caller sees
     /// that its answer is not whole.
     #[derive(Debug)]
-    pub enum CutError {
+    pub enum TruncatedError {
         /// The endpoint broke off, and no other could go on.
-        Cut {
+        Truncated {
             display("the answer broke off")
         }
     }
@@ -29,40 +29,40 @@
 
 /// The body of an answer to a caller.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// A whole body.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// A stream that a job feeds; nothing marks its sound end.
     ///
     /// If the job ends without that mark, for whatever reason, the answer must not look whole.
     Stream(Receiver<Option<Bytes>>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = CutError;
+    type Error = TruncatedError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedError>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
-            Self::Stream(receiver) => receiver.poll_recv(context).map(|piece| match piece {
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
+            Self::Stream(receiver) => receiver.poll_recv(context).map(|chunk| match chunk {
                 Some(Some(bytes)) => Some(Ok(Frame::data(bytes))),
                 Some(None) => None,
-                None => Some(Err(CutError::Cut)),
+                None => Some(Err(TruncatedError::Truncated)),
             }),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 let length = bytes.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(u64::try_from(length).unwrap_or(0))
             }
@@ -72,21 +72,23 @@
 }
 
 /// Makes an answer of our own with a short text.
-pub fn plain(status: http::StatusCode, text: &str) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::Whole(Some(Bytes::from(format!("{text}\n")))));
+pub fn text(status: http::StatusCode, message: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::from(format!(
+        "{message}\n"
+    )))));
     *response.status_mut() = status;
     response
 }
 
 /// Makes an answer of our own with a JSON body.
-pub fn json(body: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::Whole(Some(body.into())));
+pub fn json(body: Vec<u8>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Full(Some(body.into())));
     let value = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, value);
     response
 }
 
 /// Makes an answer of our own from one with a plain body.
-pub fn own(response: Response<Vec<u8>>) -> Response<AnswerBody> {
-    response.map(|body| AnswerBody::Whole(Some(body.into())))
+pub fn from_buffered(response: Response<Vec<u8>>) -> Response<ResponseBody> {
+    response.map(|body| ResponseBody::Full(Some(body.into())))
 }
--- a/crates/siskinyoke-gateway/src/signals.rs
+++ b/crates/siskinyoke-gateway/src/signals.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::signal;
 use tokio::time::sleep;
 
-use crate::listener::LINGER;
+use crate::listener::DRAIN_PERIOD;
 use crate::reload;
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
@@ -50,7 +50,7 @@
     loop {
         sleep(LOOK.into()).await;
         let now = shell.now();
-        let lingered = now >= start + LINGER;
+        let lingered = now >= start + DRAIN_PERIOD;
         if now >= end || (lingered && shell.caller_connections.get() == 0) {
             break;
         }
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -15,7 +15,7 @@
 
 use crate::connection::ConnectError;
 use crate::connection::Connection;
-use crate::connection::Sent;
+use crate::connection::SendOutcome;
 use siskinyoke_base::Millis;
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Call;
@@ -130,18 +130,18 @@
         read: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
     ) -> Result<T, StoreError> {
         let (at, mut connection) = match self.connection.take() {
-            Some((at, open)) if at == address && open.ready() => (at, open),
+            Some((at, open)) if at == address && open.is_ready() => (at, open),
             _ => (address, Connection::open(address).await?),
         };
         let response = match connection.send(encode(address, call)).await {
-            Sent::Head(response) => response,
-            Sent::Broken(err) => return Err(err.into()),
-            Sent::Unsent(request) => {
+            SendOutcome::Head(response) => response,
+            SendOutcome::ConnectionLost(err) => return Err(err.into()),
+            SendOutcome::NotSent(request) => {
                 connection = Connection::open(address).await?;
                 match connection.send(*request).await {
-                    Sent::Head(response) => response,
-                    Sent::Broken(err) => return Err(err.into()),
-                    Sent::Unsent(_) => return Err(StoreError::NoResponse),
+                    SendOutcome::Head(response) => response,
+                    SendOutcome::ConnectionLost(err) => return Err(err.into()),
+                    SendOutcome::NotSent(_) => return Err(StoreError::NoResponse),
                 }
             }
         };
@@ -156,7 +156,7 @@
                 return Ok(answer);
             }
         }
-        if connection.settle().await {
+        if connection.wait_ready().await {
             self.connection = Some((at, connection));
         }
         if !status.is_success() {
--- a/crates/siskinyoke-gateway/tests/events.rs
+++ b/crates/siskinyoke-gateway/tests/events.rs
@@ -2,27 +2,27 @@
 
 use arbtest::arbtest;
 
-use siskinyoke_gateway::events::Events;
+use siskinyoke_gateway::events::EventBuffer;
 
 // An endpoint dies in the middle of an event, and another goes on after the last whole one. The
 // half event and the other's bytes would make one event of two runs.
 #[test]
-fn half_an_event_goes_with_its_endpoint() {
-    let mut events = Events::default();
-    let whole = events.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
-    assert_eq!(&whole[..], b"id: 1\ndata: a\n\n");
-    assert_eq!(events.last(), Some("1"));
-    events.abandon();
+fn a_partial_event_is_discarded_with_its_endpoint() {
+    let mut events = EventBuffer::default();
+    let complete = events.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
+    assert_eq!(&complete[..], b"id: 1\ndata: a\n\n");
+    assert_eq!(events.last_id(), Some("1"));
+    events.discard_partial();
     let next = events.push(b"id: 2\ndata: b\n\n").unwrap();
     assert_eq!(&next[..], b"id: 2\ndata: b\n\n");
-    assert_eq!(events.last(), Some("2"));
+    assert_eq!(events.last_id(), Some("2"));
 }
 
 #[test]
-fn the_rest_of_a_sound_stream_is_passed_on() {
-    let mut events = Events::default();
+fn trailing_bytes_of_a_complete_stream_are_forwarded() {
+    let mut events = EventBuffer::default();
     assert!(events.push(b"data: x").is_none());
-    assert_eq!(&events.finish()[..], b"data: x");
+    assert_eq!(&events.take_rest()[..], b"data: x");
 }
 
 #[test]
@@ -31,17 +31,17 @@
         text + &format!("id: {id}\r\ndata: {id}\r\n\r\n")
     });
     arbtest(|u| {
-        let mut events = Events::default();
+        let mut events = EventBuffer::default();
         let mut out = Vec::new();
         let mut rest = text.as_bytes();
         while !rest.is_empty() {
-            let (piece, next) = rest.split_at(u.int_in_range(1..=rest.len())?);
-            out.extend(events.push(piece).unwrap_or_default());
+            let (chunk, next) = rest.split_at(u.int_in_range(1..=rest.len())?);
+            out.extend(events.push(chunk).unwrap_or_default());
             rest = next;
         }
-        out.extend(events.finish());
+        out.extend(events.take_rest());
         assert_eq!(out, text.as_bytes());
-        assert_eq!(events.last(), Some("19"));
+        assert_eq!(events.last_id(), Some("19"));
         Ok(())
     });
 }
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -5,8 +5,8 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::core::Identity;
 use siskinyoke_dispatch::quota::QuotaPolicy;
-use siskinyoke_gateway::held::Held;
 use siskinyoke_gateway::log_writer::LogWriter;
+use siskinyoke_gateway::memory::MemoryReservation;
 use siskinyoke_gateway::settings::Settings;
 use siskinyoke_gateway::shell::Shell;
 
@@ -45,9 +45,9 @@
 #[test]
 fn waiting_bodies_fill_a_quarter_of_the_memory_at_most() {
     let shell = shell();
-    let first = Held::take(&shell, 3 * MB);
+    let first = MemoryReservation::try_reserve(&shell, 3 * MB);
     assert!(first.is_some());
-    assert!(Held::take(&shell, 2 * MB).is_none());
+    assert!(MemoryReservation::try_reserve(&shell, 2 * MB).is_none());
     drop(first);
-    assert!(Held::take(&shell, 2 * MB).is_some());
+    assert!(MemoryReservation::try_reserve(&shell, 2 * MB).is_some());
 }
