--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -9,11 +9,11 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::beliefs;
+use crate::cluster_view;
 use crate::gossip;
 use crate::gossip::Gossip;
 use crate::listener;
-use crate::listener::Page;
+use crate::listener::ListenerKind;
 use crate::log_writer::LogWriter;
 use crate::registration;
 use crate::reload;
@@ -74,11 +74,11 @@
     let gossip = Rc::new(Gossip::default());
     let metrics = std::net::SocketAddr::new(settings.ip, settings.metrics);
     let pages = [
-        (listen.callers, Page::Callers),
-        (listen.health, Page::Health),
-        (listen.directory, Page::Directory),
-        (listen.peers, Page::PeerApi),
-        (metrics, Page::Metrics),
+        (listen.callers, ListenerKind::Callers),
+        (listen.health, ListenerKind::Health),
+        (listen.directory, ListenerKind::Directory),
+        (listen.peers, ListenerKind::PeerApi),
+        (metrics, ListenerKind::Metrics),
     ];
     let identity = identity(&settings);
     let shell = Rc::new(Shell::new(
@@ -93,10 +93,10 @@
         let listener = listener::bind(address).await?;
         spawn_local(listener::accept(shell.clone(), listener, page));
     }
-    spawn_local(gossip.clone().tell(shell.clone()));
-    spawn_local(gossip.hear(shell.clone()));
+    spawn_local(gossip.clone().send_reports(shell.clone()));
+    spawn_local(gossip.receive_reports(shell.clone()));
     spawn_local(watcher::follow(shell.clone()));
-    spawn_local(registration::keep(shell.clone()));
+    spawn_local(registration::maintain(shell.clone()));
     spawn_local(reload::poll_file(shell.clone(), path.clone()));
     spawn_local(signals::reload_on_signal(shell.clone(), path));
     spawn_local(poll_queue(shell.clone()));
@@ -136,11 +136,11 @@
         sleep(SWEEP_INTERVAL.into()).await;
         let now = shell.now();
         shell.core.borrow_mut().sweep(now);
-        beliefs::notice_store(&shell);
+        cluster_view::update_store_status(&shell);
         rollouts::advance(&shell);
-        rollouts::write_due(&shell);
-        shell.pool.sweep(now);
-        shell.lending.sweep(now);
+        rollouts::write_due_states(&shell);
+        shell.pool.remove_expired(now);
+        shell.lending.remove_expired(now);
         shell.flush();
     }
 }
--- a/crates/siskinyoke-gateway/src/lib.rs
+++ b/crates/siskinyoke-gateway/src/lib.rs
@@ -2,21 +2,20 @@
 //! thread.
 
 pub mod admin;
-pub mod answer;
 pub mod attempt;
-pub mod beliefs;
 pub mod callers;
 pub mod clock;
+pub mod cluster_view;
 pub mod connection;
 pub mod events;
 pub mod first_read;
 pub mod gateway;
 pub mod gossip;
-pub mod held;
 pub mod job;
 pub mod lending;
 pub mod listener;
 pub mod log_writer;
+pub mod memory;
 pub mod metrics;
 pub mod peer_api;
 pub mod permit;
@@ -25,6 +24,7 @@
 pub mod registration;
 pub mod reload;
 pub mod replica;
+pub mod response;
 pub mod rollouts;
 pub mod settings;
 pub mod shell;
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -246,7 +246,7 @@
     /// Cancels a queued or running request, and returns its slot if that was borrowed.
     pub fn cancel(&self, ticket: Ticket) {
         self.waiters.borrow_mut().remove(&ticket);
-        lending::give_back(self, ticket);
+        lending::return_slot(self, ticket);
         self.core.borrow_mut().cancel(self.now(), ticket);
         self.report_due.notify_one();
     }
@@ -261,7 +261,7 @@
             };
             self.notify_waiter(ticket, result);
         }
-        lending::places(self);
+        lending::request_slots(self);
         self.report_due.notify_one();
         if self.core.borrow().scheduler().request_counts().0 > 0 {
             self.queue_timer.notify_one();
--- a/crates/siskinyoke-gateway/src/signals.rs
+++ b/crates/siskinyoke-gateway/src/signals.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::signal;
 use tokio::time::sleep;
 
-use crate::listener::LINGER;
+use crate::listener::DRAIN_PERIOD;
 use crate::reload;
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
@@ -52,8 +52,8 @@
     loop {
         sleep(DRAIN_POLL_INTERVAL.into()).await;
         let now = shell.now();
-        let linger_over = now >= start + LINGER;
-        if now >= end || (linger_over && shell.caller_connections.get() == 0) {
+        let drain_over = now >= start + DRAIN_PERIOD;
+        if now >= end || (drain_over && shell.caller_connections.get() == 0) {
             break;
         }
     }
