--- a/crates/siskinyoke-gateway/src/first_read.rs
+++ b/crates/siskinyoke-gateway/src/first_read.rs
@@ -39,7 +39,7 @@
         let result = timeout(limit.into(), self.send_hedged(address, call, limit)).await;
         // Dropping the set ends the calls that lost.
         self.calls = JoinSet::new();
-        result.unwrap_or(Err(StoreError::NoResponse))
+        result.unwrap_or(Err(StoreError::NoReply))
     }
 
     /// Returns how many calls were made.
@@ -73,7 +73,7 @@
                 result = self.calls.join_next() => result?,
                 () = &mut hedge_delay => return None,
             };
-            let result = result.unwrap_or(Err(StoreError::NoResponse));
+            let result = result.unwrap_or(Err(StoreError::NoReply));
             if result.is_ok() || self.calls.is_empty() {
                 return Some(result);
             }
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -24,7 +24,7 @@
 /// How many instances are asked for units at once, each of another shard, and for what part of the units.
 ///
 /// A shard has a few requests' units to spare. Instances of the same shard would give the same ones away.
-const MAX_QUOTA_LENDERS: usize = 5;
+const QUOTA_LENDERS: usize = 5;
 const QUOTA_REQUEST_DIVISOR: u64 = 2;
 
 /// How long their answers are waited for: a few times the way between two data centres and back.
@@ -36,7 +36,7 @@
 const QUOTA_RETRY_DELAY: Millis = Millis(300);
 
 /// How many instances are asked for a place at once, each of another shard.
-const MAX_SLOT_LENDERS: usize = 2;
+const SLOT_LENDERS: usize = 2;
 
 /// How long a question for a place is kept open.
 const SLOT_REQUEST_TTL: Millis = Millis(500);
@@ -99,9 +99,7 @@
         let id = rand::random();
         let lenders = match &request {
             BorrowRequest::RateLimitedSlot(slot) => choose_token_holders(shell, slot.service),
-            BorrowRequest::Slot(_) | BorrowRequest::Units(_) => {
-                choose_lenders(shell, MAX_SLOT_LENDERS)
-            }
+            BorrowRequest::Slot(_) | BorrowRequest::Units(_) => choose_lenders(shell, SLOT_LENDERS),
         };
         if lenders.is_empty() {
             continue;
@@ -240,7 +238,7 @@
     let id = rand::random();
     let (sender, mut replies) = mpsc::unbounded_channel();
     shell.lending.quota_requests.borrow_mut().insert(id, sender);
-    let lenders = choose_lenders(shell, MAX_QUOTA_LENDERS);
+    let lenders = choose_lenders(shell, QUOTA_LENDERS);
     for lender in &lenders {
         gossip::send(shell, *lender, &Message::Borrow(id, request));
     }
@@ -270,7 +268,7 @@
 fn choose_token_holders(shell: &Shell, service: u32) -> Vec<SocketAddr> {
     let core = shell.core.borrow();
     let holders = core.token_holders(shell.now(), service);
-    let some = holders.choose_multiple(&mut rand::rng(), MAX_SLOT_LENDERS);
+    let some = holders.choose_multiple(&mut rand::rng(), SLOT_LENDERS);
     some.filter_map(|it| it.peer_address.parse().ok()).collect()
 }
 
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -39,7 +39,7 @@
             from()
         }
         /// No answer came in time; a write may have taken effect.
-        NoResponse {
+        NoReply {
             display("no answer in time")
         }
         /// It answered with a failure.
@@ -91,15 +91,13 @@
         limit: Millis,
         store: &dyn Store,
     ) -> Result<Batch, StoreError> {
-        let responded = Cell::new(false);
+        let opened = Cell::new(false);
         let read = |bytes: &[u8], ended: bool| {
-            responded.set(true);
+            opened.set(true);
             store.decode_watch(bytes, ended)
         };
         match self.call_until(address, call, limit, read).await {
-            Err(StoreError::NoResponse) if store.quiet_watch() && responded.get() => {
-                Ok(Batch::default())
-            }
+            Err(StoreError::NoReply) if store.quiet_watch() && opened.get() => Ok(Batch::default()),
             other => other,
         }
     }
@@ -115,7 +113,7 @@
         let result = timeout(limit, self.exchange(address, call, read)).await;
         let Ok(result) = result else {
             self.connection = None;
-            return Err(StoreError::NoResponse);
+            return Err(StoreError::NoReply);
         };
         if !matches!(result, Ok(_) | Err(StoreError::Status(_))) {
             self.connection = None;
@@ -141,7 +139,7 @@
                 match connection.send(*request).await {
                     Sent::Head(response) => response,
                     Sent::Broken(err) => return Err(err.into()),
-                    Sent::Unsent(_) => return Err(StoreError::NoResponse),
+                    Sent::Unsent(_) => return Err(StoreError::NoReply),
                 }
             }
         };
@@ -162,7 +160,7 @@
         if !status.is_success() {
             return Err(StoreError::Status(status));
         }
-        read(&bytes, true)?.ok_or(StoreError::NoResponse)
+        read(&bytes, true)?.ok_or(StoreError::NoReply)
     }
 }
 
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -197,7 +197,7 @@
         let result = tokio::select! {
             result = self.client.watch(address, &call, limit, store) => result,
             // The store did not answer another call: the connection of this one may be dead too.
-            () = self.shell.store_unresponsive.notified() => Err(StoreError::NoResponse),
+            () = self.shell.store_unresponsive.notified() => Err(StoreError::NoReply),
         };
         self.shell
             .metrics
--- a/crates/siskinyoke-gateway/tests/first_read.rs
+++ b/crates/siskinyoke-gateway/tests/first_read.rs
@@ -86,6 +86,6 @@
         let result = read.call(address, &Call::get("/"), limit).await;
         (result.map(|it| it.0), read.calls_sent())
     });
-    assert!(matches!(result, Err(StoreError::NoResponse)));
+    assert!(matches!(result, Err(StoreError::NoReply)));
     assert!(made <= MAX_PARALLEL_READS, "{made}");
 }
