--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -31,7 +31,7 @@
 use crate::permit::Permit;
 use crate::response;
 use crate::response::ResponseBody;
-use crate::shell::RefusedRequest;
+use crate::shell::RefusalInfo;
 use crate::shell::Shell;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
@@ -110,7 +110,7 @@
         Ok(taken) => taken,
         Err(refusal) => {
             let id = shell.interface.exchange.id(&parts);
-            return refuse(shell, RefusedRequest::unrouted(id), refusal);
+            return refuse(shell, RefusalInfo::unrouted(id), refusal);
         }
     };
     if let Some(refused) = check_head_size(shell, &parts, limits) {
@@ -233,10 +233,10 @@
         Err(refusal) => refusal,
     };
     let organisation = head.key.and_then(|key| organisation_by_key(shell, &key));
-    let request = RefusedRequest {
+    let request = RefusalInfo {
         id: head.id,
         organisation: organisation.as_ref().map(|it| &*it.name),
-        ..RefusedRequest::default()
+        ..RefusalInfo::default()
     };
     Err(Box::new(refuse(shell, request, refusal)))
 }
@@ -303,11 +303,7 @@
     let ticket = match admitted {
         Ok(ticket) => ticket,
         Err(refusal) => {
-            return refuse(
-                shell,
-                RefusedRequest::routed(id.as_deref(), &routed),
-                refusal,
-            );
+            return refuse(shell, RefusalInfo::routed(id.as_deref(), &routed), refusal);
         }
     };
     let permit = Permit::new(shell, ticket);
@@ -379,7 +375,7 @@
     Ok((body, reservation))
 }
 
-fn refuse(shell: &Shell, request: RefusedRequest<'_>, refusal: Refusal) -> Response<ResponseBody> {
+fn refuse(shell: &Shell, request: RefusalInfo<'_>, refusal: Refusal) -> Response<ResponseBody> {
     shell.log_refusal(request, refusal);
     shell
         .metrics
@@ -402,7 +398,7 @@
                 reason: RefusalReason::Overload,
                 retry_after: MEMORY_RETRY_AFTER,
             };
-            return refuse(shell, RefusedRequest::unrouted(id), refusal);
+            return refuse(shell, RefusalInfo::unrouted(id), refusal);
         }
     };
     shell.log("body_refused", json!({ "id": id, "why": code.text() }));
--- a/crates/siskinyoke-gateway/src/job/completion.rs
+++ b/crates/siskinyoke-gateway/src/job/completion.rs
@@ -8,7 +8,7 @@
 use crate::permit::outcome_name;
 use crate::response;
 use crate::response::ResponseBody;
-use crate::shell::RefusedRequest;
+use crate::shell::RefusalInfo;
 use siskinyoke_base::Code;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
@@ -34,9 +34,9 @@
             return self.fail(Outcome::Cancelled);
         }
         self.shell.core.borrow_mut().refund(&self.routed);
-        let request = RefusedRequest {
+        let request = RefusalInfo {
             admitted: true,
-            ..RefusedRequest::routed(self.id.as_deref(), &self.routed)
+            ..RefusalInfo::routed(self.id.as_deref(), &self.routed)
         };
         self.shell.log_refusal(request, refusal);
         self.send_response(response::from_buffered(
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -39,7 +39,7 @@
 
 /// The known facts about a refused request, for its log line.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RefusedRequest<'a> {
+pub struct RefusalInfo<'a> {
     /// The request id.
     pub id: Option<&'a str>,
     /// The name of its organisation.
@@ -50,7 +50,7 @@
     pub admitted: bool,
 }
 
-impl<'a> RefusedRequest<'a> {
+impl<'a> RefusalInfo<'a> {
     /// Creates the entry of a request that was refused before it was routed.
     pub fn unrouted(id: Option<&'a str>) -> Self {
         Self {
@@ -196,7 +196,7 @@
     }
 
     /// Writes the log line of a refusal, with the state on which it was based.
-    pub fn log_refusal(&self, request: RefusedRequest<'_>, refusal: Refusal) {
+    pub fn log_refusal(&self, request: RefusalInfo<'_>, refusal: Refusal) {
         let now = self.now();
         let core = self.core.borrow();
         let (waiting, running) = core.scheduler().request_counts();
