--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -302,9 +302,7 @@
         .admit(shell.now(), &routed, fingerprint);
     let ticket = match admitted {
         Ok(ticket) => ticket,
-        Err(refusal) => {
-            return refuse(shell, RefusalInfo::routed(id.as_deref(), &routed), refusal);
-        }
+        Err(refusal) => return refuse(shell, RefusalInfo::routed(id.as_deref(), &routed), refusal),
     };
     let permit = Permit::new(shell, ticket);
     let decision = shell.add_waiter(ticket);
