--- a/crates/siskinyoke-base/src/clock.rs
+++ b/crates/siskinyoke-base/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock type, in milliseconds.
+//! Time in milliseconds and the clocks that supply it.
 
 use std::fmt;
 use std::ops::Add;
@@ -12,8 +12,8 @@
 
 /// A point in time or a span of time, in milliseconds.
 ///
-/// Points count from the start of the process that took them, so they are never compared
-/// between processes; only spans travel in messages.
+/// Points in time count from the start of the process that read the clock, so they are not
+/// comparable between processes. Messages carry spans only.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -24,12 +24,12 @@
     /// The start of the process, or an empty span.
     pub const ZERO: Self = Self(0);
 
-    /// Makes a span of whole seconds.
+    /// Creates a span from whole seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1000)
     }
 
-    /// Returns the span from `earlier` to this point, or an empty one if it lies behind.
+    /// Returns the span from `earlier` to this point, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
@@ -76,20 +76,20 @@
     }
 }
 
-/// A source of the present time.
+/// A source of the current time.
 pub trait Clock: Send + Sync {
-    /// Returns the time since the process started, in milliseconds; it never goes back.
+    /// Returns the time since the process started; it never decreases.
     fn now(&self) -> Millis;
 }
 
-/// The machine's monotonic clock.
+/// The operating system's monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct SystemClock {
     start: Instant,
 }
 
 impl SystemClock {
-    /// Starts the clock at zero.
+    /// Creates a clock that reads zero now.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
--- a/crates/siskinyoke-base/src/code.rs
+++ b/crates/siskinyoke-base/src/code.rs
@@ -1,24 +1,24 @@
-//! Numbered result codes; `docs/CODES.md` is their table.
+//! Numbered result codes, documented in `docs/CODES.md`.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a caller may conclude about a request.
+/// What a caller may conclude about the execution of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// The whole answer was given.
+    /// The request ran and its response is complete.
     Done,
-    /// The request never reached an endpoint and never will under this answer.
+    /// The request has not run on any endpoint and will not run later.
     NotRun,
     /// The request may have run.
     Unknown,
 }
 
 impl Kind {
-    /// Returns the word used in the `Siskinyoke-Kind` header.
+    /// Returns the value of the `Siskinyoke-Kind` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -43,20 +43,20 @@
         }
 
         impl Code {
-            /// Every code, in the order of its number.
+            /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Returns what a caller may conclude; the one place that decides it.
+            /// Returns what a caller may conclude from the code.
             pub const fn kind(self) -> Kind {
                 match self { $(Self::$name => Kind::$kind,)* }
             }
 
-            /// Returns the HTTP status that goes with the code.
+            /// Returns the HTTP status of responses with the code.
             pub const fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// Returns a sentence for the caller, with a hint.
+            /// Returns the message sent to the caller.
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
@@ -65,46 +65,46 @@
 }
 
 codes! {
-    /// The whole answer was given.
+    /// The response is complete.
     Complete = 1000, Done, 200, "The whole answer was given.";
-    /// A stream has begun; its end tells how it went.
+    /// A stream has started; its last event reports the result.
     Streaming = 1001, Unknown, 200, "The stream has begun; only its end says how it went.";
-    /// The endpoint ran the request and answered with an error of its own.
+    /// The endpoint ran the request and responded with an error, which is passed on.
     EndpointError = 1003, Done, 502, "The endpoint answered with an error, which is passed on.";
 
-    /// The request's body or head is malformed.
+    /// The head or the body of the request is malformed.
     Malformed = 2000, NotRun, 400, "The request cannot be read; see the detail for the place.";
-    /// The body is over the limit.
+    /// The request body exceeds the size limit.
     BodyTooLarge = 2001, NotRun, 413, "The body is over the limit; send less at once.";
-    /// The header section is over the limit.
+    /// The header section exceeds the size limit.
     HeadTooLarge = 2002, NotRun, 431, "The header section is over the limit.";
-    /// The sender was too slow.
+    /// The request was not received before the read timeout.
     SlowSender = 2003, NotRun, 408, "The request did not arrive in time; send it again.";
-    /// No key, or one that is not known.
+    /// The API key is missing or unknown.
     WrongKey = 2005, NotRun, 401, "The key is missing or not known.";
-    /// The route is not known.
+    /// No route matches the path.
     UnknownRoute = 2009, NotRun, 404, "There is no such path here.";
 
-    /// It could not finish in time, so it was refused at once.
+    /// The request was refused on arrival, as it was not expected to complete in time.
     Overloaded = 3000, NotRun, 429, "It could not be answered within its need; come back later.";
-    /// It waited and was shed for more urgent work.
+    /// The request was removed from the queue in favour of requests of higher priority.
     Shed = 3001, NotRun, 429, "More urgent work took its place; come back later.";
-    /// It waited past its need.
+    /// The request reached its queue timeout.
     Late = 3002, NotRun, 503, "It waited past its need and was given up; come back later.";
-    /// The organisation's quota is used up.
+    /// The organisation's quota is exhausted.
     OverQuota = 3004, NotRun, 429, "The organisation's quota is used up; come back later.";
-    /// No configuration is known yet, or it may be out of date.
+    /// The instance has no configuration yet, or its configuration may be stale.
     NoConfiguration = 3005, NotRun, 503, "This instance does not know what is in force; use another.";
-    /// No endpoint is there for it.
+    /// No endpoint for the request is reachable.
     NoEndpoint = 3006, NotRun, 503, "No endpoint for it can be reached; come back later.";
-    /// The content was involved in crashes of endpoints.
+    /// The content is in quarantine, as endpoints crashed while they processed it.
     Quarantined = 3008, NotRun, 422, "This content crashed endpoints; it is held back for a while.";
-    /// An endpoint turned it away unrun, and no other may be asked.
+    /// An endpoint rejected the request without running it, and no further attempt is allowed.
     Rejected = 3012, NotRun, 503, "The endpoint had no room, and no other may be asked; come back later.";
 
-    /// The endpoint broke off and it may have run.
+    /// The connection to the endpoint was lost; the request may have run.
     Broken = 4000, Unknown, 502, "The endpoint broke off; the request may have run.";
-    /// The endpoint took too long and it may have run.
+    /// The endpoint did not respond in time; the request may have run.
     TimedOut = 4001, Unknown, 504, "The endpoint took too long; the request may have run.";
 }
 
--- a/crates/siskinyoke-base/src/lib.rs
+++ b/crates/siskinyoke-base/src/lib.rs
@@ -1,4 +1,4 @@
-//! Words shared by every crate: time, result codes and collections.
+//! Types shared by all crates: time, result codes and collections.
 
 pub mod clock;
 pub mod code;
--- a/crates/siskinyoke-base/tests/codes.rs
+++ b/crates/siskinyoke-base/tests/codes.rs
@@ -1,31 +1,37 @@
-//! The page of result codes says what the code does.
+//! Checks that `docs/CODES.md` matches the result codes.
 
 use siskinyoke_base::Code;
 
-/// The page.
 const CODES_PAGE: &str = include_str!("../../../docs/CODES.md");
 
-/// Fields of a row: code, name, kind, HTTP status, text, what to do.
+/// Columns of the table: code, name, kind, HTTP status, text, what to do.
 const COLUMN_COUNT: usize = 6;
 
 #[test]
-fn the_page_lists_every_code_as_it_is() {
+fn the_page_lists_every_code_with_its_properties() {
     let rows = CODES_PAGE
         .lines()
         .filter(|line| line.starts_with("| ") && !line.starts_with("| code"));
-    let rows: Vec<Vec<&str>> = rows.map(fields).collect();
-    assert_eq!(rows.len(), Code::ALL.len(), "rows and codes");
+    let rows: Vec<Vec<&str>> = rows.map(cells).collect();
+    assert_eq!(
+        rows.len(),
+        Code::ALL.len(),
+        "number of table rows and of codes"
+    );
     for (row, code) in rows.iter().zip(Code::ALL) {
         assert_eq!(row.len(), COLUMN_COUNT, "{row:?}");
-        let wanted = [
+        let expected = [
             code.number().to_string(),
             format!("{code:?}"),
             code.kind().to_string(),
             code.status().to_string(),
             code.text().to_owned(),
         ];
-        assert_eq!(row[..COLUMN_COUNT - 1], wanted);
-        assert!(!row[COLUMN_COUNT - 1].is_empty(), "{code}: nothing to do");
+        assert_eq!(row[..COLUMN_COUNT - 1], expected);
+        assert!(
+            !row[COLUMN_COUNT - 1].is_empty(),
+            "{code}: the column of what to do is empty"
+        );
     }
 }
 
@@ -34,7 +40,7 @@
     assert!(Code::ALL.is_sorted_by(|one, next| one.number() < next.number()));
 }
 
-fn fields(row: &str) -> Vec<&str> {
+fn cells(row: &str) -> Vec<&str> {
     let inner = row.trim_start_matches("| ").trim_end_matches(" |");
     inner.split(" | ").collect()
 }
--- a/crates/siskinyoke-client/src/attempt.rs
+++ b/crates/siskinyoke-client/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request, and why it may bring no answer.
+//! A single attempt to send a request, and the errors by which it fails.
 
 use rand::Rng;
 use rand::distr::Alphanumeric;
@@ -8,29 +8,29 @@
 use crate::Request;
 use siskinyoke_base::Kind;
 
-/// Length of a drawn identity; 120 bits are never drawn twice.
+/// Length of a generated request ID: about 120 bits, so that collisions are negligible.
 const ID_LENGTH: usize = 20;
 
-/// One sending of a request.
+/// A single attempt to send a request.
 pub struct Attempt<'a> {
-    /// What is sent.
+    /// The request to send.
     pub request: &'a Request,
-    /// Its identity in logs.
+    /// The request ID used in logs.
     pub id: &'a str,
-    /// How many times it was sent before.
+    /// The number of earlier attempts.
     pub index: u32,
 }
 
-/// Why a sending brought no answer.
+/// The reason why an attempt received no response.
 pub enum AttemptError {
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent(String),
-    /// Something was sent, and it may have run.
+    /// The request was sent at least in part and may have run.
     ResponseLost(String),
 }
 
 impl AttemptError {
-    /// Tells what an error of the library means.
+    /// Classifies an error of the HTTP client by whether the request may have been sent.
     pub fn from_ureq(err: ureq::Error) -> Self {
         let text = err.to_string();
         match err {
@@ -47,7 +47,7 @@
 }
 
 impl Attempt<'_> {
-    /// Builds the request for an address.
+    /// Builds the HTTP request to an address.
     pub fn build_request(
         &self,
         address: &str,
@@ -59,15 +59,15 @@
             .header("Authorization", format!("Bearer {key}"))
             .header("Content-Type", &self.request.content_type)
             .header("X-Request-Id", self.id);
-        if let Some(need) = self.request.caller_timeout {
-            builder = builder.header("Siskinyoke-Need", need.0);
+        if let Some(timeout) = self.request.caller_timeout {
+            builder = builder.header("Siskinyoke-Need", timeout.0);
         }
         builder
             .body(self.request.body.clone())
             .map_err(|err| err.to_string())
     }
 
-    /// Returns the outcome of a sending that may have run.
+    /// Returns the outcome of an attempt whose request may have run.
     pub fn unknown_outcome(&self) -> Outcome {
         Outcome {
             status: 0,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Draws an identity.
+/// Generates a random request ID.
 pub fn generate_id() -> String {
     rand::rng()
         .sample_iter(&Alphanumeric)
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a request: locate, send, resend.
+//! The client: locates instances, sends requests and retries them.
 
 use std::thread;
 use std::time::Duration;
@@ -19,28 +19,28 @@
 use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
 
-/// The data of the event that ends a whole stream.
+/// The data of the event that ends a complete stream.
 const STREAM_TERMINATOR: &str = "[DONE]";
 
-/// Pause before a resend for which no time was named.
+/// The delay before a retry if the response has no `Retry-After` header.
 const DEFAULT_RETRY_DELAY: Millis = Millis(100);
 
-/// Bounds on a client's patience.
+/// Settings of a client.
 #[derive(Debug, Clone)]
 pub struct ClientSettings {
-    /// Addresses that say which instances to use.
+    /// Addresses that answer `/v1/locate` requests.
     pub addresses: Vec<String>,
-    /// The bearer key.
+    /// The API key, sent as bearer token.
     pub key: String,
-    /// The most sendings of one request.
+    /// The maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// The longest wait before a resend; a refusal that asks for more is returned.
+    /// The maximum delay before a retry. A refusal with a longer `Retry-After` is returned.
     pub max_delay: Millis,
-    /// The most time for one sending.
+    /// The timeout of a single attempt.
     pub attempt_timeout: Millis,
 }
 
-/// A caller of the system.
+/// A client that sends requests to siskinyoke instances.
 pub struct Client {
     agent: Agent,
     settings: ClientSettings,
@@ -48,7 +48,7 @@
 }
 
 impl Client {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new(settings: ClientSettings) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -63,145 +63,150 @@
         }
     }
 
-    /// Asks which address to use; a kept answer is used while it may be.
+    /// Returns the addresses to use, from the cache while its entry is valid.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if no address answers.
+    /// [`ClientError`] if no address responds.
     pub fn locate(&mut self) -> Result<Location, ClientError> {
-        if let Some((location, at)) = &self.cached_location
-            && at.elapsed() < location.ttl.into()
+        if let Some((location, fetched_at)) = &self.cached_location
+            && fetched_at.elapsed() < location.ttl.into()
         {
             return Ok(location.clone());
         }
-        let mut tried = Vec::new();
-        for address in self.candidates() {
+        let mut errors = Vec::new();
+        for address in self.candidate_addresses() {
             match self.locate_at(&address) {
                 Ok(location) => {
                     self.cached_location = Some((location.clone(), Instant::now()));
                     return Ok(location);
                 }
-                Err(err) => tried.push(format!("{address}: {err}")),
+                Err(err) => errors.push(format!("{address}: {err}")),
             }
         }
-        Err(ClientError::Unreachable(tried.join("; ")))
+        Err(ClientError::Unreachable(errors.join("; ")))
     }
 
-    /// Sends a request, and sends it again where that cannot run it twice.
+    /// Sends a request and retries it where that is safe.
     ///
-    /// A refusal that says "not run" is tried again elsewhere or later. Where the outcome is not
-    /// known, only a request that may run more than once is sent again; any other is returned, as
-    /// only the caller knows what to do about it. Each event of a stream goes to `sink` as it
-    /// arrives, once.
+    /// A request that was refused without running is retried later or at another address. If the
+    /// outcome is unknown, only an idempotent request is retried; for any other, the outcome is
+    /// returned, as only the caller can decide how to proceed. Each event of a stream is passed to
+    /// `sink` as it arrives, and only once across all attempts.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if no address answers.
+    /// [`ClientError`] if no address responds.
     pub fn send(
         &mut self,
         request: &Request,
         sink: &mut dyn FnMut(&str),
     ) -> Result<Outcome, ClientError> {
         let id = request.id.clone().unwrap_or_else(generate_id);
-        let mut given = 0;
-        let mut failure = String::new();
-        for count in 0..self.settings.max_attempts {
+        let mut delivered = 0;
+        let mut last_error = String::new();
+        for index in 0..self.settings.max_attempts {
             let location = self.locate()?;
             let Some(address) = location
                 .addresses
-                .get(count as usize % location.addresses.len().max(1))
+                .get(index as usize % location.addresses.len().max(1))
             else {
                 return Err(ClientError::Unreachable("no instance is ready".to_owned()));
             };
-            let sending = Attempt {
+            let attempt = Attempt {
                 request,
                 id: &id,
-                index: count,
+                index,
             };
-            let outcome = match self.send_once(address, &sending, &mut given, sink) {
+            let outcome = match self.send_once(address, &attempt, &mut delivered, sink) {
                 Ok(outcome) => outcome,
                 Err(AttemptError::NotSent(detail)) => {
-                    failure = format!("{address}: {detail}");
+                    last_error = format!("{address}: {detail}");
                     self.cached_location = None;
                     thread::sleep(DEFAULT_RETRY_DELAY.into());
                     continue;
                 }
                 Err(AttemptError::ResponseLost(detail)) => {
-                    log::info!("{address}: {detail}");
-                    sending.unknown_outcome()
+                    log::info!("{address}: no complete response: {detail}");
+                    attempt.unknown_outcome()
                 }
             };
-            let last = count + 1 == self.settings.max_attempts;
-            let again = match outcome.kind {
+            let is_last = index + 1 == self.settings.max_attempts;
+            let retry = match outcome.kind {
                 Kind::Done => false,
                 Kind::NotRun => is_retryable(outcome.status),
                 Kind::Unknown => request.idempotent,
             };
-            let wait = outcome.retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
-            if !again || last || wait > self.settings.max_delay {
+            let delay = outcome.retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
+            if !retry || is_last || delay > self.settings.max_delay {
                 return Ok(outcome);
             }
-            thread::sleep(wait.into());
+            thread::sleep(delay.into());
         }
-        Err(ClientError::Unreachable(failure))
+        Err(ClientError::Unreachable(last_error))
     }
 
-    fn candidates(&self) -> Vec<String> {
-        let kept = self
+    // Returns the cached addresses followed by the configured ones, without duplicates.
+    fn candidate_addresses(&self) -> Vec<String> {
+        let cached = self
             .cached_location
             .iter()
             .flat_map(|(location, _)| location.addresses.clone());
-        let mut all: Vec<String> = kept.chain(self.settings.addresses.clone()).collect();
+        let mut addresses: Vec<String> = cached.chain(self.settings.addresses.clone()).collect();
         let mut seen = Vec::new();
-        all.retain(|address| {
-            let new = !seen.contains(address);
+        addresses.retain(|address| {
+            let is_new = !seen.contains(address);
             seen.push(address.clone());
-            new
+            is_new
         });
-        all
+        addresses
     }
 
     fn locate_at(&self, address: &str) -> Result<Location, String> {
         let url = format!("http://{address}/v1/locate");
-        let answer = self.agent.get(&url).call();
-        let mut answer = answer.map_err(|err| err.to_string())?;
-        if answer.status() != http::StatusCode::OK {
-            let text = answer.body_mut().read_to_string().unwrap_or_default();
-            return Err(format!("{} {text}", answer.status()));
+        let response = self.agent.get(&url).call();
+        let mut response = response.map_err(|err| err.to_string())?;
+        if response.status() != http::StatusCode::OK {
+            let text = response.body_mut().read_to_string().unwrap_or_default();
+            return Err(format!("{} {text}", response.status()));
         }
-        answer.body_mut().read_json().map_err(|err| err.to_string())
+        response
+            .body_mut()
+            .read_json()
+            .map_err(|err| err.to_string())
     }
 
     fn send_once(
         &self,
         address: &str,
-        sending: &Attempt<'_>,
-        given: &mut usize,
+        attempt: &Attempt<'_>,
+        delivered: &mut usize,
         sink: &mut dyn FnMut(&str),
     ) -> Result<Outcome, AttemptError> {
-        let request = sending
+        let request = attempt
             .build_request(address, &self.settings.key)
             .map_err(AttemptError::NotSent)?;
-        let answer = self.agent.run(request).map_err(AttemptError::from_ureq)?;
-        let stream = header(&answer, "content-type")
+        let response = self.agent.run(request).map_err(AttemptError::from_ureq)?;
+        let is_stream = header(&response, "content-type")
             .is_some_and(|content| content.starts_with("text/event-stream"));
         let mut outcome = Outcome {
-            status: answer.status().as_u16(),
-            code: header(&answer, "siskinyoke-code")
+            status: response.status().as_u16(),
+            code: header(&response, "siskinyoke-code")
                 .and_then(|text| text.parse().ok())
                 .unwrap_or(0),
-            kind: parse_kind(header(&answer, "siskinyoke-kind")),
+            kind: parse_kind(header(&response, "siskinyoke-kind")),
             body: Vec::new(),
-            retry_after: header(&answer, "retry-after")
+            retry_after: header(&response, "retry-after")
                 .and_then(|text| text.parse().ok())
                 .map(Millis::from_secs),
-            id: sending.id.to_owned(),
-            attempts: sending.index + 1,
+            id: attempt.id.to_owned(),
+            attempts: attempt.index + 1,
         };
-        if stream {
-            read_stream(answer, &mut outcome, given, sink).map_err(AttemptError::ResponseLost)?;
+        if is_stream {
+            read_stream(response, &mut outcome, delivered, sink)
+                .map_err(AttemptError::ResponseLost)?;
         } else {
-            let text = answer
+            let text = response
                 .into_body()
                 .read_to_string()
                 .map_err(|err| AttemptError::ResponseLost(err.to_string()))?;
@@ -211,14 +216,14 @@
     }
 }
 
-/// Reads a stream to its end; events that an earlier sending brought are not given again.
+/// Reads a stream to its end. Events delivered by an earlier attempt are not passed to `sink` again.
 fn read_stream(
-    answer: http::Response<Body>,
+    response: http::Response<Body>,
     outcome: &mut Outcome,
-    given: &mut usize,
+    delivered: &mut usize,
     sink: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
-    for event in Events::new(answer.into_body().into_reader()) {
+    for event in Events::new(response.into_body().into_reader()) {
         let event = event?;
         if event.event == "error" {
             let error: serde_json::Value = serde_json::from_str(&event.data).unwrap_or_default();
@@ -232,8 +237,8 @@
             outcome.kind = Kind::Done;
             return Ok(());
         }
-        if outcome.body.len() >= *given {
-            *given += 1;
+        if outcome.body.len() >= *delivered {
+            *delivered += 1;
             sink(&event.data);
         }
         outcome.body.push(event.data);
@@ -241,14 +246,14 @@
     Err("the stream ended without its terminator".into())
 }
 
-fn header<'a>(answer: &'a http::Response<Body>, name: &str) -> Option<&'a str> {
-    answer
+fn header<'a>(response: &'a http::Response<Body>, name: &str) -> Option<&'a str> {
+    response
         .headers()
         .get(name)
         .and_then(|value| value.to_str().ok())
 }
 
-/// Reads a kind; an answer without one may have run.
+/// Parses a kind. A request whose response has none may have run.
 fn parse_kind(text: Option<&str>) -> Kind {
     match text {
         Some("done") => Kind::Done,
@@ -257,7 +262,7 @@
     }
 }
 
-/// Tells whether a refusal may turn out otherwise later or elsewhere.
+/// Returns whether a refusal with this status may be lifted later or at another instance.
 fn is_retryable(status: u16) -> bool {
     matches!(status, 408 | 409 | 429 | 503)
 }
--- a/crates/siskinyoke-client/src/error.rs
+++ b/crates/siskinyoke-client/src/error.rs
@@ -1,18 +1,18 @@
-//! What can go wrong before any answer came.
+//! Errors that occur before a response is received.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// No answer could be had.
+    /// An error that occurs before a response is received.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ClientError {
-        /// No address answers.
+        /// No address responds.
         Unreachable(detail: String) {
-            display("no address answers: {detail}; hint: give other addresses with --address")
+            display("no address responds: {detail}; hint: pass other addresses with --address")
         }
-        /// An answer cannot be read.
+        /// An input or a response cannot be read.
         Malformed(detail: String) {
-            display("an answer cannot be read: {detail}")
+            display("cannot read input or response: {detail}")
         }
     }
 }
--- a/crates/siskinyoke-client/src/events.rs
+++ b/crates/siskinyoke-client/src/events.rs
@@ -1,4 +1,4 @@
-//! Reads server-sent events from a blocking reader.
+//! Parses server-sent events from a blocking reader.
 
 use std::io;
 use std::io::Read;
@@ -11,16 +11,16 @@
 use futures_util::StreamExt;
 use futures_util::stream;
 
-/// Bytes read at once; events are far smaller.
+/// Size of the read buffer; events are far smaller.
 const READ_SIZE_BYTES: usize = 8 << 10;
 
-/// The events of a stream, read as they arrive.
+/// An iterator over the events of a stream as they arrive.
 pub struct Events {
     inner: Box<dyn Stream<Item = Result<Event, String>> + Unpin>,
 }
 
 impl Events {
-    /// Reads events from a reader.
+    /// Creates an iterator over the events of a reader.
     pub fn new(reader: impl Read + 'static) -> Self {
         let chunks = Chunks { reader };
         let events = stream::iter(chunks).eventsource();
@@ -34,12 +34,12 @@
     type Item = Result<Event, String>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        // The reader blocks, so the stream over it is always ready.
+        // The reader blocks, so the stream over it is never pending.
         self.inner.next().now_or_never().flatten()
     }
 }
 
-/// Pieces of a blocking reader as they come.
+/// An iterator over the chunks that a blocking reader returns.
 struct Chunks<R> {
     reader: R,
 }
--- a/crates/siskinyoke-client/src/lib.rs
+++ b/crates/siskinyoke-client/src/lib.rs
@@ -1,4 +1,5 @@
-//! The callers' library: asks which address to use, keeps the answer, sends, resends honestly.
+//! Client library: locates instances, caches their addresses, sends requests and retries them
+//! where that is safe.
 
 mod attempt;
 mod client;
--- a/crates/siskinyoke-client/src/location.rs
+++ b/crates/siskinyoke-client/src/location.rs
@@ -1,15 +1,15 @@
-//! The system's answer to which addresses to use.
+//! The response to a locate request.
 
 use serde::Deserialize;
 
 use siskinyoke_base::Millis;
 
-/// The system's answer to which addresses to use.
+/// The response to a locate request: the addresses of instances to use.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Location {
-    /// Addresses, any of them.
+    /// Addresses of instances, all equally usable.
     pub addresses: Vec<String>,
-    /// How long they may be kept.
+    /// How long the addresses may be cached.
     #[serde(rename = "keep_ms")]
     pub ttl: Millis,
 }
--- a/crates/siskinyoke-client/src/outcome.rs
+++ b/crates/siskinyoke-client/src/outcome.rs
@@ -1,27 +1,27 @@
-//! What became of a request.
+//! The outcome of a request.
 
 use serde::Serialize;
 
 use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Outcome {
-    /// The HTTP status.
+    /// The HTTP status, or 0 if no response was received.
     pub status: u16,
-    /// The number of the result code; 0 if no answer of the system's came.
+    /// The number of the result code, or 0 if no response of siskinyoke was received.
     pub code: u16,
-    /// What may be concluded.
+    /// What may be concluded about the execution of the request.
     pub kind: Kind,
-    /// The body, or the data of all events of a stream but the terminator.
+    /// The body, or the data of all events of a stream except the terminator.
     pub body: Vec<String>,
-    /// When to come back, for refusals.
+    /// The delay before a retry that a refusal asks for.
     #[serde(rename = "after")]
     pub retry_after: Option<Millis>,
-    /// The identity under which logs name it.
+    /// The request ID used in logs.
     pub id: String,
-    /// How many times it was sent.
+    /// The number of attempts.
     #[serde(rename = "sendings")]
     pub attempts: u32,
 }
--- a/crates/siskinyoke-client/src/request.rs
+++ b/crates/siskinyoke-client/src/request.rs
@@ -1,34 +1,34 @@
-//! A request as a caller makes it.
+//! A client's request.
 
 use siskinyoke_base::Millis;
 
-/// A request as a caller makes it.
+/// A client's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Request {
     /// The HTTP method.
     pub method: String,
-    /// The path, beginning with `/v1/`.
+    /// The path, which starts with `/v1/`.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
-    /// Content type of the body.
+    /// The content type of the body.
     pub content_type: String,
-    /// Its identity in logs; one is drawn if none is given.
+    /// The request ID used in logs; generated if absent.
     pub id: Option<String>,
-    /// Whether it may run more than once, so that it is sent again where its outcome is not known.
+    /// Whether the request may run more than once, so that it is retried if its outcome is unknown.
     pub idempotent: bool,
-    /// A shorter need than the route's.
+    /// How long the caller waits, if shorter than the default of the route.
     pub caller_timeout: Option<Millis>,
 }
 
 impl Request {
-    /// Makes a chat request.
-    pub fn chat(model: &str, text: &str, stream: bool, output: u32) -> Self {
+    /// Creates a chat completion request with at most `max_tokens` output tokens.
+    pub fn chat(model: &str, text: &str, stream: bool, max_tokens: u32) -> Self {
         let body = serde_json::json!({
             "model": model,
             "messages": [{"role": "user", "content": text}],
             "stream": stream,
-            "max_tokens": output,
+            "max_tokens": max_tokens,
         });
         Self {
             method: "POST".into(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Makes a call of a plain service; `path` begins with a slash.
+    /// Creates a request to a plain service. `path` starts with a slash.
     pub fn service(name: &str, method: &str, path: &str, body: Vec<u8>) -> Self {
         Self {
             method: method.into(),
