--- a/crates/siskinyoke-gateway/tests/journal.rs
+++ b/crates/siskinyoke-gateway/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Log lines that are bounded and never waited for.
+//! The log writer: lines are bounded in number and written without blocking.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 use siskinyoke_base::Millis;
 use siskinyoke_gateway::log_writer::LogWriter;
 
-/// A pipe that nobody reads until it is let go.
-struct Stuck(Receiver<()>, Arc<Mutex<Vec<u8>>>);
+/// An output whose writes block until a message arrives or the sender is dropped.
+struct BlockedOutput(Receiver<()>, Arc<Mutex<Vec<u8>>>);
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // An error means that the test is over.
+        // The sender is dropped at the end of the test.
         if self.0.recv().is_err() {
             return Ok(bytes.len());
         }
@@ -29,37 +29,37 @@
     }
 }
 
-// Nobody reads the pipe of standard output. Requests must be served all the same: a write that
-// waits for the reader would hold up the one thread that serves them.
+// Guards against log output that blocks the thread serving requests. It would block on a write if
+// standard output is a pipe that nobody reads.
 #[test]
-fn a_pipe_that_nobody_reads_holds_up_nothing() {
-    let (go, stuck) = channel();
-    let out = Arc::default();
-    let mut journal = LogWriter::start(Stuck(stuck, Arc::clone(&out)));
+fn an_output_pipe_that_nobody_reads_does_not_block() {
+    let (release, blocked) = channel();
+    let output = Arc::default();
+    let mut log_writer = LogWriter::start(BlockedOutput(blocked, Arc::clone(&output)));
     for second in 0..600 {
         for number in 0..100 {
-            journal.write(
+            log_writer.write(
                 Millis(second * 1_000),
                 "answer",
                 json!({ "number": number }),
             );
         }
-        journal.flush();
+        log_writer.flush();
     }
-    assert!(journal.dropped_lines() > 0);
-    drop(go);
+    assert!(log_writer.dropped_lines() > 0);
+    drop(release);
 }
 
 #[test]
-fn lines_beyond_a_seconds_measure_are_counted_in_the_next_one() {
-    let (go, stuck) = channel();
-    let out: Arc<Mutex<Vec<u8>>> = Arc::default();
-    let mut journal = LogWriter::start(Stuck(stuck, Arc::clone(&out)));
+fn lines_over_the_rate_limit_are_counted_in_the_next_line() {
+    let (release, blocked) = channel();
+    let output: Arc<Mutex<Vec<u8>>> = Arc::default();
+    let mut log_writer = LogWriter::start(BlockedOutput(blocked, Arc::clone(&output)));
     for number in 0..1_000 {
-        journal.write(Millis(0), "answer", json!({ "number": number }));
+        log_writer.write(Millis(0), "answer", json!({ "number": number }));
     }
-    assert_eq!(journal.dropped_lines(), 600);
-    journal.write(Millis(1_000), "answer", json!({}));
-    assert_eq!(journal.dropped_lines(), 0);
-    drop(go);
+    assert_eq!(log_writer.dropped_lines(), 600);
+    log_writer.write(Millis(1_000), "answer", json!({}));
+    assert_eq!(log_writer.dropped_lines(), 0);
+    drop(release);
 }
--- a/crates/siskinyoke-gateway/tests/settings.rs
+++ b/crates/siskinyoke-gateway/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The settings file: the platform's template filled in, and faulty ones.
+//! The settings file: the platform's template with values filled in, and invalid files.
 
 use siskinyoke_gateway::settings::Settings;
 
-const TEMPLATE: &str = include_str!("../../../platform/settings.jsonc");
+const SETTINGS_TEMPLATE: &str = include_str!("../../../platform/settings.jsonc");
 
-// Fills in the template as the platform does, from the values that its pages show.
-fn filled() -> String {
+// Fills in the template as the platform does, with the example values of its documentation.
+fn filled_template() -> String {
     let values = [
         ("NodeName", "\"front-muscat-a-1\""),
         ("Ip", "\"10.1.0.25\""),
@@ -27,10 +27,10 @@
         ("Bounds.ExposureShare", "0.2"),
         ("Bounds.StableMs", "4000"),
     ];
-    let mut text = TEMPLATE.to_owned();
+    let mut text = SETTINGS_TEMPLATE.to_owned();
     for name in ["Bounds.ExposureShare", "Bounds.StableMs"] {
-        for mark in ["#", "/"] {
-            text = text.replace(&format!("{{{{{mark}{name}}}}}"), "");
+        for section_mark in ["#", "/"] {
+            text = text.replace(&format!("{{{{{section_mark}{name}}}}}"), "");
         }
     }
     for (name, value) in values {
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn the_platforms_template_makes_sound_settings() {
-    let settings = Settings::parse(&filled()).unwrap();
+fn the_platforms_template_gives_valid_settings() {
+    let settings = Settings::parse(&filled_template()).unwrap();
     assert_eq!(settings.instance, "front-muscat-a-1");
     assert_eq!(settings.listen.callers.port(), 8221);
     assert_eq!(settings.seeds.len(), 2);
@@ -55,22 +55,23 @@
     assert_eq!(settings.bounds.settle_ms, 4_000);
 }
 
-// A deployment without rollouts fills in no bound for them.
+// Guards against rejecting the settings of a deployment without rollouts, which sets no exposure.
 #[test]
 fn the_bound_on_exposure_may_be_left_out() {
-    let text = filled().replace("\"exposure_share\": 0.2,", "");
+    let text = filled_template().replace("\"exposure_share\": 0.2,", "");
     let settings = Settings::parse(&text).unwrap();
     assert!((settings.bounds.exposure_share - 0.1).abs() < 1e-9);
 }
 
-// Guards against a deployment without such a bound being refused.
+// Guards against rejecting the settings of a deployment that sets no settling time.
 #[test]
 fn the_bound_on_settling_may_be_left_out() {
-    let text = filled().replace("\"settle_ms\": 4000,", "");
+    let text = filled_template().replace("\"settle_ms\": 4000,", "");
     assert_eq!(Settings::parse(&text).unwrap().bounds.settle_ms, 3_000);
 }
 
-// A misspelt field was passed over, and the instance ran with the usual value in place of the operator's.
+// Guards against ignoring a misspelt field: the instance would run with the default instead of the
+// operator's value.
 #[test]
 fn an_unknown_field_is_refused_with_its_name() {
     for (from, name) in [
@@ -78,7 +79,7 @@
         ("\"callers\"", "caller"),
         ("\"grace_s\"", "grace_ms"),
     ] {
-        let text = filled().replacen(from, &format!("\"{name}\": 1, {from}"), 1);
+        let text = filled_template().replacen(from, &format!("\"{name}\": 1, {from}"), 1);
         let err = Settings::parse(&text).unwrap_err().to_string();
         assert!(err.contains(name), "{err}");
     }
@@ -99,16 +100,16 @@
         ("\"front-muscat-a-1\"", "\"\"", "instance"),
         ("{", "", "JSON"),
     ];
-    for (from, to, said) in cases {
-        let text = filled().replacen(from, to, 1);
+    for (from, to, expected) in cases {
+        let text = filled_template().replacen(from, to, 1);
         let err = Settings::parse(&text).unwrap_err().to_string();
-        assert!(err.contains(said), "{to}: {err}");
+        assert!(err.contains(expected), "{to}: {err}");
     }
 }
 
 #[test]
-fn every_value_that_cannot_be_used_is_told_at_once() {
-    let text = filled()
+fn all_invalid_values_are_reported_at_once() {
+    let text = filled_template()
         .replace("\"memory_mb\": 110", "\"memory_mb\": 1")
         .replace("\"keep_s\": 5", "\"keep_s\": 0");
     let err = Settings::parse(&text).unwrap_err().to_string();
--- a/crates/siskinyoke-gateway/tests/soak.rs
+++ b/crates/siskinyoke-gateway/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The randomized soak: seeds 0 and 1, or those that `SEEDS=FROM..TO` names; one more in a fleet of two shards.
+//! Randomized soak tests: seeds 0 and 1 in a fleet of one shard and seed 0 in a fleet of two shards,
+//! or the seeds given by `SEEDS=FROM..TO`.
 
 use std::ops::Range;
 use std::path::Path;
@@ -6,42 +7,45 @@
 use siskinyoke_soak::run;
 use siskinyoke_soak::run::Size;
 
-/// Seeds that failed once, each with its cause.
+/// Regression seeds, each with the failure it guards against.
 ///
-/// 541: the way back from a rollout was ordered and withdrawn, and no endpoint was left.
-const FAILED: [u64; 1] = [541];
+/// 541: a rollout back to the old version was ordered and withdrawn, which left no endpoint.
+const REGRESSION_SEEDS: [u64; 1] = [541];
 
 #[test]
-fn promises_hold_under_overlapping_faults() {
-    play(&seeds(0..2), Size::ONE_SHARD);
+fn guarantees_hold_under_overlapping_faults() {
+    check_seeds(&seeds(0..2), Size::ONE_SHARD);
 }
 
-// As above, with instances that take changes of the store from a peer, which freezes, dies or loses the store.
+// As above, but most instances get the store's changes from a peer, which may freeze, die or lose
+// its connection to the store.
 #[test]
-fn promises_hold_where_one_instance_watches_for_others() {
-    play(&seeds(0..1), Size::TWO_SHARDS);
+fn guarantees_hold_where_one_instance_watches_for_others() {
+    check_seeds(&seeds(0..1), Size::TWO_SHARDS);
 }
 
-fn play(seeds: &[u64], size: Size) {
+fn check_seeds(seeds: &[u64], size: Size) {
     let program = Path::new(env!("CARGO_BIN_EXE_siskinyoke-gateway"));
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for &seed in seeds {
         let verdict = run::play(seed, program, size);
         println!(
-            "seed {seed}: {} served, {} otherwise, {} states of rollouts",
+            "seed {seed}: {} requests served, {} not served, {} rollout states",
             verdict.good, verdict.other, verdict.states
         );
-        assert!(verdict.good > 0, "seed {seed} served nothing");
-        broken.extend(verdict.broken.iter().map(|it| format!("seed {seed}: {it}")));
+        assert!(verdict.good > 0, "seed {seed}: no request was served");
+        violations.extend(verdict.broken.iter().map(|it| format!("seed {seed}: {it}")));
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-fn seeds(usual: Range<u64>) -> Vec<u64> {
+fn seeds(default: Range<u64>) -> Vec<u64> {
     let Ok(text) = std::env::var("SEEDS") else {
-        return usual.chain(FAILED).collect();
+        return default.chain(REGRESSION_SEEDS).collect();
     };
-    let (from, to) = text.split_once("..").expect("SEEDS is FROM..TO");
-    let number = |it: &str| it.parse::<u64>().expect("SEEDS holds two numbers");
-    (number(from)..number(to)).collect()
+    let (from, to) = text
+        .split_once("..")
+        .expect("SEEDS must have the form FROM..TO");
+    let parse = |it: &str| it.parse::<u64>().expect("SEEDS must contain two numbers");
+    (parse(from)..parse(to)).collect()
 }
--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -1,7 +1,7 @@
-//! The ways from a failed request's id to its cause, as `docs/OPERATIONS.md` goes them.
+//! Diagnosis of a failed request from its id, as described in `docs/OPERATIONS.md`.
 //!
-//! Each test plays the failure with two real processes and looks at their logs alone. The id is known
-//! at one of them only.
+//! Each test causes a failure in a fleet of two processes and examines only their logs. The request
+//! id appears in the log of only one of them.
 
 use std::path::Path;
 
@@ -16,14 +16,14 @@
 use siskinyoke_soak::instance::get;
 use siskinyoke_soak::instance::until;
 
-struct World {
+struct Fleet {
     store: Store,
-    // Kept, as they end when they are dropped.
+    // Held because they stop when they are dropped.
     _endpoints: Vec<Endpoint>,
     instances: Vec<Instance>,
 }
 
-impl World {
+impl Fleet {
     fn start(configuration: &str) -> Self {
         let store = Store::start();
         store.put("op/config", configuration);
@@ -35,9 +35,9 @@
         let program = Path::new(env!("CARGO_BIN_EXE_siskinyoke-gateway"));
         let start = |name| Instance::start(program, name, store.address).ready();
         let instances: Vec<Instance> = ["i1", "i2"].map(start).into();
-        // Alone, each would speak for its part of the quotas only.
+        // Until an instance knows its peer, it applies only its own share of the quotas.
         for instance in &instances {
-            until("the instances hear each other", || {
+            until("the instances receive each other's reports", || {
                 let page = get(instance.metrics, "/metrics").unwrap_or_default();
                 page.lines()
                     .any(|line| line.contains("what=\"peers\"") && line.ends_with(" 1"))
@@ -50,96 +50,102 @@
         }
     }
 
-    // Stops all and tells the story of a request from their logs.
-    fn story(self, id: &str) -> String {
+    // Stops the fleet and returns the report of `explain` on a request.
+    fn explain(self, id: &str) -> String {
         let mut logs = Vec::new();
-        for (at, instance) in self.instances.into_iter().enumerate() {
+        for (index, instance) in self.instances.into_iter().enumerate() {
             instance.signal(Signal::TERM);
             logs.push((
-                format!("i{}.log", at + 1),
+                format!("i{}.log", index + 1),
                 Log::read(instance.log().as_bytes()),
             ));
         }
         drop(self.store);
-        let mut out = Vec::new();
-        explain::write_report(id, &logs, false, &mut out).expect("a story");
-        String::from_utf8(out).expect("text")
+        let mut report = Vec::new();
+        explain::write_report(id, &logs, false, &mut report)
+            .expect("explain should find the request");
+        String::from_utf8(report).expect("the report should be UTF-8")
     }
 }
 
-// Returns the first line of a story that holds all of these words.
-fn line<'a>(story: &'a str, words: &[&str]) -> &'a str {
-    let found = story
+// Returns the first line of a report that contains all of these words.
+fn line<'a>(report: &'a str, words: &[&str]) -> &'a str {
+    let found = report
         .lines()
         .find(|line| words.iter().all(|word| line.contains(word)));
-    found.unwrap_or_else(|| panic!("no line with {words:?}:\n{story}"))
+    found.unwrap_or_else(|| panic!("no line contains {words:?}:\n{report}"))
 }
 
-// A teacher is told 429 while endpoints idle. The school has used its quota, which an operator
-// lowered; only the log says so.
+// A caller gets 429 while endpoints are idle, because its organisation has exhausted a quota that an
+// operator lowered. Only the log shows this.
 #[test]
-fn refused_while_places_were_free() {
+fn refused_while_slots_were_free() {
     let rate = "\"ApiKeys\":[\"k1\"],\"RatePerS\":0.5,\"Burst\":1";
     let text = configuration::text(7, "k1").replace("\"ApiKeys\":[\"k1\"]", rate);
-    let world = World::start(&text);
-    let refused = (0..40).find(|number| {
-        let answer = world.instances[0].call(&format!("r{number}"), "/safe/a", "", "");
+    let fleet = Fleet::start(&text);
+    let refused_number = (0..40).find(|number| {
+        let answer = fleet.instances[0].call(&format!("r{number}"), "/safe/a", "", "");
         answer.starts_with("HTTP/1.1 429")
     });
-    let story = world.story(&format!("r{}", refused.expect("a refusal")));
-    assert!(story.starts_with("i1.log\n"), "{story}");
-    let refusal = line(&story, &["refusal", "reason=\"quota\""]);
+    let report = fleet.explain(&format!(
+        "r{}",
+        refused_number.expect("a request should be refused")
+    ));
+    assert!(report.starts_with("i1.log\n"), "{report}");
+    let refusal = line(&report, &["refusal", "reason=\"quota\""]);
     assert!(refusal.contains("configuration=7"), "{refusal}");
     assert!(refusal.contains("quota_share=1.0"), "{refusal}");
     assert!(refusal.contains("organisation=\"school\""), "{refusal}");
     assert!(refusal.contains("running=0"), "{refusal}");
     line(
-        &story,
+        &report,
         &["configuration ", "version=7", "[\"school\",null,0.5,1.0]"],
     );
 }
 
-// A pupil's correction stops in the middle. The endpoint broke off, and the route lets no other one go
-// on.
+// A stream ends midway because the endpoint closed the connection and the route does not allow
+// streams to be resumed.
 #[test]
-fn cut_midway() {
-    let world = World::start(&configuration::text(7, "k1"));
-    let answer = world.instances[1].call("cut-1", "/single/events", "", "");
+fn stream_cut_midway() {
+    let fleet = Fleet::start(&configuration::text(7, "k1"));
+    let answer = fleet.instances[1].call("cut-1", "/single/events", "", "");
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
-    let story = world.story("cut-1");
-    assert!(story.starts_with("i2.log\n"), "{story}");
-    let attempt = line(&story, &["attempt ", "outcome=\"broken\""]);
+    let report = fleet.explain("cut-1");
+    assert!(report.starts_with("i2.log\n"), "{report}");
+    let attempt = line(&report, &["attempt ", "outcome=\"broken\""]);
     assert!(attempt.contains("endpoint=\"e"), "{attempt}");
-    assert_eq!(story.matches(" attempt ").count(), 1, "{story}");
+    assert_eq!(report.matches(" attempt ").count(), 1, "{report}");
     line(
-        &story,
+        &report,
         &["answer ", "outcome=\"cut\"", "organisation=\"school\""],
     );
 }
 
-// An answer comes after seconds. The first endpoint said nothing; another one had a place, and the rest
-// of the time was its.
+// An answer takes seconds because the first endpoint did not respond and the request was retried at
+// another one, which had only the rest of the timeout.
 #[test]
 fn late_after_a_retry() {
-    let world = World::start(&configuration::text(7, "k1"));
-    // The usual time of a service is learned from what went well.
+    let fleet = Fleet::start(&configuration::text(7, "k1"));
+    // The usual latency of a service is learned from successful requests.
     for number in 0..30 {
-        world.instances[0].call(&format!("w{number}"), "/safe/a", "", "");
+        fleet.instances[0].call(&format!("w{number}"), "/safe/a", "", "");
     }
-    let answer = world.instances[0].call("late-1", "/safe/nap", "", "");
+    let answer = fleet.instances[0].call("late-1", "/safe/nap", "", "");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let story = world.story("late-1");
-    let silent = line(
-        &story,
+    let report = fleet.explain("late-1");
+    let stalled = line(
+        &report,
         &["attempt ", "outcome=\"silent\"", "since_arrival_ms="],
     );
-    let done = line(&story, &["attempt ", "outcome=\"done\""]);
-    assert!(story.find(silent) < story.find(done), "{story}");
-    let end = line(&story, &["answer ", "outcome=\"answered\"", "aim_ms=2000"]);
-    let took = end
+    let done = line(&report, &["attempt ", "outcome=\"done\""]);
+    assert!(report.find(stalled) < report.find(done), "{report}");
+    let answer_line = line(&report, &["answer ", "outcome=\"answered\"", "aim_ms=2000"]);
+    let took_ms = answer_line
         .split("took_ms=")
         .nth(1)
         .and_then(|it| it.split(' ').next());
-    let took: u64 = took.and_then(|it| it.parse().ok()).expect("a number");
-    assert!(took >= 1_500, "{end}");
+    let took_ms: u64 = took_ms
+        .and_then(|it| it.parse().ok())
+        .expect("took_ms should be a number");
+    assert!(took_ms >= 1_500, "{answer_line}");
 }
--- a/crates/siskinyoke-gateway/tests/whole/main.rs
+++ b/crates/siskinyoke-gateway/tests/whole/main.rs
@@ -1,4 +1,4 @@
-//! The whole path, with the gateway as a process of its own between small stand-ins.
+//! End-to-end tests of the gateway process, between stand-ins for the store and the endpoints.
 
 use std::io::Read;
 use std::net::TcpStream;
@@ -21,7 +21,7 @@
 use siskinyoke_soak::instance::until;
 use siskinyoke_soak::store::Mood;
 
-struct World {
+struct Setup {
     store: Store,
     endpoints: Vec<Endpoint>,
     instance: Instance,
@@ -31,10 +31,10 @@
     Path::new(env!("CARGO_BIN_EXE_siskinyoke-gateway"))
 }
 
-fn world(endpoints: &[&str]) -> World {
+fn start_setup(endpoints: &[&str]) -> Setup {
     let store = Store::start();
     store.put("op/config", &configuration::text(3, "k1"));
-    // Entries of other writers must not keep the sound ones from being used.
+    // Invalid entries must not keep the valid ones from being used.
     store.put("servers/odd", "{\"Service\":7}");
     store.put("servers/odder", "\u{0}");
     let endpoints: Vec<_> = endpoints.iter().map(|id| Endpoint::start(id)).collect();
@@ -45,52 +45,54 @@
         );
     }
     let instance = Instance::start(program(), "i1", store.address).ready();
-    World {
+    Setup {
         store,
         endpoints,
         instance,
     }
 }
 
-// An instance that has just started, and a store that answers nothing.
-fn silent_world() -> World {
+// Starts an instance while the store accepts calls but does not answer them.
+fn start_setup_with_stalled_store() -> Setup {
     let store = Store::start();
     store.put("op/config", &configuration::text(3, "k1"));
     let endpoint = Endpoint::start("e1");
     store.put("servers/e1", &endpoint.entry("ready"));
     store.set_mood(Mood::Silent);
     let instance = Instance::start(program(), "i1", store.address);
-    World {
+    Setup {
         store,
         endpoints: vec![endpoint],
         instance,
     }
 }
 
-// Sends a request, whose caller waits for so many ms, to an instance that may not listen yet.
-fn send_early(world: &World, path: &str, deadline: u32, body: &str) -> TcpStream {
-    until("it listens", || {
-        TcpStream::connect(world.instance.callers).is_ok()
+// Sends a request with a deadline in ms, as soon as the instance listens.
+fn send_early(setup: &Setup, path: &str, deadline_ms: u32, body: &str) -> TcpStream {
+    until("the instance listens", || {
+        TcpStream::connect(setup.instance.callers).is_ok()
     });
-    let mut stream = world.instance.open();
-    let header = format!("siskinyoke-deadline-ms: {deadline}\r\n");
+    let mut stream = setup.instance.open();
+    let header = format!("siskinyoke-deadline-ms: {deadline_ms}\r\n");
     send(&mut stream, "r1", path, &header, body);
     stream
 }
 
-fn arrived(world: &World) -> usize {
-    world.endpoints.iter().map(|it| it.arrivals().len()).sum()
+fn arrival_count(setup: &Setup) -> usize {
+    setup.endpoints.iter().map(|it| it.arrivals().len()).sum()
 }
 
 #[test]
 fn a_request_reaches_an_endpoint_and_its_answer_comes_back_unchanged() {
-    let world = world(&["e1"]);
-    let forged = "siskinyoke-hold: h\r\nsiskinyoke-tenant: other\r\nx-own: kept\r\n";
-    let answer = world.instance.call("r1", "/safe/a?b=c", forged, "body");
+    let setup = start_setup(&["e1"]);
+    let forged_headers = "siskinyoke-hold: h\r\nsiskinyoke-tenant: other\r\nx-own: kept\r\n";
+    let answer = setup
+        .instance
+        .call("r1", "/safe/a?b=c", forged_headers, "body");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("siskinyoke-response-seal: e1"), "{answer}");
     assert!(answer.ends_with("\r\n\r\nwhole"), "{answer}");
-    let arrival = world.endpoints[0].arrivals().pop().unwrap();
+    let arrival = setup.endpoints[0].arrivals().pop().unwrap();
     assert_eq!(arrival.line, "POST /safe/a?b=c HTTP/1.1\r\n");
     assert_eq!(arrival.body, b"body");
     assert_eq!(arrival.header("siskinyoke-request-id"), Some("r1"));
@@ -99,69 +101,70 @@
     assert_eq!(arrival.header("x-own"), Some("kept"));
     assert_eq!(arrival.header("authorization"), None);
     assert_eq!(arrival.header("siskinyoke-hold"), None);
-    let left: u32 = arrival
+    let remaining_ms: u32 = arrival
         .header("siskinyoke-deadline-ms")
         .unwrap()
         .parse()
         .unwrap();
-    assert!(left <= 4_000);
+    assert!(remaining_ms <= 4_000);
 }
 
-// Guards against an endpoint in need being sent more than it asks for.
+// Guards against overloading an endpoint that announced a rate limit.
 #[test]
 fn an_endpoint_that_names_a_limit_gets_no_more_requests_than_that() {
-    let world = world(&["e1"]);
-    let before = arrived(&world);
+    let setup = start_setup(&["e1"]);
+    let before = arrival_count(&setup);
     let start = Instant::now();
-    world.instance.call("first", "/safe/limited", "", "");
+    setup.instance.call("first", "/safe/limited", "", "");
     std::thread::scope(|scope| {
         for number in 0..40 {
-            let instance = &world.instance;
+            let instance = &setup.instance;
             scope.spawn(move || instance.call(&format!("r{number}"), "/safe/limited", "", ""));
         }
     });
-    // Half as much again as the limit allows in four seconds or more, and five requests.
+    // Allows one and a half times the rate limit over at least four seconds, and five requests more.
     let span = start.elapsed().as_secs_f64().max(4.0);
-    let count = u32::try_from(arrived(&world) - before).unwrap();
+    let count = u32::try_from(arrival_count(&setup) - before).unwrap();
     assert!(
         f64::from(count) <= 1.5 * LIMIT * span + 5.0,
         "{count} requests in {span:.1} s"
     );
 }
 
-// Guards against the limit of an endpoint that took over an address being held for that of the one before.
+// Another endpoint took over the address and announces a rate limit. Guards against applying that
+// limit to the endpoint that was there before.
 #[test]
-fn the_limit_of_another_endpoint_at_an_address_is_not_taken() {
-    let world = world(&["e1"]);
-    world.instance.call("r1", "/safe/moved", "", "");
-    assert_eq!(arrived(&world), 1);
-    let page = get(world.instance.metrics, "/metrics").unwrap();
+fn a_limit_announced_by_another_endpoint_at_the_address_is_ignored() {
+    let setup = start_setup(&["e1"]);
+    setup.instance.call("r1", "/safe/moved", "", "");
+    assert_eq!(arrival_count(&setup), 1);
+    let page = get(setup.instance.metrics, "/metrics").unwrap();
     let row = page.lines().find(|it| it.contains("limited_endpoints"));
     assert!(row.unwrap().ends_with(" 0"), "{row:?}");
 }
 
 #[test]
 fn what_cannot_be_served_is_refused_with_a_clear_status() {
-    let world = world(&["e1"]);
+    let setup = start_setup(&["e1"]);
     let status = |path: &str, body: &str| {
-        let answer = world.instance.call("r", path, "", body);
+        let answer = setup.instance.call("r", path, "", body);
         answer[9..12].to_owned()
     };
     assert_eq!(status("/nowhere/", ""), "404");
     assert_eq!(status("/safe/a", &"x".repeat(1_001)), "413");
-    assert_eq!(arrived(&world), 0);
+    assert_eq!(arrival_count(&setup), 0);
 }
 
-// An endpoint answers a request and sends a second answer after it. The next caller over the
-// same connection would get it.
+// An endpoint sends two responses to one request. Guards against forwarding the second one to the
+// next caller whose request uses the connection.
 #[test]
-fn a_second_answer_reaches_nobody() {
-    let world = world(&["e1"]);
+fn a_second_response_is_discarded() {
+    let setup = start_setup(&["e1"]);
     for number in 0..5 {
         let id = format!("r{number}");
-        let answer = world.instance.call(&id, "/safe/extra", "", "");
-        // The second answer may arrive when the next request is on its way already. That request
-        // then has no answer that is surely its own, and its only endpoint was tried.
+        let answer = setup.instance.call(&id, "/safe/extra", "", "");
+        // If the second response arrives after the next request was sent, none of the responses is
+        // certain to belong to that request, and its only endpoint was already tried.
         if number > 0 && answer.starts_with("HTTP/1.1 502") {
             assert!(!answer.contains("siskinyoke-request-id"), "{answer}");
             continue;
@@ -174,19 +177,19 @@
     }
 }
 
-// An endpoint answers before it has read the body, keeps the connection and reads on. Anything
-// else than the rest of that body would be read as a part of it.
+// An endpoint responds before it has read the whole body and keeps the connection open. Guards against
+// sending the next request before the rest of the body: the endpoint would read it as a part of it.
 #[test]
 fn an_endpoint_that_answers_early_still_gets_the_whole_body() {
-    let world = world(&["e1"]);
+    let setup = start_setup(&["e1"]);
     for _ in 0..5 {
-        let answer = world
+        let answer = setup
             .instance
             .call("r", "/safe/early", "", "the whole body");
         assert!(answer.ends_with("early"), "{answer}");
     }
-    until("all bodies arrived", || arrived(&world) == 5);
-    for arrival in world.endpoints[0].arrivals() {
+    until("all requests arrived", || arrival_count(&setup) == 5);
+    for arrival in setup.endpoints[0].arrivals() {
         assert_eq!(arrival.body, b"the whole body");
         assert!(
             arrival.line.starts_with("POST /safe/early"),
@@ -196,11 +199,11 @@
     }
 }
 
-// An endpoint dies in the middle of an event. The caller sees one stream without a gap.
+// An endpoint fails in the middle of an event. The caller must receive one stream without a gap.
 #[test]
-fn a_stream_goes_on_at_another_endpoint() {
-    let world = world(&["e1", "e2"]);
-    let answer = world.instance.call("r1", "/stream/events", "", "");
+fn a_stream_is_resumed_at_another_endpoint() {
+    let setup = start_setup(&["e1", "e2"]);
+    let answer = setup.instance.call("r1", "/stream/events", "", "");
     let events: Vec<_> = answer
         .lines()
         .filter(|line| line.starts_with("data: "))
@@ -210,9 +213,9 @@
     assert_eq!(
         answer.matches("id: ").count(),
         4 + 1,
-        "one a event, one in the head: {answer}"
+        "expected one id per event and one in the response head: {answer}"
     );
-    let resumed: Vec<_> = world
+    let resumed: Vec<_> = setup
         .endpoints
         .iter()
         .flat_map(Endpoint::arrivals)
@@ -221,22 +224,22 @@
     assert_eq!(resumed, ["2"]);
 }
 
-// A stream breaks off, and the endpoint that should go on answers that it knows nothing of it. That
-// answer ended the stream with an end mark, as if the events so far were all.
+// A stream is interrupted, and the endpoint that should resume it responds that it does not know it.
+// Guards against ending the stream with a final chunk, as if it were complete.
 #[test]
-fn a_stream_that_is_not_gone_on_with_does_not_look_whole() {
-    let world = world(&["e1", "e2"]);
-    let answer = world.instance.call("r1", "/stream/events/lost", "", "");
+fn a_stream_whose_resumption_fails_does_not_look_complete() {
+    let setup = start_setup(&["e1", "e2"]);
+    let answer = setup.instance.call("r1", "/stream/events/lost", "", "");
     assert!(answer.contains("data: 2"), "{answer}");
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-// A caller reads slowly, and the buffers on the way fill. The end mark found no room behind the last
-// events and was dropped, so that a whole stream looked broken off.
+// A caller reads slowly until the buffers on the way are full. Guards against dropping the final chunk
+// when there is no room for it, which makes a complete stream look interrupted.
 #[test]
 fn a_slow_caller_gets_the_end_of_its_stream() {
-    let world = world(&["e1"]);
-    let mut stream = world.instance.open();
+    let setup = start_setup(&["e1"]);
+    let mut stream = setup.instance.open();
     send(
         &mut stream,
         "r1",
@@ -244,7 +247,7 @@
         "connection: close\r\n",
         "",
     );
-    until("the request arrived", || arrived(&world) == 1);
+    until("the request arrived", || arrival_count(&setup) == 1);
     std::thread::sleep(Duration::from_millis(500));
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -252,110 +255,113 @@
     assert!(answer.ends_with("0\r\n\r\n"));
 }
 
-// An answer is longer than what is held back. Taken for a broken one, it ran and was lost.
+// A response exceeds the size up to which responses are buffered. Guards against treating it as a
+// failed one: the request would have run, and its response would be lost.
 #[test]
-fn a_large_answer_is_passed_on_as_it_comes() {
-    let world = world(&["e1"]);
-    let answer = world.instance.call("r1", "/once/large", "", "");
+fn a_large_response_is_streamed_to_the_caller() {
+    let setup = start_setup(&["e1"]);
+    let answer = setup.instance.call("r1", "/once/large", "", "");
     assert!(
         answer.starts_with("HTTP/1.1 200"),
         "{}",
         &answer[..100.min(answer.len())]
     );
     assert!(answer.matches('x').count() >= LARGE);
-    assert_eq!(arrived(&world), 1);
+    assert_eq!(arrival_count(&setup), 1);
 }
 
-// A stream that may not be resumed breaks off. It must not look whole, and must not run again.
+// A stream that must not be resumed is interrupted. It must not look complete, and the request must
+// not run again.
 #[test]
-fn a_stream_that_cannot_go_on_does_not_look_whole() {
-    let world = world(&["e1", "e2"]);
-    let answer = world.instance.call("r1", "/single/events", "", "");
+fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
+    let setup = start_setup(&["e1", "e2"]);
+    let answer = setup.instance.call("r1", "/single/events", "", "");
     assert!(answer.contains("data: 2"), "{answer}");
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
-    assert_eq!(arrived(&world), 1);
+    assert_eq!(arrival_count(&setup), 1);
 }
 
-// A caller sends a head of any length, as a faulty client's cookies do. Thousands of them fill the memory
-// of a small instance, which ends and cuts off all that it serves.
+// Guards against request heads of any length, as a faulty client's cookies produce. Thousands of them
+// exhaust the memory of a small instance, which then crashes and interrupts all its requests.
 #[test]
 fn a_head_over_the_operators_limit_is_refused() {
-    let world = world(&["e1"]);
-    let row = |length| format!("x-own: {}\r\n", "x".repeat(length));
-    let answer = world.instance.call("r1", "/safe/a", &row(15_000), "");
+    let setup = start_setup(&["e1"]);
+    let header = |length| format!("x-own: {}\r\n", "x".repeat(length));
+    let answer = setup.instance.call("r1", "/safe/a", &header(15_000), "");
     assert!(answer.ends_with("whole"), "{answer}");
-    let answer = world.instance.call("r2", "/safe/a", &row(17_000), "");
+    let answer = setup.instance.call("r2", "/safe/a", &header(17_000), "");
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
-    assert_eq!(arrived(&world), 1);
+    assert_eq!(arrival_count(&setup), 1);
 }
 
-// The connection breaks after a booking was sent. It may stand, so nobody is told that it has
-// not run, and it is sent nowhere else.
+// The connection is lost after a non-idempotent request was sent. It may have run, so the caller must
+// not be told that it has not, and it must not be retried at another endpoint.
 #[test]
-fn what_may_have_run_is_neither_repeated_nor_denied() {
-    let world = world(&["e1", "e2"]);
-    let answer = world.instance.call("r1", "/once/cut", "", "");
+fn a_request_that_may_have_run_is_not_retried_or_reported_as_not_run() {
+    let setup = start_setup(&["e1", "e2"]);
+    let answer = setup.instance.call("r1", "/once/cut", "", "");
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
     assert!(!answer.contains("response-seal"), "{answer}");
-    assert_eq!(arrived(&world), 1);
+    assert_eq!(arrival_count(&setup), 1);
 }
 
 #[test]
 fn a_full_endpoint_is_not_asked_twice_and_another_serves() {
-    let world = world(&["e1", "e2"]);
+    let setup = start_setup(&["e1", "e2"]);
     for _ in 0..6 {
-        let answer = world.instance.call("r1", "/once/full", "", "");
+        let answer = setup.instance.call("r1", "/once/full", "", "");
         assert!(answer.ends_with("whole"), "{answer}");
     }
 }
 
 #[test]
-fn a_route_s_time_ends_a_request_with_an_answer() {
-    let world = world(&["e1"]);
-    let answer = world.instance.call("r1", "/short/slow", "", "");
+fn a_request_gets_an_answer_when_its_route_timeout_expires() {
+    let setup = start_setup(&["e1"]);
+    let answer = setup.instance.call("r1", "/short/slow", "", "");
     assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
 }
 
-// A caller gives up. Its endpoint would go on working for nobody.
+// Guards against an endpoint that continues with a request whose caller has disconnected.
 #[test]
-fn a_caller_that_leaves_is_followed_by_its_request() {
-    let world = world(&["e1"]);
+fn a_request_is_cancelled_when_its_caller_disconnects() {
+    let setup = start_setup(&["e1"]);
     for number in 1..6 {
-        let mut stream = world.instance.open();
+        let mut stream = setup.instance.open();
         send(&mut stream, "r1", "/safe/slow", "", "");
-        until("the request arrived", || arrived(&world) == number);
+        until("the request arrived", || arrival_count(&setup) == number);
         drop(stream);
-        until("its endpoint was told", || {
-            world.endpoints[0].left() as usize == number
+        until("its endpoint is disconnected", || {
+            setup.endpoints[0].left() as usize == number
         });
     }
-    // The endpoint runs four at once: the places of those that left are free again.
-    let answer = world.instance.call("r", "/safe/a", "", "");
+    // The endpoint has four slots: those of the cancelled requests must be free again.
+    let answer = setup.instance.call("r", "/safe/a", "", "");
     assert!(answer.ends_with("whole"), "{answer}");
 }
 
-// The only endpoint breaks off, and no other could serve. The caller is not told that nothing ran.
+// The connection to the only endpoint is lost while it runs a request, and no other endpoint can serve
+// it. The caller must not be told that the request has not run.
 #[test]
-fn what_ran_at_the_only_endpoint_is_not_denied() {
-    let world = world(&["e1"]);
-    let answer = world.instance.call("r1", "/safe/cut", "", "");
+fn a_request_that_ran_at_the_only_endpoint_is_not_reported_as_not_run() {
+    let setup = start_setup(&["e1"]);
+    let answer = setup.instance.call("r1", "/safe/cut", "", "");
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
 }
 
 #[test]
 fn a_revoked_key_is_refused_over_an_open_connection() {
-    let world = world(&["e1"]);
-    let mut stream = world.instance.open();
+    let setup = start_setup(&["e1"]);
+    let mut stream = setup.instance.open();
     send(&mut stream, "r1", "/safe/a", "", "");
     assert!(read_answer(&mut stream).starts_with("HTTP/1.1 200"));
-    world.store.put("op/config", &configuration::text(4, "k2"));
+    setup.store.put("op/config", &configuration::text(4, "k2"));
     until("the key is refused", || {
         send(&mut stream, "r2", "/safe/a", "", "");
         read_answer(&mut stream).starts_with("HTTP/1.1 401")
     });
-    // An older version that comes late changes nothing.
-    world.store.put("op/config", &configuration::text(3, "k1"));
-    world.store.put("servers/later", "x");
+    // An older version that arrives late must be ignored.
+    setup.store.put("op/config", &configuration::text(3, "k1"));
+    setup.store.put("servers/later", "x");
     std::thread::sleep(Duration::from_millis(100));
     send(&mut stream, "r3", "/safe/a", "", "");
     assert!(read_answer(&mut stream).starts_with("HTTP/1.1 401"));
@@ -363,175 +369,179 @@
 
 #[test]
 fn a_draining_endpoint_gets_no_new_work() {
-    let world = world(&["e1", "e2"]);
-    world
+    let setup = start_setup(&["e1", "e2"]);
+    setup
         .store
-        .put("servers/e1", &world.endpoints[0].entry("draining"));
-    // Changes come in their order: whoever has this version knows of the drain before it.
-    world.store.put("op/config", &configuration::text(4, "k1"));
-    until("the version is in force", || {
-        let page = get(world.instance.metrics, "/metrics").unwrap_or_default();
+        .put("servers/e1", &setup.endpoints[0].entry("draining"));
+    // Changes are applied in order, so an instance with this version has also seen the drain.
+    setup.store.put("op/config", &configuration::text(4, "k1"));
+    until("the configuration is applied", || {
+        let page = get(setup.instance.metrics, "/metrics").unwrap_or_default();
         let version = page
             .lines()
             .find(|it| it.contains("what=\"configuration\""));
         version.is_some_and(|it| it.ends_with(" 4"))
     });
-    let before = world.endpoints[0].arrivals().len();
+    let before = setup.endpoints[0].arrivals().len();
     for _ in 0..20 {
-        world.instance.call("r", "/safe/a", "", "");
+        setup.instance.call("r", "/safe/a", "", "");
     }
-    assert_eq!(world.endpoints[0].arrivals().len(), before);
+    assert_eq!(setup.endpoints[0].arrivals().len(), before);
 }
 
-// The store is away, and its history is gone when it returns. Work goes on meanwhile, and what
-// changed is taken up from a whole reading.
+// The store is unavailable, and has lost its history when it returns. Requests must be served
+// meanwhile, and the changes are then taken from a full read.
 #[test]
-fn an_outage_of_the_store_stops_nothing() {
-    let world = world(&["e1", "e2"]);
-    world.store.set_mood(Mood::Busy);
+fn requests_are_served_during_a_store_outage() {
+    let setup = start_setup(&["e1", "e2"]);
+    setup.store.set_mood(Mood::Busy);
     for _ in 0..5 {
-        let answer = world.instance.call("r", "/safe/a", "", "");
+        let answer = setup.instance.call("r", "/safe/a", "", "");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    world.store.remove("servers/e1");
-    world.store.forget_history();
-    world.store.set_mood(Mood::Well);
-    until("only e2 serves", || {
-        let before = world.endpoints[0].arrivals().len();
+    setup.store.remove("servers/e1");
+    setup.store.forget_history();
+    setup.store.set_mood(Mood::Well);
+    until("only e2 receives requests", || {
+        let before = setup.endpoints[0].arrivals().len();
         for _ in 0..8 {
-            world.instance.call("r", "/safe/a", "", "");
+            setup.instance.call("r", "/safe/a", "", "");
         }
-        world.endpoints[0].arrivals().len() == before
+        setup.endpoints[0].arrivals().len() == before
     });
 }
 
 #[test]
-fn instances_find_each_other_and_are_named_to_callers() {
-    let world = world(&["e1"]);
-    let other = Instance::start(program(), "i2", world.store.address).ready();
-    until("both are named", || {
-        let answer = get(world.instance.directory, "/api/resolve?Name=h&Zone=a").unwrap();
+fn instances_find_each_other_and_are_listed_for_callers() {
+    let setup = start_setup(&["e1"]);
+    let other = Instance::start(program(), "i2", setup.store.address).ready();
+    until("the directory lists both instances", || {
+        let answer = get(setup.instance.directory, "/api/resolve?Name=h&Zone=a").unwrap();
         answer.contains(&other.callers.to_string())
-            && answer.contains(&world.instance.callers.to_string())
+            && answer.contains(&setup.instance.callers.to_string())
     });
-    until("both have their entries", || {
-        world.store.keys("instances/") == ["instances/i1", "instances/i2"]
+    until("both instances are registered", || {
+        setup.store.keys("instances/") == ["instances/i1", "instances/i2"]
     });
     let page = get(other.metrics, "/metrics").unwrap();
     assert!(page.contains("siskinyoke_state"), "{page}");
 }
 
-// An instance starts while the store is away. It takes configuration and endpoints from a peer that
-// its settings name, and serves.
+// An instance starts while the store is unavailable. It must get the configuration and the endpoints
+// from a seed peer in its settings, and serve requests.
 #[test]
 fn an_instance_that_starts_without_the_store_learns_from_a_peer() {
-    let world = world(&["e1"]);
-    world.store.set_mood(Mood::Busy);
-    let seeds = [world.instance.peers];
-    let other = Instance::start_with(program(), "i2", world.store.address, &seeds).ready();
+    let setup = start_setup(&["e1"]);
+    setup.store.set_mood(Mood::Busy);
+    let seeds = [setup.instance.peers];
+    let other = Instance::start_with(program(), "i2", setup.store.address, &seeds).ready();
     let answer = other.call("r1", "/safe/a", "", "");
     assert!(answer.ends_with("whole"), "{answer}");
 }
 
-// An instance starts while the store is silent, and a request comes before it knows anything. The request was
-// rejected although the store was back a moment later.
+// A request arrives at a new instance while the store does not answer. Guards against rejecting it
+// although the store answers a moment later.
 #[test]
 fn a_request_before_the_first_configuration_is_held_and_served_once() {
-    let world = silent_world();
-    let mut stream = send_early(&world, "/safe/a", 60_000, "body");
-    world.store.set_mood(Mood::Well);
+    let setup = start_setup_with_stalled_store();
+    let mut stream = send_early(&setup, "/safe/a", 60_000, "body");
+    setup.store.set_mood(Mood::Well);
     let answer = read_answer(&mut stream);
     assert!(answer.ends_with("whole"), "{answer}");
-    let arrivals = world.endpoints[0].arrivals();
+    let arrivals = setup.endpoints[0].arrivals();
     assert_eq!(arrivals.len(), 1);
     assert_eq!(arrivals[0].body, b"body");
 }
 
-// A held request whose route or key turns out to be unknown is rejected as any other.
+// A held request whose route or key turns out to be unknown must be rejected like any other.
 #[test]
 fn a_held_request_is_checked_once_the_configuration_is_known() {
-    let world = silent_world();
-    let mut stream = send_early(&world, "/nowhere/", 60_000, "");
-    world.store.set_mood(Mood::Well);
+    let setup = start_setup_with_stalled_store();
+    let mut stream = send_early(&setup, "/nowhere/", 60_000, "");
+    setup.store.set_mood(Mood::Well);
     let answer = read_answer(&mut stream);
     assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
-    assert_eq!(arrived(&world), 0);
+    assert_eq!(arrival_count(&setup), 0);
 }
 
-// The caller of a held request leaves. Run all the same, it would take a slot from somebody who waits.
+// Guards against running a held request whose caller has disconnected: it would take a slot from a
+// queued one.
 #[test]
 fn a_held_request_whose_caller_left_never_runs() {
-    let world = silent_world();
-    drop(send_early(&world, "/safe/a", 60_000, ""));
+    let setup = start_setup_with_stalled_store();
+    drop(send_early(&setup, "/safe/a", 60_000, ""));
     std::thread::sleep(Duration::from_millis(100));
-    world.store.set_mood(Mood::Well);
-    let world = World {
-        instance: world.instance.ready(),
-        ..world
+    setup.store.set_mood(Mood::Well);
+    let setup = Setup {
+        instance: setup.instance.ready(),
+        ..setup
     };
-    let answer = world.instance.call("r2", "/safe/b", "", "");
+    let answer = setup.instance.call("r2", "/safe/b", "", "");
     assert!(answer.ends_with("whole"), "{answer}");
-    assert_eq!(arrived(&world), 1);
+    assert_eq!(arrival_count(&setup), 1);
 }
 
-// The store stays silent. A request that is held until its caller has no time left cannot be retried.
+// The store does not answer for longer than a request is held. Guards against holding the request until
+// its caller has no time left for a retry.
 #[test]
 fn a_held_request_is_rejected_with_a_retry_after_while_its_caller_still_waits() {
-    let world = silent_world();
-    let mut stream = send_early(&world, "/safe/a", 400, "");
+    let setup = start_setup_with_stalled_store();
+    let mut stream = send_early(&setup, "/safe/a", 400, "");
     let answer = read_answer(&mut stream);
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("retry-after: "), "{answer}");
-    assert_eq!(arrived(&world), 0);
+    assert_eq!(arrival_count(&setup), 0);
 }
 
-// An order moves a service to another version. Without one, new endpoints would get their even part at once.
+// A rollout order shifts a service to another version gradually. Without an order, the endpoints of
+// the new version would receive an equal share of the requests at once.
 #[test]
 fn a_service_moves_to_the_version_that_was_ordered() {
-    let world = world(&["e1", "e2", "n1", "n2"]);
+    let setup = start_setup(&["e1", "e2", "n1", "n2"]);
     let version = |at: usize, version: &str| {
-        let endpoint = &world.endpoints[at];
+        let endpoint = &setup.endpoints[at];
         let entry = endpoint.entry("ready");
         let entry = entry.replace("\"Slots\"", &format!("\"Version\":\"{version}\",\"Slots\""));
-        world.store.put(&format!("servers/{}", endpoint.id), &entry);
+        setup.store.put(&format!("servers/{}", endpoint.id), &entry);
     };
     version(0, "v1");
     version(1, "v1");
-    world.store.put(
+    setup.store.put(
         "op/rollout/lm",
         r#"{"Service":"lm","To":"v2","DurationS":2}"#,
     );
     version(2, "v2");
     version(3, "v2");
-    let state = || world.store.value("status/rollout/lm").unwrap_or_default();
-    until("it runs", || state().contains("running"));
-    until("it is completed", || {
-        world.instance.call("r", "/safe/a", "", "");
+    let state = || setup.store.value("status/rollout/lm").unwrap_or_default();
+    until("the rollout is running", || state().contains("running"));
+    until("the rollout is completed", || {
+        setup.instance.call("r", "/safe/a", "", "");
         assert!(!state().contains("rolled_back"), "{}", state());
         state().contains("completed")
     });
     assert!(state().contains("v2"), "{}", state());
-    let old = || world.endpoints[0].arrivals().len() + world.endpoints[1].arrivals().len();
-    let before = old();
+    let old_version_requests =
+        || setup.endpoints[0].arrivals().len() + setup.endpoints[1].arrivals().len();
+    let before = old_version_requests();
     for _ in 0..10 {
-        let answer = world.instance.call("r", "/safe/a", "", "");
+        let answer = setup.instance.call("r", "/safe/a", "", "");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    assert_eq!(old(), before);
+    assert_eq!(old_version_requests(), before);
 }
 
-// An instance is told to stop while it serves. The request ends whole; new callers are sent
-// elsewhere, and the log tells what happened.
+// An instance receives `SIGTERM` while it serves a request. The request must complete, the instance must
+// stop being ready for new callers, and the log must show the shutdown.
 #[test]
-fn an_instance_that_leaves_finishes_what_it_serves() {
-    let world = world(&["e1"]);
-    let mut stream = world.instance.open();
+fn an_instance_that_shuts_down_finishes_its_requests() {
+    let setup = start_setup(&["e1"]);
+    let mut stream = setup.instance.open();
     send(&mut stream, "r1", "/safe/nap", "", "");
-    until("the request arrived", || arrived(&world) == 1);
-    world.instance.signal(Signal::TERM);
-    let health = world.instance.health;
-    until("not ready", || {
-        world.instance.status(health, "/api/readyz") == Some(503)
+    until("the request arrived", || arrival_count(&setup) == 1);
+    setup.instance.signal(Signal::TERM);
+    let health = setup.instance.health;
+    until("the instance is not ready", || {
+        setup.instance.status(health, "/api/readyz") == Some(503)
     });
     let answer = read_answer(&mut stream);
     assert!(answer.ends_with("whole"), "{answer}");
@@ -539,7 +549,7 @@
     let mut rest = String::new();
     stream.read_to_string(&mut rest).unwrap();
     assert!(rest.is_empty(), "{rest}");
-    let log = world.instance.log();
+    let log = setup.instance.log();
     for event in [
         "start",
         "store_regained",
@@ -557,9 +567,9 @@
 
 #[test]
 fn a_reload_signal_does_not_end_the_process() {
-    let world = world(&["e1"]);
-    world.instance.signal(Signal::HUP);
+    let setup = start_setup(&["e1"]);
+    setup.instance.signal(Signal::HUP);
     std::thread::sleep(Duration::from_millis(50));
-    let answer = world.instance.call("r", "/safe/a", "", "");
+    let answer = setup.instance.call("r", "/safe/a", "", "");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
