--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -1,4 +1,4 @@
-//! Takes what the store said into what this instance believes, from the store itself or from a peer.
+//! Applies updates from the store or from a peer to this instance's view of the cluster.
 
 use serde_json::json;
 
@@ -12,10 +12,10 @@
 use siskinyoke_interface::Entry;
 use siskinyoke_interface::Item;
 
-/// Organisations that are named in the log line of a new configuration.
+/// Maximum number of organisations listed in the log line of a new configuration.
 const MAX_LOGGED_ORGANISATIONS: usize = 8;
 
-/// Takes in changes, or the whole state; what is known already changes nothing.
+/// Applies changes or a full state; an update that is not newer than the replica has no effect.
 pub fn apply(shell: &Shell, update: Update, source: &str) {
     let before = shell.replica.borrow().revision();
     let full = update.full;
@@ -24,14 +24,15 @@
     if revision == before {
         return;
     }
-    // Before removals: what went while the store was away is given time to return.
+    // Must run before removals are applied: entries that expired during a store outage get a grace
+    // period to return.
     update_store_status(shell);
     let count = items.len();
     let updates: Vec<StoreUpdate> = items
         .into_iter()
         .filter_map(|item| decode(shell, item, source))
         .collect();
-    // A first reading names everything.
+    // The first read contains every endpoint.
     if before > 0 {
         for it in &updates {
             log_endpoint(shell, it);
@@ -50,24 +51,29 @@
     });
     shell.log("store_read", fields);
     rollouts::advance(shell);
-    // Other shards hear of it at once.
+    // Report the new state to other shards at once.
     shell.search_peers();
     shell.decide();
 }
 
-/// Takes note if the store went away for the whole shard, or came back.
+/// Updates whether any instance of the shard can reach the store, and logs a change.
 pub fn update_store_status(shell: &Shell) {
     let changed = shell
         .core
         .borrow_mut()
         .update_store_availability(shell.now());
-    let Some(away) = changed else { return };
-    let event = if away { "store_away" } else { "store_back" };
+    let Some(unavailable) = changed else { return };
+    let event = if unavailable {
+        "store_away"
+    } else {
+        "store_back"
+    };
     let peers = shell.core.borrow().peers().instance_count(shell.now()) - 1;
     shell.log(event, json!({ "peers": peers }));
 }
 
-// Reads an item, which may come from another writer; what cannot be understood names nothing.
+// Decodes an item, which may come from another writer; an invalid one is logged and skipped. A
+// configuration is applied directly.
 fn decode(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
     match shell.interface.documents.entry(&item.key) {
         Entry::Endpoint(id) => match item.value {
@@ -180,7 +186,7 @@
     }
 }
 
-// Puts a configuration in force, unless it is no newer than the one that is.
+// Applies a configuration if it is newer than the active one.
 fn apply_configuration(shell: &Shell, bytes: &[u8], source: &str) {
     let configuration = match shell.interface.documents.configuration(bytes) {
         Ok(configuration) => configuration,
--- a/crates/siskinyoke-gateway/src/first_read.rs
+++ b/crates/siskinyoke-gateway/src/first_read.rs
@@ -1,4 +1,4 @@
-//! The first reading of the store, asked for again while it stays unanswered.
+//! Hedged first read of the store, sent again on other connections while unanswered.
 
 use std::net::SocketAddr;
 
@@ -14,10 +14,10 @@
 use siskinyoke_dispatch::cold_start::READ_HEDGE_DELAY;
 use siskinyoke_interface::Call;
 
-/// An answer, with the connection over which it came.
+/// The body of a response, with the client whose connection delivered it.
 pub type ReadResponse = (Bytes, Client);
 
-/// Calls that are in flight for one reading.
+/// One hedged read, with its calls in flight.
 #[derive(Debug, Default)]
 pub struct FirstRead {
     calls: JoinSet<Result<ReadResponse, StoreError>>,
@@ -25,11 +25,12 @@
 }
 
 impl FirstRead {
-    /// Makes a call, and again over other connections while it stays unanswered. The first success counts.
+    /// Sends a call, and repeats it on other connections while unanswered. The first success wins.
     ///
     /// # Errors
     ///
-    /// Why the last call failed, if none is in flight any more, or that none was answered in time.
+    /// The error of the last call if all have failed, or [`StoreError::NoReply`] if none was answered
+    /// within the limit.
     pub async fn call(
         &mut self,
         address: SocketAddr,
@@ -37,12 +38,12 @@
         limit: Millis,
     ) -> Result<ReadResponse, StoreError> {
         let result = timeout(limit.into(), self.send_hedged(address, call, limit)).await;
-        // Dropping the set ends the calls that lost.
+        // Dropping the set cancels the remaining calls.
         self.calls = JoinSet::new();
         result.unwrap_or(Err(StoreError::NoReply))
     }
 
-    /// Returns how many calls were made.
+    /// Returns the number of calls sent.
     pub fn calls_sent(&self) -> u32 {
         self.sent
     }
@@ -65,7 +66,7 @@
         }
     }
 
-    // Waits until a call succeeded or all failed, or until it is time for the next one.
+    // Waits until a call has succeeded or all have failed. Returns `None` when the next call is due.
     async fn next_result(&mut self) -> Option<Result<ReadResponse, StoreError>> {
         let mut hedge_delay = std::pin::pin!(sleep(READ_HEDGE_DELAY.into()));
         loop {
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Tells the peers how things stand here, and hears how they stand there.
+//! Exchange of state reports between instances.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -21,31 +21,31 @@
 use siskinyoke_dispatch::Message;
 use siskinyoke_dispatch::Report;
 
-/// How often an instance reports that has nothing new to say.
+/// Maximum interval between reports, used while nothing changes.
 const REPORT_INTERVAL: Millis = Millis(100);
 
-/// The shortest time between reports while requests wait.
+/// Minimum interval between reports while requests wait.
 ///
-/// A place that came free is worth a request within that time; ten milliseconds are a thirtieth
-/// of a usual stay.
+/// A freed slot can stay unused until peers learn of it. Ten milliseconds are a thirtieth of a usual
+/// service time.
 const LOADED_REPORT_SPACING: Millis = Millis(10);
 
-/// The shortest time between reports while none waits: places are plenty then.
+/// Minimum interval between reports while no request waits, when slots are plentiful.
 const IDLE_REPORT_SPACING: Millis = Millis(50);
 
-/// How often addresses are tried whose instance was not heard of.
+/// Interval at which addresses are contacted from which no report has been received.
 const DISCOVERY_INTERVAL: Millis = Millis(500);
 
-/// The longest message that is sent, in bytes; longer ones may be cut up on their way.
+/// Maximum message size; longer datagrams may be fragmented in transit.
 const MAX_MESSAGE_BYTES: usize = 8 * 1024;
 
-/// Instances of other shards that are told in each search.
+/// Number of instances of other shards contacted in each discovery round.
 const OTHER_SHARD_TARGETS: usize = 3;
 
-/// The exchange of reports.
+/// Sender and receiver of reports.
 #[derive(Debug, Default)]
 pub struct Gossip {
-    // Where other instances may be, by what peers told.
+    // Addresses of other instances, as listed in the reports of peers.
     advertised: RefCell<BTreeSet<SocketAddr>>,
 }
 
@@ -53,16 +53,19 @@
 ///
 /// # Errors
 ///
-/// The system's reason, with the address.
+/// The operating system's error, with the address.
 pub async fn bind(shell: &Shell, address: SocketAddr) -> std::io::Result<()> {
     let socket = UdpSocket::bind(address).await.map_err(|err| {
-        std::io::Error::new(err.kind(), format!("cannot hear peers on {address}: {err}"))
+        std::io::Error::new(
+            err.kind(),
+            format!("cannot bind the peer socket to {address}: {err}"),
+        )
     })?;
     shell.socket.get_or_init(|| socket);
     Ok(())
 }
 
-/// Sends a message to an instance; one that cannot be sent is lost, as others are on their way.
+/// Sends a message to an instance. Messages may be lost, so a failure is only logged.
 pub fn send(shell: &Shell, to: SocketAddr, message: &Message) {
     if let Some(bytes) = encode(shell, message) {
         send_bytes(shell, to, &bytes, true);
@@ -70,9 +73,9 @@
 }
 
 impl Gossip {
-    /// Reports for as long as the process runs.
+    /// Sends reports for as long as the process runs.
     pub async fn send_reports(self: Rc<Self>, shell: Rc<Shell>) {
-        // A new socket takes nothing before the system has said that it is writable.
+        // `try_send_to` fails on a new socket until it has been reported as writable.
         if let Some(socket) = shell.socket.get()
             && let Err(err) = socket.writable().await
         {
@@ -93,13 +96,13 @@
                 IDLE_REPORT_SPACING
             };
             sleep(spacing.into()).await;
-            // Elapsed or changed: either way the next report is due.
+            // After either a time-out or a notification, the next report is due.
             let rest = Duration::from(REPORT_INTERVAL.since(spacing));
             drop(timeout(rest, shell.report_due.notified()).await);
         }
     }
 
-    /// Hears reports for as long as the process runs.
+    /// Receives messages for as long as the process runs.
     pub async fn receive_reports(self: Rc<Self>, shell: Rc<Shell>) {
         let mut buffer = vec![0; MAX_MESSAGE_BYTES];
         while let Some(socket) = shell.socket.get() {
@@ -168,19 +171,22 @@
             return;
         };
         for address in to {
-            // The next report is soon, so only a whole one is missed.
+            // Other reports are soon followed by the next one, so only failures of full ones are logged.
             send_bytes(shell, *address, &bytes, full);
         }
     }
 
-    // Answers an instance that knows no configuration yet, so that it can take ours. It may have
-    // started while the store is away, and belong to another shard, whose instances it cannot find.
+    // Sends a full report to an instance that has no configuration yet, so that it can fetch ours. It
+    // may have started during a store outage and belong to another shard, whose instances it cannot
+    // find by itself.
     fn send_full_report(shell: &Shell, to: SocketAddr) {
         if shell.core.borrow().configuration_version() > 0 {
             Self::send_report_to(shell, &BTreeSet::from([to]), true);
         }
     }
 
+    // Returns the peers that currently report. A search adds listed instances and, if none are listed,
+    // the seeds and the addresses from reports.
     fn recipients(&self, shell: &Shell, now: Millis, search: bool) -> BTreeSet<SocketAddr> {
         let core = shell.core.borrow();
         let mut all: BTreeSet<SocketAddr> = core
@@ -215,7 +221,7 @@
     }
 }
 
-// A peer that cannot be reached shows by its silence.
+// Failures need no handling: the reports of an unreachable peer stop arriving.
 fn send_bytes(shell: &Shell, to: SocketAddr, bytes: &[u8], log_failure: bool) {
     let sent = shell.socket.get().map(|it| it.try_send_to(bytes, to));
     if let Some(Err(err)) = sent
@@ -226,17 +232,18 @@
     }
 }
 
-// The listed instances of this one's shard, and a few others by chance: so news of work that
-// crashes endpoints reaches all shards in some rounds.
+// Returns the listed instances of this shard and a few random ones of other shards. Thereby reports
+// of poison requests reach all shards within a few rounds.
 fn discovery_targets(core: &Core) -> Vec<SocketAddr> {
     let (members, others): (Vec<_>, Vec<_>) = core.other_instances().partition(|row| row.1);
-    let some = others.choose_multiple(&mut rand::rng(), OTHER_SHARD_TARGETS);
-    let places = members.iter().chain(some).map(|row| row.0);
-    places
-        .filter_map(|place| place.peer_address.parse().ok())
+    let sample = others.choose_multiple(&mut rand::rng(), OTHER_SHARD_TARGETS);
+    let locations = members.iter().chain(sample).map(|row| row.0);
+    locations
+        .filter_map(|location| location.peer_address.parse().ok())
         .collect()
 }
 
+// Returns whether requests wait at this instance or at a peer.
 fn requests_waiting(shell: &Shell, now: Millis) -> bool {
     let core = shell.core.borrow();
     core.scheduler().request_counts().0 > 0
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -1,4 +1,4 @@
-//! Asks instances of other shards for what the own one lacks just now, and answers them.
+//! Borrows slots and quota units from other instances, and handles their borrow requests.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,52 +21,55 @@
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::message::UnitsRequest;
 
-/// How many instances are asked for units at once, each of another shard, and for what part of the units.
+/// Number of instances asked for quota units at once, each of a different shard.
 ///
-/// A shard has a few requests' units to spare. Instances of the same shard would give the same ones away.
+/// A shard can spare the units of a few requests. Instances of the same shard would lend the same
+/// units.
 const QUOTA_LENDERS: usize = 5;
+
+/// Each lender is asked for the required units divided by this.
 const QUOTA_REQUEST_DIVISOR: u64 = 2;
 
-/// How long their answers are waited for: a few times the way between two data centres and back.
+/// How long their replies are awaited: a few round trips between two data centres.
 const QUOTA_REPLY_TIMEOUT: Millis = Millis(30);
 
-/// How long nobody is asked again for an organisation's units after nobody had any.
+/// How long no units are requested for an organisation after no lender had any.
 ///
-/// An organisation beyond its limit would have each of its requests ask for nothing.
+/// Otherwise each request of an organisation that exceeds its quota would query other shards in vain.
 const QUOTA_RETRY_DELAY: Millis = Millis(300);
 
-/// How many instances are asked for a place at once, each of another shard.
+/// Number of instances asked for a slot at once, each of a different shard.
 const SLOT_LENDERS: usize = 2;
 
-/// How long a question for a place is kept open.
+/// How long a slot request is kept while replies are missing.
 const SLOT_REQUEST_TTL: Millis = Millis(500);
 
-/// Questions to other shards.
+/// Borrow requests sent to other instances, and the slots borrowed from them.
 #[derive(Debug, Default)]
 pub struct Lending {
-    // Questions for units.
+    // Channels for the replies to requests for quota units, by request ID.
     quota_requests: RefCell<Map<u64, mpsc::UnboundedSender<Grant>>>,
-    // Questions for places.
+    // Unanswered requests for slots, by request ID.
     slot_requests: RefCell<Map<u64, PendingSlotRequest>>,
-    // Places that running requests were given: by whom, and in answer to which question.
+    // Lender and request ID of the slots that running requests occupy at other shards.
     borrowed_slots: RefCell<Map<Ticket, (SocketAddr, u64)>>,
-    // When nobody had units of an organisation to spare.
+    // When no lender had units to spare, by organisation.
     quota_denied: RefCell<Map<u32, Millis>>,
 }
 
-/// A question for a place for one request.
+/// An unanswered request to borrow a slot for one waiting request.
 #[derive(Debug)]
 struct PendingSlotRequest {
     ticket: Ticket,
-    // Whether holders of rate limits were asked, rather than other shards.
+    // Whether holders of rate-limit tokens were asked, rather than other shards.
     rate_limited: bool,
     sent_at: Millis,
-    // Answers that are still to come.
+    // Number of replies still missing.
     pending_replies: usize,
 }
 
 impl Lending {
-    /// Drops what is long past.
+    /// Removes expired requests and denials.
     pub fn remove_expired(&self, now: Millis) {
         self.quota_denied
             .borrow_mut()
@@ -76,22 +79,22 @@
     }
 }
 
-/// Takes in the answer to a question.
+/// Handles the reply to a borrow request.
 pub fn handle_reply(shell: &Shell, from: SocketAddr, id: u64, grant: Grant) {
     if let Some(sender) = shell.lending.quota_requests.borrow().get(&id) {
-        // A receiver that is gone has all it needs.
+        // A receiver that was dropped needs no more replies.
         sender.send(grant).unwrap_or_default();
         return;
     }
     match grant {
         Grant::Slot(key) => slot_granted(shell, from, id, key),
         Grant::Denied => slot_denied(shell, id),
-        // Too late: they are lost, so that nothing is granted twice.
+        // Units that arrive too late are lost; returning them might grant them twice.
         Grant::Units(_) => {}
     }
 }
 
-/// Asks other shards, or holders of rate limits, for places for requests that cannot start yet.
+/// Asks other shards, or holders of rate-limit tokens, for slots for requests that cannot start.
 pub fn request_slots(shell: &Shell) {
     let now = shell.now();
     let requests = shell.core.borrow_mut().borrow_requests(now);
@@ -117,7 +120,7 @@
     }
 }
 
-/// Returns the place that a request was given by another shard, if it had one.
+/// Returns a request's slot to the lender if the slot was borrowed.
 pub fn return_slot(shell: &Shell, ticket: Ticket) {
     let borrowed = shell.lending.borrowed_slots.borrow_mut().remove(&ticket);
     if let Some((lender, id)) = borrowed {
@@ -125,7 +128,8 @@
     }
 }
 
-// A second place for the same request, or one that comes too late, goes back at once.
+// Starts the request at the lent slot. A second slot for the same request, or one that comes too late,
+// is returned at once.
 fn slot_granted(shell: &Shell, from: SocketAddr, id: u64, key: EndpointKey) {
     let request = shell.lending.slot_requests.borrow_mut().remove(&id);
     let now = shell.now();
@@ -162,6 +166,7 @@
     shell.notify_waiter(ticket, Ok(endpoint));
 }
 
+// Counts a denial; once all lenders have denied the slot, tells the scheduler.
 fn slot_denied(shell: &Shell, id: u64) {
     let mut requests = shell.lending.slot_requests.borrow_mut();
     let Some(request) = requests.get_mut(&id) else {
@@ -189,7 +194,7 @@
     shell.decide();
 }
 
-/// Asks other shards for units of an organisation's quota, and returns how many they gave.
+/// Borrows units of an organisation's quota from other shards, and returns the number granted.
 pub async fn borrow_quota(shell: &Shell, request: UnitsRequest) -> u64 {
     let UnitsRequest {
         organisation,
@@ -210,10 +215,10 @@
         units: units.div_ceil(QUOTA_REQUEST_DIVISOR),
     };
     let grants = request_quota(shell, BorrowRequest::Units(part)).await;
-    let given: u64 = grants.iter().map(|grant| granted_units(*grant)).sum();
-    let fields = json!({ "organisation": organisation, "units": units, "given": given, "answers": grants.len() });
+    let granted: u64 = grants.iter().map(|grant| granted_units(*grant)).sum();
+    let fields = json!({ "organisation": organisation, "units": units, "given": granted, "answers": grants.len() });
     shell.log("units_borrowed", fields);
-    if given == 0 {
+    if granted == 0 {
         let now = shell.now();
         shell
             .lending
@@ -221,19 +226,20 @@
             .borrow_mut()
             .insert(organisation, now);
     }
-    given
+    granted
 }
 
-/// Answers an instance of another shard.
+/// Handles a borrow request of another instance.
 pub fn handle_request(shell: &Shell, from: SocketAddr, id: u64, request: BorrowRequest) {
     let grant = shell.core.borrow_mut().lend(shell.now(), id, request);
     if let Grant::Slot(_) = grant {
-        // Peers must not give the same place away.
+        // Report the lent slot at once, so that peers do not use it too.
         shell.report_due.notify_one();
     }
     gossip::send(shell, from, &Message::Lend(id, grant));
 }
 
+// Sends a request for quota units to several shards and collects the replies.
 async fn request_quota(shell: &Shell, request: BorrowRequest) -> Vec<Grant> {
     let id = rand::random();
     let (sender, mut replies) = mpsc::unbounded_channel();
@@ -253,23 +259,26 @@
     grants
 }
 
+// Chooses random instances, each of a different other shard.
 fn choose_lenders(shell: &Shell, count: usize) -> Vec<SocketAddr> {
     let core = shell.core.borrow();
     let rng = &mut rand::rng();
     let shards = core.instances_by_other_shard();
-    let some: Vec<_> = shards.choose_multiple(rng, count).collect();
-    let places = some.into_iter().filter_map(|shard| shard.choose(rng));
-    places
+    let sample: Vec<_> = shards.choose_multiple(rng, count).collect();
+    let locations = sample.into_iter().filter_map(|shard| shard.choose(rng));
+    locations
         .filter_map(|it| it.peer_address.parse().ok())
         .collect()
 }
 
-// Some peers that hold a part of a rate limit of a service.
+// Chooses random peers that hold tokens for rate-limited endpoints of a service.
 fn choose_token_holders(shell: &Shell, service: u32) -> Vec<SocketAddr> {
     let core = shell.core.borrow();
     let holders = core.token_holders(shell.now(), service);
-    let some = holders.choose_multiple(&mut rand::rng(), SLOT_LENDERS);
-    some.filter_map(|it| it.peer_address.parse().ok()).collect()
+    let sample = holders.choose_multiple(&mut rand::rng(), SLOT_LENDERS);
+    sample
+        .filter_map(|it| it.peer_address.parse().ok())
+        .collect()
 }
 
 fn granted_units(grant: Grant) -> u64 {
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! Hands to peers what the store said, and takes it from them.
+//! Replication of store changes between peers, so that not every instance reads the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,31 +21,32 @@
 use siskinyoke_base::Millis;
 use siskinyoke_interface::Call;
 
-/// How long a peer may take to hand over what it has.
+/// Time limit for fetching changes from a peer.
 const FETCH_TIMEOUT: Millis = Millis(1_000);
 
-/// How long an instance that watches the store itself waits for it before it asks a peer.
+/// How long an instance that watches the store waits for it before it fetches changes from a peer.
 ///
-/// The store brings changes within milliseconds where it can be reached.
+/// A reachable store delivers changes within milliseconds.
 const WATCHER_FETCH_DELAY: Millis = Millis(150);
 
-/// How long a process that started reads the store before it asks a peer for everything.
+/// How long a new process reads the store before it fetches the full state from a peer.
 ///
-/// Reading some thousand items takes a small instance about a second. Where all start at once, the
-/// first to have read them would be asked by all others, for a megabyte each.
+/// Reading a few thousand items takes a small instance about a second. When all instances start at
+/// once, the first to finish would otherwise have to send a megabyte to each of the others.
 const FIRST_READ_FETCH_DELAY: Millis = Millis(1_500);
 
-/// The longest pause before a follower asks, drawn anew each time: all of a shard hear of a change at
-/// the same moment, from the same instance.
+/// Maximum random delay before a follower fetches changes.
+///
+/// All followers of a shard learn of a change at the same moment, from the same instance.
 const MAX_FETCH_JITTER: Millis = Millis(60);
 
-/// How long a peer is not asked again that failed to answer; others know the same.
+/// How long no changes are fetched from a peer after a failure; other peers have the same changes.
 const FAILED_PEER_BACKOFF: Millis = Millis::from_secs(3);
 
 const CHANGES_PATH: &str = "/changes/";
 
 quick_error! {
-    /// Why a peer handed over nothing.
+    /// Why changes could not be fetched from a peer.
     #[derive(Debug)]
     pub enum FetchError {
         /// The call failed.
@@ -54,7 +55,7 @@
             source(err)
             from()
         }
-        /// Its answer cannot be understood.
+        /// The response cannot be decoded.
         Format(err: postcard::Error) {
             display("{err}")
             source(err)
@@ -63,7 +64,7 @@
     }
 }
 
-/// Answers a peer that asks for what it lacks: the path names the revision that it knows.
+/// Serves a peer's request for the changes since the revision in the path.
 pub fn serve_changes(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
     let known = request.uri().path().strip_prefix(CHANGES_PATH);
     let Some(Ok(known)) = known.map(str::parse) else {
@@ -78,7 +79,7 @@
     }
 }
 
-/// Takes from a peer that knows the store up to a revision what is not known here.
+/// Fetches missing changes from a peer if its store revision is ahead of this instance's.
 pub fn catch_up(shell: &Rc<Shell>, from: SocketAddr, revision: u64) {
     let now = shell.now();
     let ahead = shell.core.borrow_mut().record_peer_revision(now, revision);
@@ -107,7 +108,7 @@
 async fn fetch(shell: &Shell, from: SocketAddr) {
     match request_update(shell, from).await {
         Ok(update) => cluster_view::apply(shell, update, "peer"),
-        // The store has the changes for one call.
+        // The peer cannot provide the changes, but the store can with a single call.
         Err(FetchError::Call(StoreError::Status(StatusCode::CONFLICT))) => {
             shell.core.borrow_mut().request_store_read();
             shell.handover_failed.notify_waiters();
@@ -124,7 +125,7 @@
 async fn request_update(shell: &Shell, from: SocketAddr) -> Result<Update, FetchError> {
     let known = shell.replica.borrow().revision();
     let call = Call::get(format!("{CHANGES_PATH}{known}"));
-    // Nobody else asks meanwhile: `catching` is set.
+    // `catching_up` keeps other tasks from using the client meanwhile.
     let mut client = shell.peer_client.take();
     let result = client.call(from, &call, FETCH_TIMEOUT).await;
     shell.peer_client.replace(client);
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Takes in the rate limits that endpoints name in their answers, and logs what becomes of them.
+//! Records the rate limits that endpoints announce in their responses, and logs changes.
 
 use serde_json::json;
 
@@ -9,9 +9,10 @@
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::Verdict;
 
-/// Takes in what the head of an answer says of a limit; its request was sent at `sent`.
+/// Records the rate limit in the head of a response to a request sent at `sent`.
 ///
-/// Only an answer of the endpoint's own shows that it names none any more: a refusal need not name what it takes.
+/// A missing limit counts as lifted only in a regular response: a refusal need not state the rate
+/// that the endpoint accepts.
 pub fn record(
     shell: &Shell,
     endpoint: &Endpoint,
@@ -36,11 +37,11 @@
     log_changes(shell);
 }
 
-/// Writes a line for each limit that was named, changed or lifted.
+/// Logs each limit that was announced, changed or lifted.
 pub fn log_changes(shell: &Shell) {
     let changes = shell.core.borrow_mut().take_limit_changes();
     if !changes.is_empty() {
-        // Peers send there until they hear of it.
+        // Peers keep sending at the previous rate until they receive a report.
         shell.report_due.notify_one();
     }
     for change in changes {
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps this instance's entry in the store, so that the others find it.
+//! Registration of this instance in the store, so that other instances can find it.
 
 use std::rc::Rc;
 
@@ -12,31 +12,31 @@
 use siskinyoke_base::Millis;
 use siskinyoke_interface::Call;
 
-/// How long the entry outlives this process.
+/// Time to live of the entry after the last renewal.
 ///
-/// It is only a place to look for others; who is alive shows in their reports, but for those of other
-/// shards in a large fleet, which callers are still told of for that long.
+/// Entries serve for discovery only: reports show which instances are alive. Instances of other
+/// shards in a large fleet are the exception; callers are directed to them until the entry expires.
 const LEASE_TTL: Millis = Millis(12_000);
 
-/// How often the lease is renewed: twice may fail.
+/// Renewal interval of the lease; two renewals in a row may fail.
 const RENEWAL_INTERVAL: Millis = Millis(4_000);
 
-/// How often it is renewed by an instance that watches the store for others.
+/// Renewal interval of an instance that watches the store for others.
 ///
-/// A renewal costs the store a tenth of another call. One that is not answered shows that the store
-/// cannot be reached while a watch is still silent as usual, so that a peer takes over.
+/// An idle watch does not show whether the store is reachable. An unanswered renewal does, so that a
+/// peer can take over, and it costs the store only a tenth of any other call.
 const WATCHER_RENEWAL_INTERVAL: Millis = Millis(1_000);
 
-/// How long to wait after a failed call; it doubles up to the longest.
+/// Delay after the first failed call; it doubles with each further one.
 const MIN_RETRY_DELAY: Millis = Millis(1_000);
 
-/// The longest wait after failed calls: a store that refuses all counts each call.
+/// Maximum delay after failed calls; a store that rejects all calls still counts each one.
 const MAX_RETRY_DELAY: Millis = Millis(4_000);
 
-/// How long a call may take.
+/// Time limit for a call.
 const CALL_TIMEOUT: Millis = Millis(1_500);
 
-/// Keeps this instance's entry for as long as the process runs.
+/// Keeps this instance registered until it shuts down, then removes its entry.
 pub async fn maintain(shell: Rc<Shell>) {
     let mut client = Client::default();
     let mut lease = None;
@@ -74,8 +74,8 @@
     }
 }
 
-// Renews the lease. One that has ended took the entry with it, which is then written anew at once, as
-// nobody else can find this instance meanwhile.
+// Renews the lease. If it has expired, the store has removed the entry, and other instances cannot find
+// this one until it is written again, so that happens at once.
 async fn renew_or_register(
     shell: &Shell,
     client: &mut Client,
@@ -89,6 +89,7 @@
     register(shell, client).await
 }
 
+// Writes the entry under a new lease, and returns the lease.
 async fn register(shell: &Shell, client: &mut Client) -> Result<u64, StoreError> {
     let settings = shell.settings();
     let store = &shell.interface.store;
@@ -102,7 +103,8 @@
     Ok(lease)
 }
 
-// Takes the entry away, so that callers are sent here no more; else the lease does so in time.
+// Removes the entry, so that no more callers are directed here. If this fails, it expires with the
+// lease.
 async fn deregister(shell: &Shell, client: &mut Client, lease: Option<u64>) {
     let Some(lease) = lease else { return };
     let end = shell.interface.store.end(lease);
@@ -111,7 +113,7 @@
     }
 }
 
-// Returns whether the lease still holds.
+// Renews the lease, and returns whether it is still valid.
 async fn renew(shell: &Shell, client: &mut Client, lease: u64) -> Result<bool, StoreError> {
     let renewal = shell.interface.store.renew(lease);
     match call(shell, client, "renew", &renewal).await {
--- a/crates/siskinyoke-gateway/src/replica.rs
+++ b/crates/siskinyoke-gateway/src/replica.rs
@@ -1,4 +1,4 @@
-//! What the store said, kept so that peers can take it from here.
+//! A replica of the store's contents, from which peers fetch changes.
 
 use std::collections::BTreeMap;
 
@@ -8,51 +8,52 @@
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Item;
 
-/// Removed items that are remembered for peers.
+/// Maximum number of removed items kept for peers.
 ///
-/// A peer asks within a second or two. A rolling restart of a fleet removes some hundred items in that
-/// time; a peer that lacks more is given everything.
+/// A peer fetches changes within a second or two. A rolling restart of a fleet removes a few hundred
+/// items in that time; a peer that misses more receives the full state.
 const MAX_TOMBSTONES: usize = 1_024;
 
-/// What a peer lacks.
+/// Changes since a revision, or the full state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The revision up to which the items speak.
+    /// The store revision that the update leads to.
     pub revision: u64,
-    /// Whether they are everything there is, so that what is not among them is gone.
+    /// Whether the items are the full state, so that all other items have been removed.
     #[serde(rename = "whole")]
     pub full: bool,
-    /// The items.
+    /// The changed items, or all existing ones.
     pub items: Vec<Item>,
 }
 
 #[derive(Debug)]
 struct Entry {
     item: Item,
-    // The revision that was reached by taking it in; a reading page by page may run ahead of it.
+    // The replica's revision after the item was applied. The item's own revision may be higher, as a
+    // paged read is no snapshot.
     applied_revision: u64,
 }
 
-/// What the store said, up to a revision.
+/// The store's contents up to a revision.
 #[derive(Debug, Default)]
 pub struct Replica {
     revision: u64,
-    // The last word on each key, also on removed ones.
+    // The last change of each key, including removals.
     entries: BTreeMap<String, Entry>,
-    // The revision from which on no removal is missing among these: that of the last state that came whole,
-    // or of a removal that was forgotten since.
+    // The revision since which `entries` has every removal: that of the last full state, or of a removal
+    // pruned after it.
     complete_since: u64,
-    // The revision of the first state that came whole.
+    // The revision of the first full state.
     first_revision: u64,
 }
 
 impl Replica {
-    /// Returns the revision up to which everything is known; 0 before anything was read.
+    /// Returns the revision up to which all changes are known; 0 before the first read.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes in what the store or a peer said, and returns what is news.
+    /// Applies an update from the store or a peer, and returns the items that differ.
     pub fn apply_update(&mut self, update: Update) -> Vec<Item> {
         let batch = Batch {
             items: update.items,
@@ -66,10 +67,10 @@
         }
     }
 
-    /// Takes in changes that follow the known revision, and returns those that are news.
+    /// Applies changes that follow the known revision, and returns the new ones.
     ///
-    /// The same changes may come from the store and from peers; what is not later than the known
-    /// revision is no news.
+    /// The same changes may come from the store and from peers; those up to the known revision are
+    /// skipped.
     pub fn apply_changes(&mut self, batch: Batch) -> Vec<Item> {
         if batch.revision <= self.revision {
             return Vec::new();
@@ -81,14 +82,14 @@
         changed
     }
 
-    /// Takes in everything there is at a revision, and returns what differs from what was known.
+    /// Applies the full state at a revision, and returns the items that differ.
     ///
-    /// A state no later than the known one is passed over.
+    /// A state that is not newer than the known one is ignored.
     pub fn replace_all(&mut self, batch: Batch) -> Vec<Item> {
         if batch.revision <= self.revision {
             return Vec::new();
         }
-        // What came and went in between is not seen here, and a peer may know it.
+        // Items created and removed in between do not appear here, but a peer may have them.
         self.complete_since = batch.revision;
         if self.revision == 0 {
             self.first_revision = batch.revision;
@@ -109,11 +110,11 @@
         changed
     }
 
-    /// Returns what a peer lacks that knows everything up to a revision.
+    /// Returns the update for a peer that knows all changes up to a revision.
     ///
-    /// Nothing is returned to one that knows what was before this instance began to: it has the changes from
-    /// the store for one call. Instances that start together are all in that position, and a whole state
-    /// from each to each fills their links for seconds.
+    /// Returns `None` if the peer's state is older than the first one of this replica: the peer gets
+    /// the changes from the store with one call. Instances that start together are all in this
+    /// situation, and sending full states to each other would saturate their links for seconds.
     pub fn changes_since(&self, known: u64) -> Option<Update> {
         let full = known < self.complete_since;
         if full && known > 0 && self.complete_since == self.first_revision {
@@ -152,7 +153,7 @@
         self.prune_tombstones();
     }
 
-    // Forgets the removals that are longest past.
+    // Removes the oldest tombstones beyond the limit.
     fn prune_tombstones(&mut self) {
         let removed = self.entries.values().filter(|it| it.item.value.is_none());
         let mut revisions: Vec<u64> = removed.map(|it| it.applied_revision).collect();
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Carries rollouts on: applies what time and answers decide, and writes the states that are due.
+//! Advances rollouts and writes their states to the store.
 
 use std::rc::Rc;
 
@@ -12,10 +12,13 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::core::StatusWrite;
 
-/// How long a write may take. One whose answer is lost may still take effect: its condition decides.
+/// Time limit for writing a state.
+///
+/// A write without a response may still take effect; the condition on revisions keeps it from being
+/// applied twice.
 const WRITE_TIMEOUT: Millis = Millis(1_500);
 
-/// Applies what was decided of rollouts by now.
+/// Advances rollouts by elapsed time and recorded responses, and logs changes of phase.
 pub fn advance(shell: &Shell) {
     let shifts = shell.core.borrow_mut().advance_rollouts(shell.now());
     if shifts.is_empty() {
@@ -29,12 +32,12 @@
         });
         shell.log("rollout", fields);
     }
-    // Other shards hear of a verdict at once.
+    // Report a verdict to other shards at once.
     shell.search_peers();
     shell.decide();
 }
 
-/// Writes the states that this instance is to write, unless it is at it already.
+/// Writes the rollout states due from this instance, unless a write is in progress.
 pub fn write_due_states(shell: &Rc<Shell>) {
     let due = shell.core.borrow().status_writes(shell.now());
     if due.is_empty() || shell.writing_status.replace(true) {
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! The client of the store.
+//! HTTP client for the store, also used for calls between peers.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -23,30 +23,30 @@
 use siskinyoke_interface::Store;
 
 quick_error! {
-    /// Why a call of the store brought no answer to use.
+    /// Why a call failed.
     #[derive(Debug)]
     pub enum StoreError {
-        /// No connection could be made.
+        /// The connection could not be established.
         Connect(err: ConnectError) {
             display("{err}")
             source(err)
             from()
         }
-        /// The connection broke; a write may have taken effect.
+        /// The connection was lost; a write may have taken effect.
         ConnectionLost(err: hyper::Error) {
-            display("the connection broke: {err}")
+            display("connection lost: {err}")
             source(err)
             from()
         }
-        /// No answer came in time; a write may have taken effect.
+        /// No complete response arrived in time; a write may have taken effect.
         NoReply {
-            display("no answer in time")
+            display("no response in time")
         }
-        /// It answered with a failure.
+        /// The response has an error status.
         Status(status: StatusCode) {
-            display("answered {status}")
+            display("response status {status}")
         }
-        /// Its answer cannot be understood.
+        /// The response cannot be decoded.
         Format(err: FormatError) {
             display("{err}")
             source(err)
@@ -55,20 +55,21 @@
     }
 }
 
-/// A client of the store that keeps one connection.
+/// A client that keeps one connection open between calls.
 #[derive(Debug, Default)]
 pub struct Client {
     connection: Option<(SocketAddr, Connection)>,
 }
 
 impl Client {
-    /// Makes a call and returns the body of a success.
+    /// Makes a call and returns the body of a successful response.
     ///
-    /// A call whose connection was found closed before anything was sent is made once more.
+    /// If the kept connection turns out to be closed before anything was sent, the call is retried
+    /// once on a new one.
     ///
     /// # Errors
     ///
-    /// Why there is none; the connection is not used again after a doubt.
+    /// Any other result. The connection is reused only after a complete response.
     pub async fn call(
         &mut self,
         address: SocketAddr,
@@ -79,11 +80,12 @@
         self.call_until(address, call, limit, complete).await
     }
 
-    /// Waits for changes until the store says that they are whole.
+    /// Waits until the store has sent a complete batch of changes.
     ///
     /// # Errors
     ///
-    /// As [`Self::call`]; the limit is no failure where watches are quiet while nothing changes.
+    /// As for [`Self::call`], but if the store sends nothing on an open watch while nothing changes,
+    /// reaching the limit is no error and yields an empty batch.
     pub async fn watch(
         &mut self,
         address: SocketAddr,
@@ -102,6 +104,8 @@
         }
     }
 
+    // Makes a call within a time limit. `read` gets the body received so far and whether it is complete,
+    // and returns the result once it can be decoded.
     async fn call_until<T>(
         &mut self,
         address: SocketAddr,
@@ -121,6 +125,7 @@
         result
     }
 
+    // Sends a call over the kept connection or a new one, and reads the response.
     async fn exchange<T>(
         &mut self,
         address: SocketAddr,
@@ -167,7 +172,7 @@
 fn encode(address: SocketAddr, call: &Call) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from(call.body.clone())));
     *request.method_mut() = call.method.parse().unwrap_or_default();
-    // Paths are made of fixed words and numbers; one that is no path asks for the root.
+    // Paths consist of fixed words and numbers; an invalid one would fall back to the root.
     *request.uri_mut() = call.path.parse().unwrap_or_default();
     let headers = request.headers_mut();
     if let Ok(host) = http::HeaderValue::from_str(&address.to_string()) {
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -23,21 +23,21 @@
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::Item;
 
-/// How long a read may take: a hundred times the store's usual four milliseconds.
+/// Time limit for a read; the store usually answers within four milliseconds.
 const READ_TIMEOUT: Millis = Millis(1_000);
 
-/// The first pause after a failed call; it doubles up to the longest.
+/// Delay after the first failed call; it doubles with each further one.
 const MIN_RETRY_DELAY: Millis = Millis(100);
 
-/// The longest pause after failed calls, so that the return of the store is noticed soon.
+/// Maximum delay after failed calls, so that the recovery of the store is noticed soon.
 const MAX_RETRY_DELAY: Millis = Millis(500);
 
-/// How often an instance that follows a peer looks whether it is to watch by itself.
+/// Interval at which a follower checks whether it has to watch the store itself.
 ///
-/// Half of the time after which a silent peer no longer counts as heard.
+/// Less than half of the time after which a peer counts as unresponsive.
 const ROLE_CHECK_INTERVAL: Millis = Millis(200);
 
-/// Follows the store for as long as the process runs, by itself or through peers.
+/// Follows the store for as long as the process runs, directly or through peers.
 pub async fn follow(shell: Rc<Shell>) {
     let mut watcher = Watcher {
         shell,
@@ -65,13 +65,14 @@
 struct Watcher {
     shell: Rc<Shell>,
     client: Client,
-    // Whether the store has forgotten changes that are not known here: only a whole reading tells.
+    // Whether the store has compacted changes that are missing here, so that a full read is needed.
     compacted: bool,
-    // What was decided last.
+    // The role at the last check.
     role: Option<StoreRole>,
 }
 
 impl Watcher {
+    // Returns whether to watch the store or to follow a peer, and logs a change.
     fn update_role(&mut self) -> StoreRole {
         let now = self.shell.now();
         let core = self.shell.core.borrow();
@@ -91,6 +92,8 @@
         role
     }
 
+    // Waits for the next changes. Reads the full state first if it is unknown: with a cheap read, or
+    // with a linearizable one if that has no configuration.
     async fn step(&mut self) -> Result<(), StoreError> {
         let revision = self.shell.replica.borrow().revision();
         if revision > 0 && !self.compacted {
@@ -103,14 +106,14 @@
         Ok(())
     }
 
-    // Reads everything, and returns whether there was a configuration: an old state may have none yet.
+    // Reads the full state, and returns whether it has a configuration; a stale one may not.
     async fn read_all(&mut self, consistency: Consistency) -> Result<bool, StoreError> {
         let mut items = Vec::new();
         let mut after = String::new();
         let mut revision = u64::MAX;
         loop {
             let page = self.read_page(&after, consistency).await?;
-            // Pages are no snapshot: the watch starts where the first of them stood.
+            // Pages are no snapshot, so the watch starts at the lowest revision among them.
             revision = revision.min(page.revision);
             after = page
                 .items
@@ -145,7 +148,7 @@
         let address = shell.settings().store;
         let store = &shell.interface.store;
         let call = store.range(after, consistency);
-        // Only the cheap kind of reading is made more than once.
+        // Only serializable reads are cheap enough for the store to be hedged.
         let body = if consistency == Consistency::Serializable && after.is_empty() {
             self.read_first_page(address, &call).await?
         } else {
@@ -177,7 +180,7 @@
         }
         let (body, client) = result?;
         self.shell.metrics.record_store_call("read_cached", true);
-        // The other pages and the watch go over the connection that works.
+        // Use the connection that works for the remaining pages and the watch.
         self.client = client;
         Ok(body)
     }
@@ -196,7 +199,7 @@
         let unreachable = !self.shell.core.borrow().reaches_store();
         let result = tokio::select! {
             result = self.client.watch(address, &call, limit, store) => result,
-            // The store did not answer another call: the connection of this one may be dead too.
+            // The store did not answer another call, so this connection may be dead too.
             () = self.shell.store_unresponsive.notified() => Err(StoreError::NoReply),
         };
         self.shell
