--- a/crates/siskinyoke-cli/src/operate/endpoint.rs
+++ b/crates/siskinyoke-cli/src/operate/endpoint.rs
@@ -93,7 +93,7 @@
     for (name, entry) in &entries {
         if entry.slots == 0 {
             let field = format!("{name}.slots");
-            return Err(fault(FormatError::Value(field, "give 1 or more")));
+            return Err(fault(FormatError::InvalidValue(field, "give 1 or more")));
         }
     }
     for (name, entry) in &entries {
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -18,7 +18,7 @@
 
 /// Answers whether this instance takes callers.
 pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
-    if request.uri().path() != shell.interface.pages.ready_path() {
+    if request.uri().path() != shell.interface.directory.ready_path() {
         return answer::plain(StatusCode::NOT_FOUND, "no such page");
     }
     if shell.core.borrow().ready() {
@@ -30,19 +30,19 @@
 
 /// Answers which instances a caller should use.
 pub fn directory(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
-    if request.uri().path() != shell.interface.pages.directory_path() {
+    if request.uri().path() != shell.interface.directory.directory_path() {
         return answer::plain(StatusCode::NOT_FOUND, "no such page");
     }
     let centre = shell
         .interface
-        .pages
+        .directory
         .centre(request.uri().query().unwrap_or(""));
     let addresses = shell.core.borrow().caller_addresses(shell.now(), centre);
     if addresses.is_empty() {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
     let keep = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
-    answer::json(shell.interface.pages.directory(&addresses, keep))
+    answer::json(shell.interface.directory.directory(&addresses, keep))
 }
 
 /// Answers with the metrics page.
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -248,7 +248,7 @@
 fn forgotten(err: &StoreError) -> bool {
     match err {
         StoreError::Status(status) => *status == http::StatusCode::GONE,
-        StoreError::Format(FormatError::Forgotten) => true,
+        StoreError::Format(FormatError::Compacted) => true,
         _ => false,
     }
 }
--- a/crates/siskinyoke-interface/src/error.rs
+++ b/crates/siskinyoke-interface/src/error.rs
@@ -23,15 +23,15 @@
             from()
         }
         /// The store no longer has the changes that were asked for.
-        Forgotten {
+        Compacted {
             display("the store has forgotten the changes asked for (everything is read anew)")
         }
         /// A field is outside what can work.
-        Value(field: String, hint: &'static str) {
+        InvalidValue(field: String, hint: &'static str) {
             display("'{field}' cannot be used: {hint}")
         }
         /// A word stands where only certain words may.
-        Word(field: &'static str, word: String) {
+        UnknownValue(field: &'static str, word: String) {
             display("{field} is '{word}', which is not known")
         }
     }
--- a/crates/siskinyoke-interface/src/headers.rs
+++ b/crates/siskinyoke-interface/src/headers.rs
@@ -75,7 +75,7 @@
     let number = value.to_str().ok().and_then(|it| it.trim().parse().ok());
     match number {
         Some(rate) if f64::is_finite(rate) && rate >= 0.0 => Ok(Some(rate)),
-        _ => Err(FormatError::Value(
+        _ => Err(FormatError::InvalidValue(
             name.to_string(),
             "give requests a second, 0 or more",
         )),
--- a/crates/siskinyoke-interface/src/lib.rs
+++ b/crates/siskinyoke-interface/src/lib.rs
@@ -3,13 +3,14 @@
 //! An interface says how callers, endpoints, operators and the store are spoken to: names, formats
 //! and calls. It decides nothing. The runtime holds one interface and knows no other names.
 
+pub mod directory;
 pub mod documents;
 pub mod error;
 pub mod exchange;
 pub mod headers;
-pub mod pages;
 pub mod store;
 
+pub use directory::Pages;
 pub use documents::Documents;
 pub use documents::Entry;
 pub use documents::Keys;
@@ -18,7 +19,6 @@
 pub use exchange::Exchange;
 pub use exchange::Head;
 pub use exchange::Verdict;
-pub use pages::Pages;
 pub use store::Batch;
 pub use store::Call;
 pub use store::Consistency;
@@ -35,5 +35,5 @@
     /// What the store holds.
     pub documents: Box<dyn Documents>,
     /// The short pages beside callers' work.
-    pub pages: Box<dyn Pages>,
+    pub directory: Box<dyn Pages>,
 }
--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -182,7 +182,7 @@
                 }
                 if !(0.0..=100.0).contains(share) {
                     let field = format!("presets.{name}.shares.{organisation}");
-                    return Err(FormatError::Value(field, "give 0 to 100"));
+                    return Err(FormatError::InvalidValue(field, "give 0 to 100"));
                 }
             }
         }
@@ -199,7 +199,10 @@
         let closed = preset.closed.contains(&row.tier);
         if row.services.values().all(|weight| *weight == 0) {
             let field = format!("routes, tier {}", row.tier);
-            return Err(FormatError::Value(field, "name a service with a weight"));
+            return Err(FormatError::InvalidValue(
+                field,
+                "name a service with a weight",
+            ));
         }
         for service in row.services.keys() {
             configuration.add_service(Service {
@@ -243,7 +246,10 @@
             }
             _ => {
                 let field = format!("routes, tier {}", row.tier);
-                return Err(FormatError::Value(field, "give either model or path"));
+                return Err(FormatError::InvalidValue(
+                    field,
+                    "give either model or path",
+                ));
             }
         }
         Ok(())
@@ -274,7 +280,7 @@
 const PLAIN: f64 = 1_000.0;
 
 fn missing(field: &str, name: &str, hint: &'static str) -> FormatError {
-    FormatError::Value(format!("{field}: {name}"), hint)
+    FormatError::InvalidValue(format!("{field}: {name}"), hint)
 }
 
 fn two() -> u32 {
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -40,7 +40,7 @@
     #[serde(default)]
     pub draining: bool,
     /// The start of its process in Unix ms, where it is known; another start forgets the past.
-    #[serde(default)]
+    #[serde(rename = "born", default)]
     pub born: u64,
 }
 
@@ -62,7 +62,7 @@
     fn endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError> {
         let entry: EndpointEntry = serde_json::from_slice(bytes)?;
         if entry.slots == 0 {
-            return Err(FormatError::Value("slots".into(), "give 1 or more"));
+            return Err(FormatError::InvalidValue("slots".into(), "give 1 or more"));
         }
         Ok(Endpoint {
             id: id.into(),
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -79,7 +79,7 @@
             }
             let message: Message = serde_json::from_slice(line)?;
             if message.result.canceled {
-                return Err(FormatError::Forgotten);
+                return Err(FormatError::Compacted);
             }
             for event in message.result.events {
                 let item = event.kv.decode(event.kind == "DELETE")?;
@@ -271,5 +271,5 @@
         return Ok(0);
     }
     text.parse()
-        .map_err(|_| FormatError::Value(text.to_owned(), "a whole number was expected"))
+        .map_err(|_| FormatError::InvalidValue(text.to_owned(), "a whole number was expected"))
 }
--- a/crates/siskinyoke-native/src/lib.rs
+++ b/crates/siskinyoke-native/src/lib.rs
@@ -3,11 +3,11 @@
 //! It names and decodes; it decides nothing.
 
 pub mod configuration;
+pub mod directory;
 pub mod documents;
 pub mod etcd;
 pub mod exchange;
 pub mod names;
-pub mod pages;
 pub mod rollout;
 
 use siskinyoke_interface::Interface;
@@ -18,6 +18,6 @@
         exchange: Box::new(exchange::Own),
         store: Box::new(etcd::Etcd),
         documents: Box::new(documents::Stored),
-        pages: Box::new(pages::Paths),
+        directory: Box::new(directory::Paths),
     }
 }
--- a/crates/siskinyoke-native/src/rollout.rs
+++ b/crates/siskinyoke-native/src/rollout.rs
@@ -51,13 +51,13 @@
 pub fn decode(bytes: &[u8]) -> Result<OrderText, FormatError> {
     let order: RolloutOrder = serde_json::from_slice(bytes)?;
     if order.version.is_empty() {
-        return Err(FormatError::Value(
+        return Err(FormatError::InvalidValue(
             "version".into(),
             "name the version of the new endpoints",
         ));
     }
     if !(1..=LONGEST).contains(&order.seconds) {
-        return Err(FormatError::Value(
+        return Err(FormatError::InvalidValue(
             "seconds".into(),
             "give 1 to 86400 seconds",
         ));
--- a/crates/siskinyoke-native/tests/etcd.rs
+++ b/crates/siskinyoke-native/tests/etcd.rs
@@ -49,7 +49,7 @@
 fn a_watch_over_forgotten_changes_fails() {
     let text = "{\"result\":{\"canceled\":true,\"compact_revision\":\"90\"}}\n";
     let err = Etcd.decode_watch(text.as_bytes(), false).unwrap_err();
-    assert!(matches!(err, FormatError::Forgotten));
+    assert!(matches!(err, FormatError::Compacted));
 }
 
 #[test]
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -128,7 +128,7 @@
         etcd.put(KEY, &number.to_string());
     }
     let err = watched(&etcd, revision).unwrap_err();
-    assert!(matches!(err, FormatError::Forgotten), "{err}");
+    assert!(matches!(err, FormatError::Compacted), "{err}");
 }
 
 #[test]
