--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -9,12 +9,12 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::beliefs;
+use crate::cluster_view;
 use crate::gossip;
 use crate::gossip::Gossip;
-use crate::journal::LogWriter;
 use crate::listener;
 use crate::listener::Page;
+use crate::log_writer::LogWriter;
 use crate::registration;
 use crate::reload;
 use crate::rollouts;
@@ -59,16 +59,16 @@
 fn run_with(
     settings: Settings,
     path: PathBuf,
-    journal: LogWriter,
+    log_writer: LogWriter,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, serve(settings, path, journal))
+    LocalSet::new().block_on(&runtime, serve(settings, path, log_writer))
 }
 
 async fn serve(
     settings: Settings,
     path: PathBuf,
-    journal: LogWriter,
+    log_writer: LogWriter,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let listen = settings.listen.clone();
     let gossip = Rc::new(Gossip::default());
@@ -82,10 +82,10 @@
     ];
     let identity = identity(&settings);
     let shell = Rc::new(Shell::new(
-        settings.interface.interface(),
+        settings.interface.build(),
         settings,
         identity,
-        journal,
+        log_writer,
     )?);
     gossip::bind(&shell, listen.peers).await?;
     shell.log("start", json!({ "version": env!("CARGO_PKG_VERSION") }));
@@ -93,10 +93,10 @@
         let listener = listener::bind(address).await?;
         spawn_local(listener::accept(shell.clone(), listener, page));
     }
-    spawn_local(gossip.clone().tell(shell.clone()));
-    spawn_local(gossip.hear(shell.clone()));
+    spawn_local(gossip.clone().send_reports(shell.clone()));
+    spawn_local(gossip.receive_reports(shell.clone()));
     spawn_local(watcher::follow(shell.clone()));
-    spawn_local(registration::keep(shell.clone()));
+    spawn_local(registration::maintain(shell.clone()));
     spawn_local(reload::poll_file(shell.clone(), path.clone()));
     spawn_local(signals::reload_on_signal(shell.clone(), path));
     spawn_local(poll_queue(shell.clone()));
@@ -136,11 +136,11 @@
         sleep(SWEEP_INTERVAL.into()).await;
         let now = shell.now();
         shell.core.borrow_mut().sweep(now);
-        beliefs::notice_store(&shell);
+        cluster_view::update_store_status(&shell);
         rollouts::advance(&shell);
-        rollouts::write_due(&shell);
+        rollouts::write_due_states(&shell);
         shell.pool.sweep(now);
-        shell.lending.sweep(now);
+        shell.lending.remove_expired(now);
         shell.flush();
     }
 }
