--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -18,7 +18,7 @@
 
 /// Answers whether this instance takes callers.
 pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<AnswerBody> {
-    if request.uri().path() != shell.interface.directory.ready_path() {
+    if request.uri().path() != shell.interface.directory.readiness_path() {
         return answer::plain(StatusCode::NOT_FOUND, "no such page");
     }
     if shell.core.borrow().ready() {
@@ -36,13 +36,13 @@
     let centre = shell
         .interface
         .directory
-        .centre(request.uri().query().unwrap_or(""));
+        .requested_centre(request.uri().query().unwrap_or(""));
     let addresses = shell.core.borrow().caller_addresses(shell.now(), centre);
     if addresses.is_empty() {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
     let keep = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
-    answer::json(shell.interface.directory.directory(&addresses, keep))
+    answer::json(shell.interface.directory.encode_addresses(&addresses, keep))
 }
 
 /// Answers with the metrics page.
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -92,7 +92,7 @@
     if let Some(refused) = refuse_head(shell, &parts, limits) {
         return refused;
     }
-    if shell.interface.exchange.in_body(&parts) {
+    if shell.interface.exchange.needs_body(&parts) {
         answer_by_body(shell, parts, body, limits, arrival).await
     } else {
         answer_by_head(shell, parts, body, limits, arrival).await
@@ -109,7 +109,7 @@
     let (limits, body, held) = match early::hold(shell, &parts, body).await {
         Ok(taken) => taken,
         Err(refusal) => {
-            let id = shell.interface.exchange.id(&parts);
+            let id = shell.interface.exchange.request_id(&parts);
             return refuse(shell, RefusedRequest::unrouted(id), refusal);
         }
     };
@@ -132,7 +132,7 @@
         return None;
     }
     shell.log("head_refused", json!({ "bytes": size }));
-    let answer = shell.interface.exchange.fail(Code::HeadTooLarge);
+    let answer = shell.interface.exchange.error_response(Code::HeadTooLarge);
     Some(answer::own(answer))
 }
 
@@ -213,7 +213,7 @@
     body: &[u8],
     arrival: Arrival,
 ) -> Result<(Option<String>, RoutedRequest), Box<Response<AnswerBody>>> {
-    let head = match shell.interface.exchange.decode(parts, body) {
+    let head = match shell.interface.exchange.decode_request(parts, body) {
         Ok(head) => head,
         Err(err) => return Err(Box::new(unreadable(shell, &err))),
     };
@@ -274,8 +274,8 @@
     Parcel {
         fingerprint: stable_hash(&(parts.uri.path(), organisation, &body[..])),
         method: parts.method,
-        target: exchange.target(&parts.uri),
-        headers: exchange.request(&parts.headers, organisation),
+        target: exchange.endpoint_uri(&parts.uri),
+        headers: exchange.request_headers(&parts.headers, organisation),
         body,
         held: Rc::new(held),
     }
@@ -333,7 +333,7 @@
             response
         }
         // The job ended without a word, by a fault of ours.
-        Err(_) => answer::own(shell.interface.exchange.fail(Code::Broken)),
+        Err(_) => answer::own(shell.interface.exchange.error_response(Code::Broken)),
     }
 }
 
@@ -367,12 +367,12 @@
     shell
         .metrics
         .record_answer(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
-    answer::own(shell.interface.exchange.refuse(refusal))
+    answer::own(shell.interface.exchange.refusal_response(refusal))
 }
 
 fn unreadable(shell: &Shell, err: &FormatError) -> Response<AnswerBody> {
     shell.log("request_unreadable", json!({ "error": err.to_string() }));
-    answer::own(shell.interface.exchange.fail(Code::Malformed))
+    answer::own(shell.interface.exchange.error_response(Code::Malformed))
 }
 
 fn refuse_body(shell: &Shell, id: Option<&str>, fault: &BodyFault) -> Response<AnswerBody> {
@@ -389,5 +389,5 @@
         }
     };
     shell.log("body_refused", json!({ "id": id, "why": code.text() }));
-    answer::own(shell.interface.exchange.fail(code))
+    answer::own(shell.interface.exchange.error_response(code))
 }
--- a/crates/siskinyoke-gateway/src/callers/early.rs
+++ b/crates/siskinyoke-gateway/src/callers/early.rs
@@ -56,7 +56,7 @@
         return Err(unready(shell));
     };
     let fields = json!({
-        "id": shell.interface.exchange.id(parts),
+        "id": shell.interface.exchange.request_id(parts),
         "held_ms": shell.now().since(arrived).0,
         "configuration": shell.core.borrow().configuration_version(),
     });
--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -69,7 +69,7 @@
 
 // Reads an item, which may come from another writer; what cannot be understood names nothing.
 fn decode(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
-    match shell.interface.documents.entry(&item.key) {
+    match shell.interface.documents.item_kind(&item.key) {
         Entry::Endpoint(id) => match item.value {
             Some(value) => decode_endpoint(shell, id, &value).map(StoreUpdate::Endpoint),
             None => Some(StoreUpdate::EndpointRemoved(id.to_owned())),
@@ -99,7 +99,7 @@
 }
 
 fn decode_endpoint(shell: &Shell, id: &str, value: &[u8]) -> Option<Endpoint> {
-    match shell.interface.documents.endpoint(id, value) {
+    match shell.interface.documents.decode_endpoint(id, value) {
         Ok(endpoint) => Some(endpoint),
         Err(err) => {
             let fields = json!({ "endpoint": id, "error": err.to_string() });
@@ -110,7 +110,11 @@
 }
 
 fn decode_order(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Order> {
-    match shell.interface.documents.order(service, value) {
+    match shell
+        .interface
+        .documents
+        .decode_rollout_order(service, value)
+    {
         Ok(text) => {
             let fields = json!({
                 "service": service,
@@ -135,7 +139,7 @@
 }
 
 fn decode_status(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Status> {
-    match shell.interface.documents.state(value) {
+    match shell.interface.documents.decode_rollout_state(value) {
         Ok((state, version)) => Some(Status {
             state,
             version: version.into(),
@@ -182,7 +186,7 @@
 
 // Puts a configuration in force, unless it is no newer than the one that is.
 fn apply_configuration(shell: &Shell, bytes: &[u8], source: &str) {
-    let configuration = match shell.interface.documents.configuration(bytes) {
+    let configuration = match shell.interface.documents.decode_configuration(bytes) {
         Ok(configuration) => configuration,
         Err(err) => {
             let fields = json!({ "source": source, "error": err.to_string() });
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -167,7 +167,7 @@
             }
             Reply::Broken => return Step::Again(Outcome::ConnectionLost),
         };
-        let verdict = shell.interface.exchange.verdict(
+        let verdict = shell.interface.exchange.classify_response(
             response.status(),
             response.headers(),
             self.id.as_deref(),
@@ -200,16 +200,16 @@
     fn headers(&self, endpoint: &Endpoint, now: Millis) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
         let mut headers = self.parcel.headers.clone();
-        exchange.address(&mut headers, endpoint, self.pass.deadline.since(now));
+        exchange.set_endpoint(&mut headers, endpoint, self.pass.deadline.since(now));
         if let Some(event) = self.events.last() {
-            exchange.resume(&mut headers, event);
+            exchange.set_last_event(&mut headers, event);
         }
         headers
     }
 
     fn translate(&self, parts: &http::response::Parts) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
-        exchange.answer(parts.status, &parts.headers)
+        exchange.response_headers(parts.status, &parts.headers)
     }
 
     // How the service's requests fared lately.
--- a/crates/siskinyoke-gateway/src/job/ending.rs
+++ b/crates/siskinyoke-gateway/src/job/ending.rs
@@ -39,7 +39,9 @@
             ..RefusedRequest::routed(self.id.as_deref(), &self.pass)
         };
         self.shell.log_refusal(request, refusal);
-        self.tell(answer::own(self.shell.interface.exchange.refuse(refusal)));
+        self.tell(answer::own(
+            self.shell.interface.exchange.refusal_response(refusal),
+        ));
         refusal.reason.as_str()
     }
 
@@ -83,7 +85,7 @@
     }
 
     fn failure(&self, code: Code) -> Response<AnswerBody> {
-        answer::own(self.shell.interface.exchange.fail(code))
+        answer::own(self.shell.interface.exchange.error_response(code))
     }
 
     pub(super) fn tell(&mut self, answer: Response<AnswerBody>) {
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -92,8 +92,8 @@
 async fn register(shell: &Shell, client: &mut Client) -> Result<u64, StoreError> {
     let settings = shell.settings();
     let store = &shell.interface.store;
-    let body = call(shell, client, "lease", &store.grant(LEASE_TTL)).await?;
-    let lease = store.decode_grant(&body)?;
+    let body = call(shell, client, "lease", &store.grant_lease(LEASE_TTL)).await?;
+    let lease = store.decode_lease(&body)?;
     let key = shell.interface.documents.instance_key(&settings.instance);
     let value = json!(settings.location()).to_string();
     let put = store.put(&key, value.as_bytes(), lease);
@@ -105,7 +105,7 @@
 // Takes the entry away, so that callers are sent here no more; else the lease does so in time.
 async fn deregister(shell: &Shell, client: &mut Client, lease: Option<u64>) {
     let Some(lease) = lease else { return };
-    let end = shell.interface.store.end(lease);
+    let end = shell.interface.store.revoke_lease(lease);
     if let Err(err) = call(shell, client, "leave", &end).await {
         shell.log("registration_failed", json!({ "error": err.to_string() }));
     }
@@ -113,9 +113,9 @@
 
 // Returns whether the lease still holds.
 async fn renew(shell: &Shell, client: &mut Client, lease: u64) -> Result<bool, StoreError> {
-    let renewal = shell.interface.store.renew(lease);
+    let renewal = shell.interface.store.renew_lease(lease);
     match call(shell, client, "renew", &renewal).await {
-        Ok(body) => Ok(shell.interface.store.decode_renew(&body)?),
+        Ok(body) => Ok(shell.interface.store.decode_renewal(&body)?),
         Err(StoreError::Status(http::StatusCode::NOT_FOUND)) => Ok(false),
         Err(err) => Err(err),
     }
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -53,9 +53,9 @@
 async fn write_state(shell: &Shell, client: &mut Client, due: &StatusWrite) {
     let documents = &shell.interface.documents;
     let store = &shell.interface.store;
-    let key = documents.state_key(&due.order.service);
-    let value = documents.encode_state(due.state, &due.order.version);
-    let order = documents.order_key(&due.order.service);
+    let key = documents.rollout_state_key(&due.order.service);
+    let value = documents.encode_rollout_state(due.state, &due.order.version);
+    let order = documents.rollout_order_key(&due.order.service);
     let expected = [(&*order, due.order_revision), (&*key, due.status_revision)];
     let call = store.put_if(&key, &value, &expected);
     let result = client
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -97,7 +97,7 @@
             store.decode_watch(bytes, ended)
         };
         match self.call_until(address, call, limit, read).await {
-            Err(StoreError::NoResponse) if store.quiet_watch() && responded.get() => {
+            Err(StoreError::NoResponse) if store.idle_watch_is_silent() && responded.get() => {
                 Ok(Batch::default())
             }
             other => other,
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -123,7 +123,7 @@
             }
         }
         let documents = &self.shell.interface.documents;
-        let configured = |item: &Item| documents.entry(&item.key) == Entry::Configuration;
+        let configured = |item: &Item| documents.item_kind(&item.key) == Entry::Configuration;
         let configured = items.iter().any(configured);
         self.compacted = false;
         self.call_succeeded();
@@ -186,7 +186,7 @@
         let address = self.shell.settings().store;
         let store = &*self.shell.interface.store;
         let held = self.shell.core.borrow().watch_timeout();
-        let limit = if store.quiet_watch() {
+        let limit = if store.idle_watch_is_silent() {
             held.max(RESPONSE_MARGIN)
         } else {
             held + RESPONSE_MARGIN
--- a/crates/siskinyoke-interface/src/documents.rs
+++ b/crates/siskinyoke-interface/src/documents.rs
@@ -55,7 +55,7 @@
     fn keys(&self) -> Keys;
 
     /// Says what an item is by its key.
-    fn entry<'a>(&self, key: &'a str) -> Entry<'a> {
+    fn item_kind<'a>(&self, key: &'a str) -> Entry<'a> {
         let keys = self.keys();
         if key == keys.configuration {
             return Entry::Configuration;
@@ -74,12 +74,12 @@
     }
 
     /// Returns the key of the order for a service.
-    fn order_key(&self, service: &str) -> String {
+    fn rollout_order_key(&self, service: &str) -> String {
         format!("{}{service}", self.keys().orders)
     }
 
     /// Returns the key of a service's state.
-    fn state_key(&self, service: &str) -> String {
+    fn rollout_state_key(&self, service: &str) -> String {
         format!("{}{service}", self.keys().states)
     }
 
@@ -93,29 +93,29 @@
     /// # Errors
     ///
     /// What is wrong with it; nothing of it may be used then.
-    fn configuration(&self, bytes: &[u8]) -> Result<Configuration, FormatError>;
+    fn decode_configuration(&self, bytes: &[u8]) -> Result<Configuration, FormatError>;
 
     /// Decodes an endpoint's entry.
     ///
     /// # Errors
     ///
     /// What is wrong with it; such an entry names no endpoint.
-    fn endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError>;
+    fn decode_endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError>;
 
     /// Decodes an order for a service.
     ///
     /// # Errors
     ///
     /// What is wrong with it; the order before it stays.
-    fn order(&self, service: &str, bytes: &[u8]) -> Result<OrderText, FormatError>;
+    fn decode_rollout_order(&self, service: &str, bytes: &[u8]) -> Result<OrderText, FormatError>;
 
     /// Decodes the state of an order, with its version.
     ///
     /// # Errors
     ///
     /// What is wrong with it; it says nothing then.
-    fn state(&self, bytes: &[u8]) -> Result<(State, String), FormatError>;
+    fn decode_rollout_state(&self, bytes: &[u8]) -> Result<(State, String), FormatError>;
 
     /// Encodes the state of an order for this version.
-    fn encode_state(&self, state: State, version: &str) -> Vec<u8>;
+    fn encode_rollout_state(&self, state: State, version: &str) -> Vec<u8>;
 }
--- a/crates/siskinyoke-interface/src/exchange.rs
+++ b/crates/siskinyoke-interface/src/exchange.rs
@@ -50,12 +50,12 @@
 /// Heads of requests and answers.
 pub trait Exchange: Debug {
     /// Returns whether a request can only be understood with its body.
-    fn in_body(&self, _: &Parts) -> bool {
+    fn needs_body(&self, _: &Parts) -> bool {
         false
     }
 
     /// Returns the identity of a request, for logs.
-    fn id<'a>(&self, parts: &'a Parts) -> Option<&'a str>;
+    fn request_id<'a>(&self, parts: &'a Parts) -> Option<&'a str>;
 
     /// Returns how long a request's caller waits, if it says so.
     fn deadline(&self, parts: &Parts) -> Option<Millis>;
@@ -65,24 +65,29 @@
     /// # Errors
     ///
     /// What is wrong with a body that had to be understood.
-    fn decode<'a>(&self, parts: &'a Parts, body: &[u8]) -> Result<Head<'a>, FormatError>;
+    fn decode_request<'a>(&self, parts: &'a Parts, body: &[u8]) -> Result<Head<'a>, FormatError>;
 
     /// Returns the path with its query under which an endpoint is asked.
-    fn target(&self, uri: &Uri) -> Uri {
+    fn endpoint_uri(&self, uri: &Uri) -> Uri {
         uri.clone()
     }
 
     /// Turns a caller's headers into those for endpoints, but for what differs with each sending.
-    fn request(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap;
+    fn request_headers(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap;
 
     /// Sets what differs with each sending: the one endpoint meant, and the time that is left.
-    fn address(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis);
+    fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis);
 
     /// Asks an endpoint to go on after an event of a stream.
-    fn resume(&self, headers: &mut HeaderMap, event: &str);
+    fn set_last_event(&self, headers: &mut HeaderMap, event: &str);
 
     /// Decodes the head of an endpoint's answer to the request with this identity.
-    fn verdict(&self, status: StatusCode, headers: &HeaderMap, id: Option<&str>) -> Verdict;
+    fn classify_response(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: Option<&str>,
+    ) -> Verdict;
 
     /// Returns the requests a second that an endpoint says it takes from all instances together, if its answer names
     /// that.
@@ -93,11 +98,11 @@
     fn rate_limit(&self, headers: &HeaderMap) -> Result<Option<f64>, FormatError>;
 
     /// Turns an endpoint's headers into those for the caller.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap;
 
     /// Makes the answer to a request that was turned away unrun.
-    fn refuse(&self, refusal: Refusal) -> Response<Vec<u8>>;
+    fn refusal_response(&self, refusal: Refusal) -> Response<Vec<u8>>;
 
     /// Makes any other answer of our own; the code says whether the request may have run.
-    fn fail(&self, code: Code) -> Response<Vec<u8>>;
+    fn error_response(&self, code: Code) -> Response<Vec<u8>>;
 }
--- a/crates/siskinyoke-interface/src/store.rs
+++ b/crates/siskinyoke-interface/src/store.rs
@@ -96,32 +96,32 @@
     fn decode_watch(&self, bytes: &[u8], ended: bool) -> Result<Option<Batch>, FormatError>;
 
     /// Returns whether a watch stays open without a word while nothing changes.
-    fn quiet_watch(&self) -> bool {
+    fn idle_watch_is_silent(&self) -> bool {
         false
     }
 
     /// Asks for a lease.
-    fn grant(&self, ttl: Millis) -> Call;
+    fn grant_lease(&self, ttl: Millis) -> Call;
 
     /// Decodes the answer to a lease that was asked for.
     ///
     /// # Errors
     ///
     /// What is wrong with the answer.
-    fn decode_grant(&self, bytes: &[u8]) -> Result<u64, FormatError>;
+    fn decode_lease(&self, bytes: &[u8]) -> Result<u64, FormatError>;
 
     /// Renews a lease.
-    fn renew(&self, lease: u64) -> Call;
+    fn renew_lease(&self, lease: u64) -> Call;
 
     /// Decodes the answer to a renewal: whether the lease still holds.
     ///
     /// # Errors
     ///
     /// What is wrong with the answer.
-    fn decode_renew(&self, bytes: &[u8]) -> Result<bool, FormatError>;
+    fn decode_renewal(&self, bytes: &[u8]) -> Result<bool, FormatError>;
 
     /// Ends a lease and what hangs on it.
-    fn end(&self, lease: u64) -> Call;
+    fn revoke_lease(&self, lease: u64) -> Call;
 
     /// Writes a value under a lease, whatever stood there.
     fn put(&self, key: &str, value: &[u8], lease: u64) -> Call;
--- a/crates/siskinyoke-native/src/directory.rs
+++ b/crates/siskinyoke-native/src/directory.rs
@@ -11,7 +11,7 @@
 pub struct Paths;
 
 impl Pages for Paths {
-    fn ready_path(&self) -> &'static str {
+    fn readiness_path(&self) -> &'static str {
         names::READY_PATH
     }
 
@@ -19,14 +19,14 @@
         names::LOCATE_PATH
     }
 
-    fn centre<'a>(&self, query: &'a str) -> &'a str {
+    fn requested_centre<'a>(&self, query: &'a str) -> &'a str {
         query
             .split('&')
             .find_map(|pair| pair.strip_prefix("centre="))
             .unwrap_or("")
     }
 
-    fn directory(&self, addresses: &[String], keep: Millis) -> Vec<u8> {
+    fn encode_addresses(&self, addresses: &[String], keep: Millis) -> Vec<u8> {
         json!({ "addresses": addresses, "keep_ms": keep.0 })
             .to_string()
             .into_bytes()
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -55,11 +55,11 @@
         }
     }
 
-    fn configuration(&self, bytes: &[u8]) -> Result<Configuration, FormatError> {
+    fn decode_configuration(&self, bytes: &[u8]) -> Result<Configuration, FormatError> {
         configuration::Document::parse(bytes)?.resolve()
     }
 
-    fn endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError> {
+    fn decode_endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError> {
         let entry: EndpointEntry = serde_json::from_slice(bytes)?;
         if entry.slots == 0 {
             return Err(FormatError::InvalidValue("slots".into(), "give 1 or more"));
@@ -76,15 +76,15 @@
         })
     }
 
-    fn order(&self, _: &str, bytes: &[u8]) -> Result<OrderText, FormatError> {
+    fn decode_rollout_order(&self, _: &str, bytes: &[u8]) -> Result<OrderText, FormatError> {
         rollout::decode(bytes)
     }
 
-    fn state(&self, bytes: &[u8]) -> Result<(State, String), FormatError> {
+    fn decode_rollout_state(&self, bytes: &[u8]) -> Result<(State, String), FormatError> {
         rollout::decode_state(bytes)
     }
 
-    fn encode_state(&self, state: State, version: &str) -> Vec<u8> {
+    fn encode_rollout_state(&self, state: State, version: &str) -> Vec<u8> {
         rollout::encode_state(state, version)
     }
 }
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -52,7 +52,7 @@
         let rows = page.kvs.into_iter();
         Ok(Batch {
             items: rows
-                .map(|row| row.decode(false))
+                .map(|row| row.decode_request(false))
                 .collect::<Result<_, _>>()?,
             revision: number(&page.header.revision)?,
             more: page.more,
@@ -82,7 +82,7 @@
                 return Err(FormatError::Compacted);
             }
             for event in message.result.events {
-                let item = event.kv.decode(event.kind == "DELETE")?;
+                let item = event.kv.decode_request(event.kind == "DELETE")?;
                 batch.revision = batch.revision.max(item.revision);
                 batch.items.push(item);
             }
@@ -93,31 +93,31 @@
         Ok(Some(batch))
     }
 
-    fn quiet_watch(&self) -> bool {
+    fn idle_watch_is_silent(&self) -> bool {
         true
     }
 
-    fn grant(&self, ttl: Millis) -> Call {
+    fn grant_lease(&self, ttl: Millis) -> Call {
         // Its spans are whole seconds.
         let seconds = ttl.0.div_ceil(1_000);
         Call::post(GRANT, &json!({ "TTL": seconds.to_string() }))
     }
 
-    fn decode_grant(&self, bytes: &[u8]) -> Result<u64, FormatError> {
+    fn decode_lease(&self, bytes: &[u8]) -> Result<u64, FormatError> {
         let lease: Lease = serde_json::from_slice(bytes)?;
         number(&lease.id)
     }
 
-    fn renew(&self, lease: u64) -> Call {
+    fn renew_lease(&self, lease: u64) -> Call {
         Call::post(KEEP, &json!({ "ID": lease.to_string() }))
     }
 
-    fn decode_renew(&self, bytes: &[u8]) -> Result<bool, FormatError> {
+    fn decode_renewal(&self, bytes: &[u8]) -> Result<bool, FormatError> {
         let kept: Kept = serde_json::from_slice(bytes)?;
         Ok(number(&kept.result.ttl)? > 0)
     }
 
-    fn end(&self, lease: u64) -> Call {
+    fn revoke_lease(&self, lease: u64) -> Call {
         Call::post(REVOKE, &json!({ "ID": lease.to_string() }))
     }
 
@@ -208,7 +208,7 @@
 }
 
 impl Row {
-    fn decode(self, removed: bool) -> Result<Item, FormatError> {
+    fn decode_request(self, removed: bool) -> Result<Item, FormatError> {
         let key = STANDARD.decode(self.key)?;
         let value = STANDARD.decode(self.value)?;
         Ok(Item {
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -58,11 +58,11 @@
 }
 
 impl Exchange for Own {
-    fn in_body(&self, parts: &Parts) -> bool {
+    fn needs_body(&self, parts: &Parts) -> bool {
         parts.uri.path() == names::CHAT_PATH
     }
 
-    fn id<'a>(&self, parts: &'a Parts) -> Option<&'a str> {
+    fn request_id<'a>(&self, parts: &'a Parts) -> Option<&'a str> {
         headers::text(&parts.headers, &names::REQUEST_ID)
     }
 
@@ -71,9 +71,9 @@
         value.trim().parse().ok().map(Millis)
     }
 
-    fn decode<'a>(&self, parts: &'a Parts, body: &[u8]) -> Result<Head<'a>, FormatError> {
+    fn decode_request<'a>(&self, parts: &'a Parts, body: &[u8]) -> Result<Head<'a>, FormatError> {
         let head = &parts.headers;
-        let (path, tokens) = if self.in_body(parts) {
+        let (path, tokens) = if self.needs_body(parts) {
             let chat: Chat<'_> = serde_json::from_slice(body)?;
             (
                 names::model_path(&chat.model, chat.stream).into(),
@@ -84,7 +84,7 @@
             (parts.uri.path().into(), tokens)
         };
         Ok(Head {
-            id: self.id(parts),
+            id: self.request_id(parts),
             host: ANY,
             path,
             key: headers::bearer(head).map(|key| Cow::Owned(names::digest(key))),
@@ -95,7 +95,7 @@
     }
 
     // Services are asked for what follows their name.
-    fn target(&self, uri: &Uri) -> Uri {
+    fn endpoint_uri(&self, uri: &Uri) -> Uri {
         let Some(named) = uri.path().strip_prefix(names::SERVICE_PATH) else {
             return uri.clone();
         };
@@ -106,7 +106,7 @@
             .unwrap_or_else(|_| uri.clone())
     }
 
-    fn request(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap {
+    fn request_headers(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap {
         let mut out = headers::end_to_end(headers, &DROPPED);
         if let Some(value) = organisation.and_then(|name| HeaderValue::from_str(name).ok()) {
             out.insert(names::ORGANISATION, value);
@@ -114,7 +114,7 @@
         out
     }
 
-    fn address(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis) {
+    fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis) {
         if let Ok(value) = HeaderValue::from_str(&endpoint.id) {
             headers.insert(names::ENDPOINT, value);
         }
@@ -124,7 +124,7 @@
         headers.insert(names::NEED, HeaderValue::from(left.0));
     }
 
-    fn resume(&self, headers: &mut HeaderMap, event: &str) {
+    fn set_last_event(&self, headers: &mut HeaderMap, event: &str) {
         if let Ok(value) = HeaderValue::from_str(event) {
             headers.insert(names::LAST_EVENT, value);
         }
@@ -132,7 +132,12 @@
 
     // Of refusals only 429 says by the standard that nothing ran; 503 may come from a proxy that had
     // already passed the request on.
-    fn verdict(&self, status: StatusCode, headers: &HeaderMap, id: Option<&str>) -> Verdict {
+    fn classify_response(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: Option<&str>,
+    ) -> Verdict {
         let echoed = headers::text(headers, &names::REQUEST_ID);
         if echoed.is_some() && id.is_some() && echoed != id {
             return Verdict::Foreign;
@@ -148,7 +153,7 @@
         headers::rate(headers, &names::RATE_LIMIT)
     }
 
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap {
+    fn response_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap {
         let mut out = headers::end_to_end(headers, &[names::CODE, names::KIND]);
         let content = headers::text(headers, &header::CONTENT_TYPE).unwrap_or("");
         let code = if status.is_server_error() {
@@ -162,12 +167,12 @@
         out
     }
 
-    fn refuse(&self, refusal: Refusal) -> Response<Vec<u8>> {
+    fn refusal_response(&self, refusal: Refusal) -> Response<Vec<u8>> {
         let after = (!refusal.reason.is_permanent()).then_some(refusal.retry_after);
         own(code(refusal.reason), after)
     }
 
-    fn fail(&self, code: Code) -> Response<Vec<u8>> {
+    fn error_response(&self, code: Code) -> Response<Vec<u8>> {
         own(code, None)
     }
 }
--- a/crates/siskinyoke-native/tests/documents.rs
+++ b/crates/siskinyoke-native/tests/documents.rs
@@ -33,7 +33,7 @@
 }"#;
 
 fn read(text: &str) -> Result<Configuration, FormatError> {
-    Stored.configuration(text.as_bytes())
+    Stored.decode_configuration(text.as_bytes())
 }
 
 #[test]
@@ -127,24 +127,24 @@
 #[test]
 fn keys_say_what_an_item_is() {
     assert_eq!(
-        Stored.entry("siskinyoke/configuration"),
+        Stored.item_kind("siskinyoke/configuration"),
         Entry::Configuration
     );
     assert_eq!(
-        Stored.entry("siskinyoke/endpoints/fast-1"),
+        Stored.item_kind("siskinyoke/endpoints/fast-1"),
         Entry::Endpoint("fast-1")
     );
     let key = Stored.instance_key("front-1");
-    assert_eq!(Stored.entry(&key), Entry::Instance("front-1"));
-    assert_eq!(Stored.entry("siskinyoke/other"), Entry::Other);
+    assert_eq!(Stored.item_kind(&key), Entry::Instance("front-1"));
+    assert_eq!(Stored.item_kind("siskinyoke/other"), Entry::Other);
 }
 
 #[test]
 fn an_endpoint_without_slots_or_with_a_mistyped_field_is_none() {
     let sound = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8 }"#;
-    assert_eq!(Stored.endpoint("e", sound).unwrap().slots, 8);
+    assert_eq!(Stored.decode_endpoint("e", sound).unwrap().slots, 8);
     let none = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 0 }"#;
-    assert!(Stored.endpoint("e", none).is_err());
+    assert!(Stored.decode_endpoint("e", none).is_err());
     let odd = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8, "drain": true }"#;
-    assert!(Stored.endpoint("e", odd).is_err());
+    assert!(Stored.decode_endpoint("e", odd).is_err());
 }
--- a/crates/siskinyoke-native/tests/etcd.rs
+++ b/crates/siskinyoke-native/tests/etcd.rs
@@ -55,14 +55,14 @@
 #[test]
 fn a_lease_that_has_ended_is_told_from_one_that_holds() {
     assert_eq!(
-        Etcd.decode_grant(br#"{ "ID": "77", "TTL": "5" }"#).unwrap(),
+        Etcd.decode_lease(br#"{ "ID": "77", "TTL": "5" }"#).unwrap(),
         77
     );
     let holds = br#"{ "result": { "ID": "77", "TTL": "5" } }"#;
-    assert!(Etcd.decode_renew(holds).unwrap());
+    assert!(Etcd.decode_renewal(holds).unwrap());
     let ended = br#"{ "result": { "ID": "77" } }"#;
-    assert!(!Etcd.decode_renew(ended).unwrap());
-    let call = Etcd.grant(Millis(4_500));
+    assert!(!Etcd.decode_renewal(ended).unwrap());
+    let call = Etcd.grant_lease(Millis(4_500));
     assert_eq!(call.body, br#"{"TTL":"5"}"#);
 }
 
--- a/crates/siskinyoke-native/tests/exchange.rs
+++ b/crates/siskinyoke-native/tests/exchange.rs
@@ -49,8 +49,8 @@
             ("x-request-id", "r1"),
         ],
     );
-    assert!(Own.in_body(&parts));
-    let head = Own.decode(&parts, BODY).unwrap();
+    assert!(Own.needs_body(&parts));
+    let head = Own.decode_request(&parts, BODY).unwrap();
     assert_eq!(head.path, "/v1/models/qalam-small/stream/");
     assert_eq!(head.tokens, Some((11, 20)));
     assert_eq!(head.deadline, Some(Millis(900)));
@@ -61,18 +61,23 @@
 #[test]
 fn a_chat_request_without_a_model_is_refused_with_the_field() {
     let parts = parts("/v1/chat/completions", &[]);
-    let err = Own.decode(&parts, br#"{ "messages": [] }"#).unwrap_err();
+    let err = Own
+        .decode_request(&parts, br#"{ "messages": [] }"#)
+        .unwrap_err();
     assert!(err.to_string().contains("missing field `model`"), "{err}");
-    assert_eq!(Own.fail(Code::Malformed).status(), StatusCode::BAD_REQUEST);
+    assert_eq!(
+        Own.error_response(Code::Malformed).status(),
+        StatusCode::BAD_REQUEST
+    );
 }
 
 #[test]
 fn a_services_request_is_understood_by_its_path_and_asked_for_without_its_name() {
     let parts = parts("/v1/services/portal/marks/7?a=b", &[]);
-    assert!(!Own.in_body(&parts));
-    let head = Own.decode(&parts, b"").unwrap();
+    assert!(!Own.needs_body(&parts));
+    let head = Own.decode_request(&parts, b"").unwrap();
     assert_eq!(head.path, "/v1/services/portal/marks/7");
-    assert_eq!(Own.target(&parts.uri), "/marks/7?a=b");
+    assert_eq!(Own.endpoint_uri(&parts.uri), "/marks/7?a=b");
 }
 
 // A caller sets the headers by which instances tell endpoints who asks and who is meant. It would
@@ -90,8 +95,8 @@
             ("x-own", "kept"),
         ],
     );
-    let mut out = Own.request(&parts.headers, Some("school"));
-    Own.address(&mut out, &endpoint(), Millis(450));
+    let mut out = Own.request_headers(&parts.headers, Some("school"));
+    Own.set_endpoint(&mut out, &endpoint(), Millis(450));
     let mut rows: Vec<_> = out
         .iter()
         .map(|(name, value)| (name.as_str(), value.to_str().unwrap()))
@@ -114,7 +119,7 @@
 #[test]
 fn only_statuses_that_say_so_mean_that_nothing_ran() {
     let none = HeaderMap::new();
-    let verdict = |status| Own.verdict(status, &none, Some("r1"));
+    let verdict = |status| Own.classify_response(status, &none, Some("r1"));
     assert_eq!(verdict(StatusCode::TOO_MANY_REQUESTS), Verdict::Full);
     assert_eq!(verdict(StatusCode::MISDIRECTED_REQUEST), Verdict::Moved);
     assert_eq!(verdict(StatusCode::SERVICE_UNAVAILABLE), Verdict::Answer);
@@ -124,13 +129,13 @@
 fn an_answer_that_names_another_request_is_foreign() {
     let mut headers = HeaderMap::new();
     headers.insert("x-request-id", "r2".parse().unwrap());
-    let verdict = Own.verdict(StatusCode::OK, &headers, Some("r1"));
+    let verdict = Own.classify_response(StatusCode::OK, &headers, Some("r1"));
     assert_eq!(verdict, Verdict::Foreign);
 }
 
 #[test]
 fn a_refusal_bears_its_code_and_when_to_come_back() {
-    let response = Own.refuse(Refusal {
+    let response = Own.refusal_response(Refusal {
         reason: RefusalReason::Overload,
         retry_after: Millis(1_250),
     });
@@ -144,7 +149,7 @@
 
 #[test]
 fn a_wrong_key_is_not_told_to_come_back() {
-    let response = Own.refuse(Refusal {
+    let response = Own.refusal_response(Refusal {
         reason: RefusalReason::UnknownKey,
         retry_after: Millis::ZERO,
     });
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -134,26 +134,26 @@
 #[test]
 fn what_hangs_on_a_lease_goes_with_it() {
     let etcd = start();
-    let granted = call(&etcd, &Calls.grant(Millis(4_500))).unwrap();
-    let lease = Calls.decode_grant(&granted).unwrap();
+    let granted = call(&etcd, &Calls.grant_lease(Millis(4_500))).unwrap();
+    let lease = Calls.decode_lease(&granted).unwrap();
     call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
-    let kept = call(&etcd, &Calls.renew(lease)).unwrap();
-    assert!(Calls.decode_renew(&kept).unwrap());
+    let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    assert!(Calls.decode_renewal(&kept).unwrap());
     assert_eq!(all(&etcd).items.len(), 1);
     etcd.control(&EtcdControl {
         lapse: Some(Lapse::All),
         ..EtcdControl::default()
     });
     assert_eq!(all(&etcd).items, []);
-    let kept = call(&etcd, &Calls.renew(lease)).unwrap();
-    assert!(!Calls.decode_renew(&kept).unwrap());
+    let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    assert!(!Calls.decode_renewal(&kept).unwrap());
 }
 
 #[test]
 fn a_lease_ends_by_itself() {
     let etcd = start();
-    let granted = call(&etcd, &Calls.grant(Millis(1))).unwrap();
-    let lease = Calls.decode_grant(&granted).unwrap();
+    let granted = call(&etcd, &Calls.grant_lease(Millis(1))).unwrap();
+    let lease = Calls.decode_lease(&granted).unwrap();
     call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
     for _ in 0..400 {
         if all(&etcd).items.is_empty() {
