--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -15,7 +15,7 @@
 
 use crate::connection::ConnectError;
 use crate::connection::Connection;
-use crate::connection::Sent;
+use crate::connection::SendOutcome;
 use siskinyoke_base::Millis;
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Call;
@@ -39,7 +39,7 @@
             from()
         }
         /// No answer came in time; a write may have taken effect.
-        NoResponse {
+        NoReply {
             display("no answer in time")
         }
         /// It answered with a failure.
@@ -91,15 +91,13 @@
         limit: Millis,
         store: &dyn Store,
     ) -> Result<Batch, StoreError> {
-        let responded = Cell::new(false);
+        let opened = Cell::new(false);
         let read = |bytes: &[u8], ended: bool| {
-            responded.set(true);
+            opened.set(true);
             store.decode_watch(bytes, ended)
         };
         match self.call_until(address, call, limit, read).await {
-            Err(StoreError::NoResponse) if store.idle_watch_is_silent() && responded.get() => {
-                Ok(Batch::default())
-            }
+            Err(StoreError::NoReply) if store.idle_watch_is_silent() && opened.get() => Ok(Batch::default()),
             other => other,
         }
     }
@@ -115,7 +113,7 @@
         let result = timeout(limit, self.exchange(address, call, read)).await;
         let Ok(result) = result else {
             self.connection = None;
-            return Err(StoreError::NoResponse);
+            return Err(StoreError::NoReply);
         };
         if !matches!(result, Ok(_) | Err(StoreError::Status(_))) {
             self.connection = None;
@@ -130,18 +128,18 @@
         read: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
     ) -> Result<T, StoreError> {
         let (at, mut connection) = match self.connection.take() {
-            Some((at, open)) if at == address && open.ready() => (at, open),
+            Some((at, open)) if at == address && open.is_ready() => (at, open),
             _ => (address, Connection::open(address).await?),
         };
         let response = match connection.send(encode(address, call)).await {
-            Sent::Head(response) => response,
-            Sent::Broken(err) => return Err(err.into()),
-            Sent::Unsent(request) => {
+            SendOutcome::Head(response) => response,
+            SendOutcome::ConnectionLost(err) => return Err(err.into()),
+            SendOutcome::NotSent(request) => {
                 connection = Connection::open(address).await?;
                 match connection.send(*request).await {
-                    Sent::Head(response) => response,
-                    Sent::Broken(err) => return Err(err.into()),
-                    Sent::Unsent(_) => return Err(StoreError::NoResponse),
+                    SendOutcome::Head(response) => response,
+                    SendOutcome::ConnectionLost(err) => return Err(err.into()),
+                    SendOutcome::NotSent(_) => return Err(StoreError::NoReply),
                 }
             }
         };
@@ -156,13 +154,13 @@
                 return Ok(answer);
             }
         }
-        if connection.settle().await {
+        if connection.wait_ready().await {
             self.connection = Some((at, connection));
         }
         if !status.is_success() {
             return Err(StoreError::Status(status));
         }
-        read(&bytes, true)?.ok_or(StoreError::NoResponse)
+        read(&bytes, true)?.ok_or(StoreError::NoReply)
     }
 }
 
