--- /dev/null
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -0,0 +1,87 @@
+//! The auxiliary pages of an instance: readiness, directory and metrics.
+
+use http::Request;
+use http::Response;
+use http::StatusCode;
+use hyper::body::Incoming;
+
+use crate::response;
+use crate::response::ResponseBody;
+use crate::shell::Shell;
+use siskinyoke_base::Millis;
+
+/// Maximum time for which callers may cache the directory's response.
+///
+/// An instance that shuts down serves for longer than this, and callers avoid a dead instance after
+/// one failure. A shorter time would add queries for no gain.
+const MAX_DIRECTORY_TTL: Millis = Millis(2_000);
+
+/// Returns whether this instance accepts requests from callers.
+pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
+    if request.uri().path() != shell.interface.directory.readiness_path() {
+        return response::text(StatusCode::NOT_FOUND, "no such page");
+    }
+    if shell.core.borrow().ready() {
+        response::text(StatusCode::OK, "ready")
+    } else {
+        response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+    }
+}
+
+/// Returns the addresses of the instances that a caller should use.
+pub fn directory(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
+    if request.uri().path() != shell.interface.directory.directory_path() {
+        return response::text(StatusCode::NOT_FOUND, "no such page");
+    }
+    let centre = shell
+        .interface
+        .directory
+        .requested_centre(request.uri().query().unwrap_or(""));
+    let addresses = shell.core.borrow().caller_addresses(shell.now(), centre);
+    if addresses.is_empty() {
+        return response::text(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
+    }
+    let ttl = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
+    response::json(shell.interface.directory.encode_addresses(&addresses, ttl))
+}
+
+/// Returns the metrics page.
+pub fn metrics_page(shell: &Shell, _: &Request<Incoming>) -> Response<ResponseBody> {
+    let core = shell.core.borrow();
+    let (waiting, running) = core.scheduler().request_counts();
+    shell.metrics.set_state("waiting", to_f64(waiting));
+    shell.metrics.set_state("running", to_f64(running));
+    shell.metrics.set_state(
+        "peers",
+        to_f64(core.peers().instance_count(shell.now()) - 1),
+    );
+    shell
+        .metrics
+        .set_state("store", f64::from(u8::from(core.store_available())));
+    let watching = f64::from(u8::from(shell.watching.get()));
+    shell.metrics.set_state("watching", watching);
+    let limits = core.scheduler().rate_limits().active_count();
+    shell.metrics.set_state("limited_endpoints", to_f64(limits));
+    let age = shell.now().since(shell.store_answered.get());
+    shell.metrics.set_state("store_age_seconds", age.as_secs());
+    #[expect(clippy::cast_precision_loss, reason = "versions are far below 2^52")]
+    shell
+        .metrics
+        .set_state("configuration", core.configuration_version() as f64);
+    match shell.metrics.render() {
+        Ok(page) => {
+            let mut response = Response::new(ResponseBody::Full(Some(page.into())));
+            let value = http::HeaderValue::from_static("text/plain; version=0.0.4");
+            response
+                .headers_mut()
+                .insert(http::header::CONTENT_TYPE, value);
+            response
+        }
+        Err(err) => response::text(StatusCode::INTERNAL_SERVER_ERROR, &err),
+    }
+}
+
+#[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
+fn to_f64(value: usize) -> f64 {
+    value as f64
+}
