--- a/crates/siskinyoke-gateway/src/attempt.rs
+++ b/crates/siskinyoke-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one endpoint.
+//! Sends a request to an endpoint once.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,38 +18,37 @@
 use crate::shell::Shell;
 use siskinyoke_dispatch::Endpoint;
 
-/// A request as it goes to endpoints.
+/// A request in the form in which it is sent to endpoints.
 #[derive(Debug, Clone)]
 pub struct EndpointRequest {
-    /// The method.
     pub method: Method,
-    /// The path with its query, as the caller sent it.
+    /// Path and query sent to the endpoint.
     pub target: http::Uri,
-    /// The headers, but for what differs with each sending.
+    /// Headers common to all attempts.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Identifies what runs: the same for each resend of the same work.
+    /// Identifies the work: equal for every resend of the same request.
     pub fingerprint: u64,
-    /// Counts the body's bytes until the last copy is gone.
+    /// Accounts for the body's memory until the last clone is dropped.
     pub reservation: Rc<MemoryReservation>,
 }
 
-/// What came of a sending.
+/// Result of sending a request to an endpoint.
 #[derive(Debug)]
 pub enum Reply {
-    /// The head of an answer, and the connection that brings its body.
+    /// The response head, and the connection that delivers its body.
     Head(Response<Incoming>, Connection),
-    /// No connection could be made; nothing was sent.
+    /// No connection could be established; nothing was sent.
     ConnectFailed,
-    /// The connection broke after something had left.
+    /// The connection broke after data was sent; the request may have run.
     ConnectionLost,
 }
 
-/// Sends a request to an endpoint and waits for the head of its answer.
+/// Sends a request to an endpoint and waits for the response head.
 ///
-/// `headers` are those of this sending. A kept connection that the endpoint had closed in the
-/// meantime gives the request back unsent; then a new one is opened.
+/// `headers` replace those of the request. A pooled connection that the endpoint has closed in
+/// the meantime returns the request unsent; the next pooled or a new connection is tried then.
 pub async fn send(
     shell: &Rc<Shell>,
     endpoint: &Endpoint,
@@ -79,7 +78,7 @@
 
 async fn connect(shell: &Shell, endpoint: &Endpoint) -> Option<Connection> {
     let Ok(address) = endpoint.address.parse::<SocketAddr>() else {
-        shell.log("endpoint_address", json!({ "endpoint": &*endpoint.id, "address": &*endpoint.address, "hint": "not IP:PORT" }));
+        shell.log("endpoint_address", json!({ "endpoint": &*endpoint.id, "address": &*endpoint.address, "hint": "expected IP:PORT" }));
         return None;
     };
     match Connection::open(address).await {
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request in, and brings its answer back.
+//! Handles requests of callers: checks, routes and admits them, and returns the responses.
 
 mod hold;
 
@@ -44,13 +44,14 @@
 use siskinyoke_dispatch::stable_hash;
 use siskinyoke_interface::FormatError;
 
-/// Pieces of a stream that wait for a slow caller before its endpoint is read no further.
+/// Maximum number of response chunks buffered for a slow caller before reading from the endpoint
+/// pauses.
 const MAX_BUFFERED_CHUNKS: usize = 8;
 
-/// When to come back if bodies fill the memory.
+/// Retry delay sent when the memory for request bodies is used up.
 const MEMORY_RETRY_AFTER: Millis = Millis(500);
 
-/// Why a body was not taken.
+/// Why a request body was not accepted.
 enum BodyError {
     TooLarge,
     TimedOut,
@@ -58,15 +59,15 @@
     OutOfMemory,
 }
 
-/// When a request arrived.
+/// Arrival of a request.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at: Millis,
-    // Whether it was held until a configuration was known.
+    // Whether the request was held until a configuration was known.
     held: bool,
 }
 
-/// Serves one request of a caller.
+/// Serves a request of a caller.
 pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     shell.last_arrival.set(shell.now());
     let mut response = handle(&shell, request).await;
@@ -99,7 +100,8 @@
     }
 }
 
-// Nothing can be checked of a request that arrives before the configuration, so it is held whole first.
+// Nothing about the request can be checked before a configuration is known, so it is read and held
+// first.
 async fn handle_unconfigured(
     shell: &Rc<Shell>,
     parts: Parts,
@@ -136,7 +138,7 @@
     Some(response::from_buffered(answer))
 }
 
-// Decides by the head alone, so that no body is read for a request that is turned away.
+// Routes by the head alone, so that the body of a rejected request is never read.
 async fn handle_by_head(
     shell: &Rc<Shell>,
     parts: Parts,
@@ -161,7 +163,7 @@
     }
 }
 
-// Reads the whole request first, as its head does not say what it wants.
+// Reads the body first, because the head alone does not determine the route.
 async fn handle_by_body(
     shell: &Rc<Shell>,
     parts: Parts,
@@ -193,7 +195,7 @@
     }
 }
 
-// The bytes of a head, with those between its parts.
+// Returns the size of a request head on the wire, separators included.
 fn head_size(parts: &Parts) -> usize {
     const LINE_OVERHEAD_BYTES: usize = "  HTTP/1.1\r\n".len();
     const FIELD_OVERHEAD_BYTES: usize = ": \r\n".len();
@@ -206,8 +208,8 @@
     })
 }
 
-// Understands a request and lets it through the filters that need no more than its head; else returns
-// what its caller is told.
+// Decodes a request and checks its key, route and quota. Returns its identifier and route, or the
+// response for the caller.
 async fn decode_and_route(
     shell: &Shell,
     parts: &Parts,
@@ -241,10 +243,11 @@
     Err(Box::new(refuse(shell, request, refusal)))
 }
 
-// Where the own shard's part of a quota is used up, others are asked before the request is refused.
+// If this shard's part of the quota is used up, quota is borrowed from other shards before the
+// request is refused.
 async fn route(shell: &Shell, incoming: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
-    let passed = shell.core.borrow_mut().route(shell.now(), incoming);
-    let refusal = match passed {
+    let result = shell.core.borrow_mut().route(shell.now(), incoming);
+    let refusal = match result {
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
     };
@@ -313,7 +316,8 @@
     let permit = Permit::new(shell, ticket);
     let decision = shell.add_waiter(ticket);
     if arrival.held {
-        // All that were held are let in before the first is placed, so that the most urgent goes first.
+        // Lets the other held requests be admitted first, so that the scheduler starts the most
+        // urgent one.
         yield_now().await;
     }
     shell.decide();
@@ -343,7 +347,7 @@
             *response.headers_mut() = headers;
             response
         }
-        // The job ended without a decision, by a error of ours.
+        // The job ended without a response because of an internal error.
         Err(_) => response::from_buffered(shell.interface.exchange.fail(Code::Broken)),
     }
 }
--- a/crates/siskinyoke-gateway/src/callers/hold.rs
+++ b/crates/siskinyoke-gateway/src/callers/hold.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive before a configuration is known.
+//! Holds requests that arrive before a configuration is known.
 
 use std::rc::Rc;
 
@@ -18,21 +18,23 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::cold_start;
 
-/// The longest body that is held before the configuration says how long one may be, in bytes.
+/// Maximum size of a held request body, while the configured limit is unknown.
 const MAX_HELD_BODY_BYTES: usize = 1024 * 1024;
 
-/// What a held request takes of the memory for bodies, beside its own, in bytes.
+/// Memory reserved for each held request in addition to its body.
 ///
-/// Its connection's buffers: it bounds the number of requests that are held.
+/// It covers the buffers of the connection and bounds the number of held requests.
 const HELD_REQUEST_OVERHEAD_BYTES: usize = 16 * 1024;
 
-/// Holds a request, with its body read, until a configuration is known.
+/// Reads the body of a request and holds the request until a configuration is known.
 ///
-/// Whoever reads no body of an idempotent request for a second is given up by its caller.
+/// The body is read at once because callers abandon an idempotent request if its body is not
+/// read for a second.
 ///
 /// # Errors
 ///
-/// The refusal, if none is known in time or the memory is full; the request has not run.
+/// The refusal, if no configuration arrives in time or the memory for bodies is used up; the
+/// request has not run.
 pub(super) async fn until_configured(
     shell: &Rc<Shell>,
     parts: &Parts,
--- a/crates/siskinyoke-gateway/src/connection.rs
+++ b/crates/siskinyoke-gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection over which we call: to an endpoint, the store or a peer.
+//! Client connections to endpoints, the store and peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,56 +15,56 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// How long a connection may take to be made.
+/// Time within which a connection must be established.
 ///
-/// Two data centres are some three milliseconds apart there and back; a machine that is down
-/// behind a cut never answers, and an opening packet that was dropped is sent again after a
-/// second only.
+/// The round trip between two data centres takes about 3 ms. A host that is down or cut off never
+/// answers, and a lost SYN packet is sent again only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long sent bytes may stay unacknowledged before the connection counts as dead, in ms.
+/// Time that sent data may stay unacknowledged before the connection is closed.
 ///
-/// A cut link drops packets in silence; without it a connection hangs for minutes.
+/// A network partition drops packets silently, and without this limit a connection hangs for
+/// minutes.
 const TCP_USER_TIMEOUT_MS: u32 = 2_000;
 
 quick_error! {
-    /// Why a connection could not be made.
+    /// Failure to establish a connection.
     #[derive(Debug)]
     pub enum ConnectError {
-        /// The machine refused it, or there is no way to it.
+        /// The host refused the connection or is unreachable.
         Io(err: std::io::Error) {
-            display("no connection: {err}")
+            display("connection failed: {err}")
             source(err)
             from()
         }
-        /// It took too long.
+        /// The connection was not established in time.
         TimedOut {
-            display("no connection within {CONNECT_TIMEOUT:?}")
+            display("connection timed out after {CONNECT_TIMEOUT:?}")
         }
-        /// It was closed at once.
+        /// The HTTP connection could not be set up.
         Handshake(err: hyper::Error) {
-            display("closed at once: {err}")
+            display("HTTP handshake failed: {err}")
             source(err)
             from()
         }
     }
 }
 
-/// One connection over which we call, closed when it is dropped.
+/// A client connection, closed on drop.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
 }
 
-/// What came of sending a request.
+/// Outcome of sending a request over a connection.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The head of the answer.
+    /// The response head.
     Head(http::Response<hyper::body::Incoming>),
-    /// Nothing of the request left this process; here it is again.
+    /// Nothing was sent; returns the request.
     NotSent(Box<Request<Full<Bytes>>>),
-    /// The connection broke after the request, or a part of it, had left.
+    /// The connection broke after all or part of the request was sent.
     ConnectionLost(hyper::Error),
 }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Why it could not be made; nothing was sent.
+    /// Why it could not be established; nothing was sent.
     pub async fn open(address: SocketAddr) -> Result<Self, ConnectError> {
         let Ok(stream) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             return Err(ConnectError::TimedOut);
@@ -83,13 +83,13 @@
         set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS).map_err(std::io::Error::from)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         let task = tokio::task::spawn_local(async move {
-            // Its end shows in the call that used it, or the pool drops it unused.
+            // An error also fails the request in flight; an idle connection is dropped from the pool.
             drop(connection.await);
         });
         Ok(Self { sender, task })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         match self.sender.try_send_request(request).await {
             Ok(response) => SendOutcome::Head(response),
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Returns whether another request may be sent now.
+    /// Returns whether another request can be sent now.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Waits until another request may be sent, and returns whether it ever may.
+    /// Waits until another request can be sent; returns `false` if the connection was closed.
     pub async fn wait_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/siskinyoke-gateway/src/events.rs
+++ b/crates/siskinyoke-gateway/src/events.rs
@@ -1,12 +1,13 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Gathers bytes of a stream and gives back whole events only.
+/// Buffers a stream and returns complete events only.
 ///
-/// An endpoint that dies may stop in the middle of an event. Half an event followed by the next
-/// endpoint's bytes would join two runs; so the half waits here and goes with its endpoint.
+/// A failing endpoint may stop in the middle of an event. A partial event followed by data from
+/// the next endpoint would be merged into one corrupt event, so partial events are buffered here
+/// and discarded when their endpoint fails.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     partial: BytesMut,
@@ -15,7 +16,7 @@
 }
 
 impl EventBuffer {
-    /// Adds bytes and returns the events that are whole now, if any.
+    /// Appends bytes and returns the events they complete, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(bytes);
         let end = last_event_end(&self.partial)?;
@@ -27,22 +28,22 @@
         Some(complete)
     }
 
-    /// Returns what is left at the sound end of a stream.
+    /// Returns the remaining bytes after a complete stream.
     pub fn take_rest(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// Drops the half event of an endpoint that broke off.
+    /// Discards the partial event of a failed endpoint.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Returns how many whole events there were.
+    /// Returns the number of complete events so far.
     pub fn event_count(&self) -> u32 {
         self.event_count
     }
 
-    /// Returns the identity of the last whole event.
+    /// Returns the identifier of the last complete event that has one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! One request from its admission to its last byte.
+//! Runs an admitted request until its response is complete.
 
 mod completion;
 mod forwarding;
@@ -35,60 +35,62 @@
 use siskinyoke_dispatch::latency_model::LatencyModel;
 use siskinyoke_interface::Verdict;
 
-/// The way back to the caller.
+/// Channels for the response to the caller.
 #[derive(Debug)]
 pub struct CallerChannel {
-    /// Takes the head of the answer, or a whole one.
+    /// Takes the start of the response, once.
     pub start: Option<oneshot::Sender<ResponseStart>>,
-    /// Takes the pieces of a stream; closed when the caller is gone.
+    /// Takes the chunks of a streamed response; closed when the caller disconnects.
     pub chunks: mpsc::Sender<Option<Bytes>>,
 }
 
-/// What the caller is told first.
+/// Start of a response.
 #[derive(Debug)]
 pub enum ResponseStart {
-    /// A whole answer.
+    /// A complete response.
     Complete(Response<ResponseBody>),
-    /// A stream begins.
+    /// Status and headers of a streamed response.
     Stream(StatusCode, HeaderMap),
 }
 
-/// One request from its admission to its last byte.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Job {
-    /// What all tasks share.
+    /// State shared by all tasks.
     pub shell: Rc<Shell>,
-    /// The request as the decisions see it.
+    /// The request as seen by the scheduler.
     pub routed: RoutedRequest,
-    /// The request as endpoints see it.
+    /// The request as sent to endpoints.
     pub outgoing: EndpointRequest,
-    /// Its identity.
+    /// Identifier given by the caller.
     pub id: Option<String>,
-    /// The way back to the caller.
+    /// Channels for the response to the caller.
     pub caller: CallerChannel,
-    /// The events passed on so far.
+    /// Events of the streamed response.
     pub events: EventBuffer,
-    /// Whether it may have run.
+    /// Whether an endpoint may have run the request.
     pub maybe_executed: bool,
-    /// The endpoint it was given to last.
+    /// The endpoint of the last attempt.
     pub last_endpoint: Option<Arc<Endpoint>>,
-    /// How far it has come.
+    /// Progress of the response.
     pub progress: Progress,
-    /// An endpoint's whole answer; a failure is passed on if no other endpoint does better.
+    /// Buffered response of an endpoint; an error response is forwarded if no other endpoint
+    /// succeeds.
     pub response: Option<Response<ResponseBody>>,
 }
 
 enum AttemptEnd {
-    // The answer is whole.
+    // The response is complete.
     Finished(Outcome),
-    // The endpoint did not bring a whole answer; another might.
+    // The endpoint returned no complete response; another one may be tried.
     Retry(Outcome),
-    // It broke off, and no other may go on.
+    // The response broke off after it was partly forwarded, so it cannot be retried.
     Truncated,
 }
 
 impl Job {
-    /// Serves the request until its answer is whole, its time is up, or its caller left.
+    /// Serves the request until its response is complete, its deadline passes, or its caller
+    /// disconnects.
     pub async fn run(mut self, permit: Permit, decision: oneshot::Receiver<SchedulingResult>) {
         let chunks = self.caller.chunks.clone();
         let remaining = Duration::from(self.routed.deadline.since(self.shell.now()));
@@ -174,7 +176,7 @@
             response.headers(),
             self.id.as_deref(),
         );
-        // The others are answers of another endpoint, or to another request.
+        // Other verdicts mean a response from another endpoint or to another request.
         if matches!(verdict, Verdict::Answer | Verdict::Full) {
             let named = shell.interface.exchange.rate_limit(response.headers());
             rate_limits::record(&shell, endpoint, start, verdict, named);
@@ -217,7 +219,6 @@
         exchange.answer(parts.status, &parts.headers)
     }
 
-    // How the service's requests fared lately.
     fn latency_model(&self) -> LatencyModel {
         let core = self.shell.core.borrow();
         core.scheduler().latency_model(&self.routed.service)
--- a/crates/siskinyoke-gateway/src/job/completion.rs
+++ b/crates/siskinyoke-gateway/src/job/completion.rs
@@ -1,4 +1,4 @@
-//! How a request ends: what its caller is told, and what is logged and counted.
+//! Ends requests: sends the final response and records the outcome in logs and metrics.
 
 use http::Response;
 use serde_json::json;
@@ -23,8 +23,8 @@
             self.send_response(response);
             return "answered";
         }
-        // The end mark waits for its turn behind the pieces of a slow caller; without it the answer
-        // looks broken off. A caller that is gone needs none.
+        // Waits for the chunks queued for a slow caller: without the end mark the response would look
+        // truncated. Sending fails only if the caller has disconnected.
         drop(self.caller.chunks.send(None).await);
         "streamed"
     }
@@ -45,7 +45,7 @@
         refusal.reason.as_str()
     }
 
-    // No endpoint brought a whole answer, and no other may be asked.
+    // Called when no endpoint returned a complete response and no other may be tried.
     pub(super) fn fail(&mut self, outcome: Outcome) -> &'static str {
         if self.caller.start.is_none() {
             return "cut";
--- a/crates/siskinyoke-gateway/src/job/forwarding.rs
+++ b/crates/siskinyoke-gateway/src/job/forwarding.rs
@@ -1,4 +1,4 @@
-//! Reads an endpoint's answer and passes it on: whole, as it comes, or event by event.
+//! Forwards an endpoint's response to the caller: buffered, chunk by chunk, or event by event.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -23,9 +23,9 @@
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::stall_timeout::STREAM_STALL_TIMEOUT;
 
-/// Bytes of a whole answer that are held before they are passed on.
+/// Maximum size of a response that is buffered before it is forwarded.
 ///
-/// Held back, an answer that breaks off can still be asked for again or fail cleanly.
+/// A buffered response that breaks off can still be retried or replaced by an error response.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
 impl Job {
@@ -52,7 +52,7 @@
         *response.status_mut() = parts.status;
         *response.headers_mut() = self.response_headers(&parts);
         self.response = Some(response);
-        // Where a stream has begun, only the rest of its events can end it.
+        // After a stream has started, only the rest of its events can complete it.
         if parts.status.is_server_error() || self.caller.start.is_none() {
             return AttemptEnd::Retry(Outcome::Failed);
         }
@@ -65,8 +65,8 @@
         })
     }
 
-    // Passes an answer on as it comes that is too long to be buffered. What was passed on cannot be
-    // taken back, so no other endpoint may go on when it breaks.
+    // Forwards a response that is too large to buffer, chunk by chunk. Forwarded data cannot be taken
+    // back, so the request is not retried if the connection breaks.
     async fn relay(
         &mut self,
         parts: &http::response::Parts,
@@ -150,7 +150,7 @@
         AttemptEnd::Retry(outcome)
     }
 
-    // A caller that is gone closes the channel, which ends the job; so a failed send needs no word.
+    // Errors of sending are ignored: a caller that disconnects closes the channel, which ends the job.
     async fn forward(&mut self, parts: &http::response::Parts, chunk: Bytes) {
         if let Some(sender) = self.caller.start.take() {
             let headers = self.response_headers(parts);
--- a/crates/siskinyoke-gateway/src/job/progress.rs
+++ b/crates/siskinyoke-gateway/src/job/progress.rs
@@ -1,26 +1,26 @@
-//! How far a request has come, for its log line.
+//! Progress of a response, for the log.
 
 use siskinyoke_base::Millis;
 
-/// How far a request has come, for its log line.
+/// Progress of a response, for the log.
 ///
-/// Three ways to be late must be told apart afterwards: it waited here, its first part came late,
-/// or its parts came with too long a pause between them.
+/// It distinguishes three causes of a late response: time in the queue, a late first part, and
+/// long pauses between parts.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// How long it waited here before it was last sent.
+    /// Time from arrival until the request was last sent.
     pub queue_time: Millis,
-    /// When the first part of a stream was passed on.
+    /// When the first part of the stream was forwarded.
     pub first_part: Option<Millis>,
-    /// The longest pause between two parts.
+    /// Longest pause between two parts.
     pub longest_pause: Millis,
-    /// The parts passed on.
+    /// Number of parts forwarded.
     pub parts: u32,
     last_part: Millis,
 }
 
 impl Progress {
-    /// Takes note that so many parts are passed on.
+    /// Records that `parts` parts are forwarded.
     pub fn record_parts(&mut self, now: Millis, parts: u32) {
         if self.first_part.is_some() {
             self.longest_pause = self.longest_pause.max(now.since(self.last_part));
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves the requests that come over them.
+//! Accepts connections and serves requests on them.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -24,37 +24,37 @@
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
 
-/// How long connections stay open after this instance began to leave.
+/// How long callers' connections are accepted and kept open after this instance starts to leave.
 ///
-/// Callers keep the directory's answer for two seconds. Until then they may still send here, and
-/// find a closed connection or none at all if we go sooner.
+/// Callers cache the directory for two seconds and may still send requests here during that time;
+/// without the delay their connections would be refused or closed.
 pub const DRAIN_PERIOD: Millis = Millis(2_500);
 
-/// How long an idle connection may stay before the configuration says how long.
+/// Idle timeout of connections before a configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Millis = Millis(15_000);
 
-/// The longest head that is read, in bytes, if the configuration allows no longer one.
+/// Size of the read buffer, which bounds request heads whatever limit is configured.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// How long to wait after the system refused another connection.
+/// Delay before accepting again after the operating system reported an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// Callers' requests.
+    /// Requests of callers.
     Callers,
-    /// Whether this instance takes callers.
+    /// Whether this instance accepts requests.
     Health,
-    /// Which instances a caller should use.
+    /// The directory of instances for callers.
     Directory,
     /// The metrics.
     Metrics,
-    /// What peers hand to each other.
+    /// Store data for peers.
     PeerApi,
 }
 
-/// Accepts connections until this instance has left.
+/// Accepts connections; for callers only until this instance has left.
 pub async fn accept(shell: Rc<Shell>, listener: TcpListener, kind: ListenerKind) {
     let mut drained = pin!(drain_period_elapsed(shell.clone(), kind));
     loop {
@@ -67,8 +67,7 @@
                 tokio::task::spawn_local(serve_connection(shell.clone(), stream, kind));
             }
             Err(err) => {
-                let fields =
-                    json!({ "error": err.to_string(), "hint": "are descriptors used up?" });
+                let fields = json!({ "error": err.to_string(), "hint": "check the limit on open file descriptors" });
                 shell.log("accept_failed", fields);
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -80,7 +79,7 @@
 ///
 /// # Errors
 ///
-/// The system's reason, with the address.
+/// The I/O error, with the address in its message.
 pub async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await.map_err(|err| {
         std::io::Error::new(err.kind(), format!("cannot listen on {address}: {err}"))
@@ -113,7 +112,7 @@
     let mut closing = false;
     loop {
         tokio::select! {
-            // Its end is the caller's business; what became of each request is logged there.
+            // Errors of the connection are ignored: the outcome of each request is logged on its own.
             _ = &mut serving => break,
             () = &mut drained, if !closing => {
                 closing = true;
@@ -142,7 +141,7 @@
     }
 }
 
-// Ends when connections of this kind are to be closed, as this instance leaves.
+// Completes when connections of this kind are to be closed because this instance is leaving.
 async fn drain_period_elapsed(shell: Rc<Shell>, kind: ListenerKind) {
     if kind != ListenerKind::Callers {
         return std::future::pending().await;
@@ -153,7 +152,7 @@
     sleep(DRAIN_PERIOD.into()).await;
 }
 
-// Ends when the connection was idle for as long as the configuration allows.
+// Completes when the connection has been idle for the configured time.
 async fn idle_timeout(shell: &Shell, tracker: &IdleTracker) {
     loop {
         let limit = shell
@@ -174,7 +173,7 @@
     }
 }
 
-/// Since when a connection has had no request.
+/// Tracks whether a connection serves a request, and since when it is idle.
 #[derive(Debug)]
 struct IdleTracker {
     idle_since: Cell<Millis>,
@@ -199,7 +198,7 @@
     }
 }
 
-/// Counts an open connection of a caller.
+/// Counts an open connection until it is dropped, if it is a caller's.
 struct ConnectionGuard {
     shell: Rc<Shell>,
     counted: bool,
--- a/crates/siskinyoke-gateway/src/memory.rs
+++ b/crates/siskinyoke-gateway/src/memory.rs
@@ -1,16 +1,17 @@
-//! Counts the bytes of bodies that are held in memory.
+//! Limits the memory used by request bodies.
 
 use std::rc::Rc;
 
 use crate::shell::Shell;
 
-/// The part of the memory that bodies may fill; the rest is for connections and answers.
+/// Request bodies may use the memory limit divided by this; the rest is for connections and
+/// responses.
 const MEMORY_DIVISOR: u64 = 4;
 
-/// The bytes of one body, counted for as long as it is held.
+/// Memory reserved for a request body, released on drop.
 ///
-/// Bodies wait with their requests. Without a bound a few hundred large ones fill a small
-/// instance's memory, and its end cuts off all that it serves.
+/// Bodies stay in memory while their requests are queued. Without a limit a few hundred large
+/// bodies exhaust the memory of a small instance, and its crash ends every request it serves.
 #[derive(Debug)]
 pub struct MemoryReservation {
     shell: Rc<Shell>,
@@ -18,7 +19,7 @@
 }
 
 impl MemoryReservation {
-    /// Counts a body of so many bytes, or returns nothing if there is no room for it.
+    /// Reserves memory for a body, or returns `None` if the limit would be exceeded.
     pub fn try_reserve(shell: &Rc<Shell>, bytes: usize) -> Option<Self> {
         let limit = shell.settings().memory_mb * 1024 * 1024 / MEMORY_DIVISOR;
         let held = shell.held_bytes.get().saturating_add(bytes);
--- a/crates/siskinyoke-gateway/src/permit.rs
+++ b/crates/siskinyoke-gateway/src/permit.rs
@@ -1,4 +1,4 @@
-//! Guards that keep the counts right however a request ends.
+//! Guards that release slots and queue entries however a request ends.
 
 use std::rc::Rc;
 
@@ -9,10 +9,10 @@
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::stall_timeout::STREAM_STALL_TIMEOUT;
 
-/// A request that waits, or one that runs on an endpoint.
+/// Guards the slot or queue entry of a request; dropping it cancels the request.
 ///
-/// A caller may leave at any await. Without the guard its place would stay taken for ever, and
-/// the endpoint would seem fuller than it is until the process ends.
+/// A caller may disconnect at any await point. Without the guard its slot would stay occupied, and
+/// the endpoint would appear busier than it is until the process ends.
 #[derive(Debug)]
 pub struct Permit {
     shell: Rc<Shell>,
@@ -20,7 +20,7 @@
 }
 
 impl Permit {
-    /// Guards a request that was let in.
+    /// Creates a guard for an admitted request.
     pub fn new(shell: &Rc<Shell>, ticket: Ticket) -> Self {
         Self {
             shell: shell.clone(),
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Takes note that the request was refused: nothing is left to end.
+    /// Disarms the guard of a request that the scheduler has refused and already removed.
     pub fn disarm(mut self) {
         self.ticket = None;
     }
 
-    /// Ends a running stay; returns a ticket to wait with if it may go on elsewhere.
+    /// Ends an attempt; returns the ticket of a retry if one is wanted and allowed.
     pub fn end_attempt(mut self, outcome: Outcome, retry: bool) -> Option<Ticket> {
         let ticket = self.ticket.take()?;
         self.shell.metrics.record_attempt(outcome_name(outcome));
@@ -44,7 +44,7 @@
             .attempt_ended(self.shell.now(), ticket, outcome, retry)
     }
 
-    /// Takes note that the first part of the answer came.
+    /// Records that the first part of the response arrived.
     pub fn first_part_received(&self) {
         if let Some(ticket) = self.ticket {
             let now = self.shell.now();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns how long the endpoint may stay silent.
+    /// Returns how long the endpoint may send no data before it counts as stalled.
     pub fn stall_timeout(&self) -> Millis {
         let core = self.shell.core.borrow();
         self.ticket.map_or(STREAM_STALL_TIMEOUT, |ticket| {
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Returns whether a try that stays silent may be given up for another endpoint.
+    /// Returns whether a stalled attempt may be abandoned and retried at another endpoint.
     pub fn try_abandon(&self) -> bool {
         let Some(ticket) = self.ticket else {
             return false;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns an outcome's name in logs and metrics.
+/// Returns the name of an outcome in logs and metrics.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Completed { .. } => "done",
--- a/crates/siskinyoke-gateway/src/pool.rs
+++ b/crates/siskinyoke-gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that wait to be used again.
+//! Pool of idle connections to endpoints.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,19 +20,19 @@
 use siskinyoke_dispatch::EndpointKey;
 use siskinyoke_interface::headers;
 
-/// How long before an endpoint closes an idle connection we stop using it.
+/// Time before an endpoint closes an idle connection at which the connection is no longer used.
 ///
-/// Work that crosses the close may have run and cannot be sent again; the margin covers the way
-/// there and a late timer.
+/// A request that is sent while the endpoint closes the connection may have run and cannot be sent
+/// again. The margin covers network latency and a late timer.
 const KEEP_ALIVE_MARGIN: Millis = Millis(700);
 
-/// How long an idle connection is used where its endpoint names no time.
+/// Keep-alive timeout assumed for endpoints that send none.
 const DEFAULT_KEEP_ALIVE: Millis = Millis(4_000);
 
-/// How long a connection may take to be ready again after its answer ended.
+/// Time within which a connection must be ready for reuse after a response.
 const REUSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest body of an answer that says "not run", in bytes.
+/// Maximum size of a response body that is drained to reuse its connection.
 const MAX_DRAINED_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Debug)]
@@ -41,14 +41,14 @@
     expires_at: Millis,
 }
 
-/// Connections to endpoints that wait to be used again, the latest used first.
+/// Idle connections to endpoints, reused in last-in, first-out order.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<Map<EndpointKey, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// Takes a connection to an endpoint, if a sound one waits.
+    /// Takes a usable connection to an endpoint, if there is one.
     pub fn take(&self, now: Millis, key: EndpointKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&key)?;
@@ -64,7 +64,7 @@
         None
     }
 
-    /// Drops connections that cannot be used any more.
+    /// Drops connections that are expired or closed.
     pub fn remove_expired(&self, now: Millis) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
@@ -81,14 +81,15 @@
     }
 }
 
-/// Keeps a connection whose answer is over, if its endpoint keeps it too.
+/// Returns a connection to the pool after a response, unless the endpoint closes it.
 pub fn reuse(shell: &Rc<Shell>, endpoint: &Endpoint, head: &HeaderMap, connection: Connection) {
     if !headers::closes(head) {
         put_when_ready(shell, endpoint.key(), connection, headers::keep(head));
     }
 }
 
-/// Reads the short body of an answer that says "not run", so that its connection can be kept.
+/// Reads the body of a response to a request that did not run, so that its connection can be
+/// reused.
 pub fn drain(
     shell: &Rc<Shell>,
     endpoint: &Arc<Endpoint>,
@@ -106,7 +107,7 @@
     });
 }
 
-// Keeps a connection for later, once its last answer is over.
+// Adds a connection to the pool as soon as it can take another request.
 fn put_when_ready(
     shell: &Rc<Shell>,
     key: EndpointKey,
--- a/crates/siskinyoke-gateway/src/response.rs
+++ b/crates/siskinyoke-gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers: whole ones, or streams that may break off.
+//! Response bodies: buffered ones, and streams that may be truncated.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -14,27 +14,28 @@
 use tokio::sync::mpsc::Receiver;
 
 quick_error! {
-    /// A stream that cannot be finished.
+    /// A response stream that cannot be completed.
     ///
-    /// It makes the server close the connection without the end mark, so that the caller sees
-    /// that its answer is not whole.
+    /// It makes the server close the connection without the final chunk, so that the caller can
+    /// tell that the response is truncated.
     #[derive(Debug)]
     pub enum TruncatedError {
-        /// The endpoint broke off, and no other could go on.
+        /// The endpoint failed, and no other endpoint could resume the response.
         Truncated {
-            display("the answer broke off")
+            display("response truncated: the endpoint failed and no other could resume it")
         }
     }
 }
 
-/// The body of an answer to a caller.
+/// Body of a response to a caller.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// A whole body.
+    /// A buffered body.
     Full(Option<Bytes>),
-    /// A stream that a job feeds; nothing marks its sound end.
+    /// Chunks sent by a job; `None` marks the end of a complete response.
     ///
-    /// If the job ends without that mark, for whatever reason, the answer must not look whole.
+    /// If the job ends without that mark, for whatever reason, the response must not look
+    /// complete to the caller.
     Stream(Receiver<Option<Bytes>>),
 }
 
@@ -71,16 +72,14 @@
     }
 }
 
-/// Makes an answer of our own with a short text.
-pub fn text(status: http::StatusCode, message: &str) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::Full(Some(Bytes::from(format!(
-        "{message}\n"
-    )))));
+/// Builds a response with a line of text.
+pub fn text(status: http::StatusCode, text: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::from(format!("{text}\n")))));
     *response.status_mut() = status;
     response
 }
 
-/// Makes an answer of our own with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json(body: Vec<u8>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Full(Some(body.into())));
     let value = http::HeaderValue::from_static("application/json");
@@ -88,7 +87,7 @@
     response
 }
 
-/// Makes an answer of our own from one with a plain body.
+/// Converts a response with a buffered body.
 pub fn from_buffered(response: Response<Vec<u8>>) -> Response<ResponseBody> {
     response.map(|body| ResponseBody::Full(Some(body.into())))
 }
--- a/crates/siskinyoke-gateway/tests/events.rs
+++ b/crates/siskinyoke-gateway/tests/events.rs
@@ -1,11 +1,11 @@
-//! Streams cut into whole events.
+//! Splitting of streams into events.
 
 use arbtest::arbtest;
 
 use siskinyoke_gateway::events::EventBuffer;
 
-// An endpoint dies in the middle of an event, and another goes on after the last whole one. The
-// half event and the other's bytes would make one event of two runs.
+// An endpoint fails in the middle of an event, and another resumes after the last complete event. If
+// the partial event were kept, it would be merged with data from the second endpoint.
 #[test]
 fn a_partial_event_is_discarded_with_its_endpoint() {
     let mut events = EventBuffer::default();
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -1,4 +1,4 @@
-//! The bound on bodies in memory.
+//! Memory limit of request bodies.
 
 use std::rc::Rc;
 
@@ -40,8 +40,8 @@
     Rc::new(Shell::new(interface, settings, identity, journal).unwrap())
 }
 
-// Hundreds of large requests wait for places. Each is allowed by itself; together their bodies
-// would pass the memory of the process, which ends and cuts off all that it serves.
+// Hundreds of queued requests with large bodies, each within its own limit, exhaust the memory of the
+// process, and its crash ends every request it serves.
 #[test]
 fn waiting_bodies_fill_a_quarter_of_the_memory_at_most() {
     let shell = shell();
