--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -17,15 +17,15 @@
 
 /// Applies what was decided of rollouts by now.
 pub fn advance(shell: &Shell) {
-    let transitions = shell.core.borrow_mut().advance_rollouts(shell.now());
-    if transitions.is_empty() {
+    let shifts = shell.core.borrow_mut().advance_rollouts(shell.now());
+    if shifts.is_empty() {
         return;
     }
-    for transition in transitions {
+    for shift in shifts {
         let fields = json!({
-            "service": &*transition.service,
-            "version": &*transition.version,
-            "phase": transition.phase.as_str(),
+            "service": &*shift.service,
+            "version": &*shift.version,
+            "phase": shift.phase.as_str(),
         });
         shell.log("rollout", fields);
     }
