--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -211,7 +211,7 @@
         after = last.map(|it| it.key.clone()).unwrap_or_default();
         let wanted = |it: &Item| it.key.starts_with(prefix);
         items.extend(page.items.into_iter().filter(wanted));
-        if !page.more || after.is_empty() {
+        if !page.has_more || after.is_empty() {
             return Ok(items);
         }
     }
--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -9,8 +9,8 @@
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::rollout::Order;
 use siskinyoke_dispatch::rollout::Status;
-use siskinyoke_interface::Entry;
 use siskinyoke_interface::Item;
+use siskinyoke_interface::ItemKind;
 
 /// Organisations that are named in the log line of a new configuration.
 const MAX_LOGGED_ORGANISATIONS: usize = 8;
@@ -70,31 +70,31 @@
 // Reads an item, which may come from another writer; what cannot be understood names nothing.
 fn decode(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
     match shell.interface.documents.item_kind(&item.key) {
-        Entry::Endpoint(id) => match item.value {
+        ItemKind::Endpoint(id) => match item.value {
             Some(value) => decode_endpoint(shell, id, &value).map(StoreUpdate::Endpoint),
             None => Some(StoreUpdate::EndpointRemoved(id.to_owned())),
         },
-        Entry::Instance(name) => match item.value {
+        ItemKind::Instance(name) => match item.value {
             Some(value) => decode_instance(shell, name, &value),
             None => Some(StoreUpdate::InstanceRemoved(name.to_owned())),
         },
-        Entry::Configuration => {
+        ItemKind::Configuration => {
             if let Some(value) = item.value {
                 apply_configuration(shell, &value, source);
             }
             None
         }
-        Entry::Order(service) => {
+        ItemKind::RolloutOrder(service) => {
             let Some(value) = item.value else {
                 return Some(StoreUpdate::RolloutOrderRemoved(service.into()));
             };
             decode_order(shell, service, &value, item.revision).map(StoreUpdate::RolloutOrder)
         }
-        Entry::Status(service) => {
+        ItemKind::RolloutStatus(service) => {
             let status = decode_status(shell, service, &item.value?, item.revision)?;
             Some(StoreUpdate::RolloutStatus(service.into(), status))
         }
-        Entry::Other => None,
+        ItemKind::Other => None,
     }
 }
 
@@ -119,14 +119,14 @@
             let fields = json!({
                 "service": service,
                 "version": &*text.version,
-                "span_ms": text.span.0,
+                "span_ms": text.duration.0,
                 "revision": revision,
             });
             shell.log("rollout_order", fields);
             Some(Order {
                 service: service.into(),
                 version: text.version.into(),
-                duration: text.span,
+                duration: text.duration,
                 revision,
             })
         }
--- a/crates/siskinyoke-gateway/src/pool.rs
+++ b/crates/siskinyoke-gateway/src/pool.rs
@@ -83,8 +83,13 @@
 
 /// Returns a connection to the pool after a response, unless the endpoint closes it.
 pub fn reuse(shell: &Rc<Shell>, endpoint: &Endpoint, head: &HeaderMap, connection: Connection) {
-    if !headers::closes(head) {
-        put_when_ready(shell, endpoint.key(), connection, headers::keep(head));
+    if !headers::closes_connection(head) {
+        put_when_ready(
+            shell,
+            endpoint.key(),
+            connection,
+            headers::keep_alive_timeout(head),
+        );
     }
 }
 
--- a/crates/siskinyoke-gateway/src/replica.rs
+++ b/crates/siskinyoke-gateway/src/replica.rs
@@ -57,7 +57,7 @@
         let batch = Batch {
             items: update.items,
             revision: update.revision,
-            more: false,
+            has_more: false,
         };
         if update.full {
             self.replace_all(batch)
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -19,9 +19,9 @@
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Call;
 use siskinyoke_interface::Consistency;
-use siskinyoke_interface::Entry;
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::Item;
+use siskinyoke_interface::ItemKind;
 
 /// How long a read may take: a hundred times the store's usual four milliseconds.
 const READ_TIMEOUT: Millis = Millis(1_000);
@@ -118,12 +118,12 @@
                 .map(|item| item.key.clone())
                 .unwrap_or_default();
             items.extend(page.items);
-            if !page.more || after.is_empty() {
+            if !page.has_more || after.is_empty() {
                 break;
             }
         }
         let documents = &self.shell.interface.documents;
-        let configured = |item: &Item| documents.item_kind(&item.key) == Entry::Configuration;
+        let configured = |item: &Item| documents.item_kind(&item.key) == ItemKind::Configuration;
         let configured = items.iter().any(configured);
         self.compacted = false;
         self.call_succeeded();
--- a/crates/siskinyoke-gateway/tests/replica.rs
+++ b/crates/siskinyoke-gateway/tests/replica.rs
@@ -40,7 +40,7 @@
         Batch {
             items: self.history.iter().skip(skip).cloned().collect(),
             revision: self.revision(),
-            more: false,
+            has_more: false,
         }
     }
 }
@@ -140,7 +140,7 @@
             let batch = Batch {
                 items,
                 revision,
-                more: false,
+                has_more: false,
             };
             let news = replicas[at].0.replace_all(batch);
             believe(&mut replicas[at].1, news);
@@ -200,7 +200,7 @@
         replica.apply_changes(Batch {
             items: vec![gone],
             revision: number + 2,
-            more: false,
+            has_more: false,
         });
     }
     assert!(replica.changes_since(2_900).unwrap().items.len() <= 1_024);
--- a/crates/siskinyoke-interface/src/directory.rs
+++ b/crates/siskinyoke-interface/src/directory.rs
@@ -5,7 +5,7 @@
 use siskinyoke_base::Millis;
 
 /// The short pages beside callers' work.
-pub trait Pages: Debug {
+pub trait InstanceDirectory: Debug {
     /// The path that says whether an instance takes callers.
     fn readiness_path(&self) -> &'static str;
 
--- a/crates/siskinyoke-interface/src/documents.rs
+++ b/crates/siskinyoke-interface/src/documents.rs
@@ -10,7 +10,7 @@
 
 /// What an item is by its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Entry<'a> {
+pub enum ItemKind<'a> {
     /// The operators' configuration.
     Configuration,
     /// An endpoint of this identity.
@@ -18,16 +18,16 @@
     /// An instance of this name.
     Instance(&'a str),
     /// The order to move this service's traffic to another version.
-    Order(&'a str),
+    RolloutOrder(&'a str),
     /// How far the order for this service has come.
-    Status(&'a str),
+    RolloutStatus(&'a str),
     /// Nothing of ours.
     Other,
 }
 
 /// Where the documents lie in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Keys {
+pub struct StoreKeys {
     /// The key of the operators' configuration.
     pub configuration: &'static str,
     /// The prefix of the endpoints' entries; their identity follows.
@@ -35,52 +35,52 @@
     /// The prefix of the instances' entries; their name follows.
     pub instances: &'static str,
     /// The prefix of the orders to move a service's traffic; its name follows.
-    pub orders: &'static str,
+    pub rollout_orders: &'static str,
     /// The prefix of their states; the service's name follows.
-    pub states: &'static str,
+    pub rollout_states: &'static str,
 }
 
 /// An order to move a service's traffic, as an operator writes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OrderText {
+pub struct RolloutSpec {
     /// The version that traffic is to move to.
     pub version: String,
     /// How long the move may take.
-    pub span: Millis,
+    pub duration: Millis,
 }
 
 /// The documents in the store.
 pub trait Documents: Debug {
     /// Returns where they lie.
-    fn keys(&self) -> Keys;
+    fn keys(&self) -> StoreKeys;
 
     /// Says what an item is by its key.
-    fn item_kind<'a>(&self, key: &'a str) -> Entry<'a> {
+    fn item_kind<'a>(&self, key: &'a str) -> ItemKind<'a> {
         let keys = self.keys();
         if key == keys.configuration {
-            return Entry::Configuration;
+            return ItemKind::Configuration;
         }
         if let Some(id) = key.strip_prefix(keys.endpoints) {
-            return Entry::Endpoint(id);
+            return ItemKind::Endpoint(id);
         }
         if let Some(name) = key.strip_prefix(keys.instances) {
-            return Entry::Instance(name);
+            return ItemKind::Instance(name);
         }
-        if let Some(service) = key.strip_prefix(keys.orders) {
-            return Entry::Order(service);
+        if let Some(service) = key.strip_prefix(keys.rollout_orders) {
+            return ItemKind::RolloutOrder(service);
         }
-        let service = key.strip_prefix(keys.states);
-        service.map_or(Entry::Other, Entry::Status)
+        let service = key.strip_prefix(keys.rollout_states);
+        service.map_or(ItemKind::Other, ItemKind::RolloutStatus)
     }
 
     /// Returns the key of the order for a service.
     fn rollout_order_key(&self, service: &str) -> String {
-        format!("{}{service}", self.keys().orders)
+        format!("{}{service}", self.keys().rollout_orders)
     }
 
     /// Returns the key of a service's state.
     fn rollout_state_key(&self, service: &str) -> String {
-        format!("{}{service}", self.keys().states)
+        format!("{}{service}", self.keys().rollout_states)
     }
 
     /// Returns the key of an instance's entry.
@@ -107,7 +107,8 @@
     /// # Errors
     ///
     /// What is wrong with it; the order before it stays.
-    fn decode_rollout_order(&self, service: &str, bytes: &[u8]) -> Result<OrderText, FormatError>;
+    fn decode_rollout_order(&self, service: &str, bytes: &[u8])
+    -> Result<RolloutSpec, FormatError>;
 
     /// Decodes the state of an order, with its version.
     ///
--- a/crates/siskinyoke-interface/src/headers.rs
+++ b/crates/siskinyoke-interface/src/headers.rs
@@ -9,7 +9,7 @@
 use siskinyoke_base::Millis;
 
 /// Returns how long an idle connection may be used again, if the other side says so.
-pub fn keep(headers: &HeaderMap) -> Option<Millis> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Millis> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
         .split(',')
@@ -18,7 +18,7 @@
 }
 
 /// Returns whether the other side closes the connection after this answer.
-pub fn closes(headers: &HeaderMap) -> bool {
+pub fn closes_connection(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
         .iter()
@@ -38,7 +38,7 @@
     let mut out = HeaderMap::with_capacity(headers.len() + 2);
     for (name, value) in headers {
         let text = name.as_str();
-        if dropped.contains(name) || hop(text) || named.iter().any(|it| it == text) {
+        if dropped.contains(name) || is_hop_by_hop(text) || named.iter().any(|it| it == text) {
             continue;
         }
         out.append(name.clone(), value.clone());
@@ -47,18 +47,18 @@
 }
 
 /// Returns a header's value as text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
 /// Returns the bearer key of a request.
-pub fn bearer(headers: &HeaderMap) -> Option<&str> {
-    let (scheme, key) = text(headers, &header::AUTHORIZATION)?.split_once(' ')?;
+pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
+    let (scheme, key) = header_text(headers, &header::AUTHORIZATION)?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
 /// Reads two numbers with a comma between them.
-pub fn pair(text: &str) -> Option<(u64, u64)> {
+pub fn parse_pair(text: &str) -> Option<(u64, u64)> {
     let (first, second) = text.split_once(',')?;
     Some((first.trim().parse().ok()?, second.trim().parse().ok()?))
 }
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// That it is no rate.
-pub fn rate(headers: &HeaderMap, name: &HeaderName) -> Result<Option<f64>, FormatError> {
+pub fn parse_rate(headers: &HeaderMap, name: &HeaderName) -> Result<Option<f64>, FormatError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -83,12 +83,12 @@
 }
 
 /// Returns a span as a header in seconds with three decimals.
-pub fn seconds(span: Millis) -> HeaderValue {
+pub fn seconds_value(span: Millis) -> HeaderValue {
     let text = format!("{:.3}", span.as_secs());
     HeaderValue::from_str(&text).unwrap_or_else(|_| HeaderValue::from_static("1"))
 }
 
-fn hop(name: &str) -> bool {
+fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
         "connection"
--- a/crates/siskinyoke-interface/src/lib.rs
+++ b/crates/siskinyoke-interface/src/lib.rs
@@ -10,11 +10,11 @@
 pub mod headers;
 pub mod store;
 
-pub use directory::Pages;
+pub use directory::InstanceDirectory;
 pub use documents::Documents;
-pub use documents::Entry;
-pub use documents::Keys;
-pub use documents::OrderText;
+pub use documents::ItemKind;
+pub use documents::RolloutSpec;
+pub use documents::StoreKeys;
 pub use error::FormatError;
 pub use exchange::Exchange;
 pub use exchange::Head;
@@ -35,5 +35,5 @@
     /// What the store holds.
     pub documents: Box<dyn Documents>,
     /// The short pages beside callers' work.
-    pub directory: Box<dyn Pages>,
+    pub directory: Box<dyn InstanceDirectory>,
 }
--- a/crates/siskinyoke-interface/src/store.rs
+++ b/crates/siskinyoke-interface/src/store.rs
@@ -58,7 +58,7 @@
     /// The revision up to which the store has spoken.
     pub revision: u64,
     /// Whether another page follows.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// How fresh a reading has to be.
--- a/crates/siskinyoke-native/src/directory.rs
+++ b/crates/siskinyoke-native/src/directory.rs
@@ -4,13 +4,13 @@
 
 use crate::names;
 use siskinyoke_base::Millis;
-use siskinyoke_interface::Pages;
+use siskinyoke_interface::InstanceDirectory;
 
 /// The short pages beside callers' work.
 #[derive(Debug, Clone, Copy)]
 pub struct Paths;
 
-impl Pages for Paths {
+impl InstanceDirectory for Paths {
     fn readiness_path(&self) -> &'static str {
         names::READY_PATH
     }
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -13,8 +13,8 @@
 use siskinyoke_dispatch::rollout::State;
 use siskinyoke_interface::Documents;
 use siskinyoke_interface::FormatError;
-use siskinyoke_interface::Keys;
-use siskinyoke_interface::OrderText;
+use siskinyoke_interface::RolloutSpec;
+use siskinyoke_interface::StoreKeys;
 
 /// What the store holds, by key.
 #[derive(Debug, Clone, Copy)]
@@ -45,13 +45,13 @@
 }
 
 impl Documents for Stored {
-    fn keys(&self) -> Keys {
-        Keys {
+    fn keys(&self) -> StoreKeys {
+        StoreKeys {
             configuration: names::CONFIGURATION_KEY,
             endpoints: names::ENDPOINT_PREFIX,
             instances: names::INSTANCE_PREFIX,
-            orders: names::ORDER_PREFIX,
-            states: names::STATE_PREFIX,
+            rollout_orders: names::ORDER_PREFIX,
+            rollout_states: names::STATE_PREFIX,
         }
     }
 
@@ -76,7 +76,7 @@
         })
     }
 
-    fn decode_rollout_order(&self, _: &str, bytes: &[u8]) -> Result<OrderText, FormatError> {
+    fn decode_rollout_order(&self, _: &str, bytes: &[u8]) -> Result<RolloutSpec, FormatError> {
         rollout::decode(bytes)
     }
 
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -55,7 +55,7 @@
                 .map(|row| row.decode_request(false))
                 .collect::<Result<_, _>>()?,
             revision: number(&page.header.revision)?,
-            more: page.more,
+            has_more: page.more,
         })
     }
 
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -63,11 +63,11 @@
     }
 
     fn request_id<'a>(&self, parts: &'a Parts) -> Option<&'a str> {
-        headers::text(&parts.headers, &names::REQUEST_ID)
+        headers::header_text(&parts.headers, &names::REQUEST_ID)
     }
 
     fn deadline(&self, parts: &Parts) -> Option<Millis> {
-        let value = headers::text(&parts.headers, &names::NEED)?;
+        let value = headers::header_text(&parts.headers, &names::NEED)?;
         value.trim().parse().ok().map(Millis)
     }
 
@@ -80,17 +80,18 @@
                 Some(chat.tokens()),
             )
         } else {
-            let tokens = headers::text(head, &names::TOKENS).and_then(headers::pair);
+            let tokens = headers::header_text(head, &names::TOKENS).and_then(headers::parse_pair);
             (parts.uri.path().into(), tokens)
         };
         Ok(Head {
             id: self.request_id(parts),
             host: ANY,
             path,
-            key: headers::bearer(head).map(|key| Cow::Owned(names::digest(key))),
+            key: headers::bearer_token(head).map(|key| Cow::Owned(names::digest(key))),
             deadline: self.deadline(parts),
             tokens,
-            estimate: headers::text(head, &names::ESTIMATE).and_then(|it| it.trim().parse().ok()),
+            estimate: headers::header_text(head, &names::ESTIMATE)
+                .and_then(|it| it.trim().parse().ok()),
         })
     }
 
@@ -138,7 +139,7 @@
         headers: &HeaderMap,
         id: Option<&str>,
     ) -> Verdict {
-        let echoed = headers::text(headers, &names::REQUEST_ID);
+        let echoed = headers::header_text(headers, &names::REQUEST_ID);
         if echoed.is_some() && id.is_some() && echoed != id {
             return Verdict::Foreign;
         }
@@ -150,12 +151,12 @@
     }
 
     fn rate_limit(&self, headers: &HeaderMap) -> Result<Option<f64>, FormatError> {
-        headers::rate(headers, &names::RATE_LIMIT)
+        headers::parse_rate(headers, &names::RATE_LIMIT)
     }
 
     fn response_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap {
         let mut out = headers::end_to_end(headers, &[names::CODE, names::KIND]);
-        let content = headers::text(headers, &header::CONTENT_TYPE).unwrap_or("");
+        let content = headers::header_text(headers, &header::CONTENT_TYPE).unwrap_or("");
         let code = if status.is_server_error() {
             Code::EndpointError
         } else if content.starts_with("text/event-stream") {
--- a/crates/siskinyoke-native/src/rollout.rs
+++ b/crates/siskinyoke-native/src/rollout.rs
@@ -6,7 +6,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::rollout::State;
 use siskinyoke_interface::FormatError;
-use siskinyoke_interface::OrderText;
+use siskinyoke_interface::RolloutSpec;
 
 /// The longest time that an order may give, in seconds.
 const LONGEST: u64 = 86_400;
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// What is wrong with it.
-pub fn decode(bytes: &[u8]) -> Result<OrderText, FormatError> {
+pub fn decode(bytes: &[u8]) -> Result<RolloutSpec, FormatError> {
     let order: RolloutOrder = serde_json::from_slice(bytes)?;
     if order.version.is_empty() {
         return Err(FormatError::InvalidValue(
@@ -62,9 +62,9 @@
             "give 1 to 86400 seconds",
         ));
     }
-    Ok(OrderText {
+    Ok(RolloutSpec {
         version: order.version,
-        span: Millis::from_secs(order.seconds),
+        duration: Millis::from_secs(order.seconds),
     })
 }
 
--- a/crates/siskinyoke-native/tests/documents.rs
+++ b/crates/siskinyoke-native/tests/documents.rs
@@ -6,8 +6,8 @@
 use siskinyoke_dispatch::Configuration;
 use siskinyoke_dispatch::Kind;
 use siskinyoke_interface::Documents;
-use siskinyoke_interface::Entry;
 use siskinyoke_interface::FormatError;
+use siskinyoke_interface::ItemKind;
 use siskinyoke_native::configuration::Document;
 use siskinyoke_native::documents::Stored;
 
@@ -128,15 +128,15 @@
 fn keys_say_what_an_item_is() {
     assert_eq!(
         Stored.item_kind("siskinyoke/configuration"),
-        Entry::Configuration
+        ItemKind::Configuration
     );
     assert_eq!(
         Stored.item_kind("siskinyoke/endpoints/fast-1"),
-        Entry::Endpoint("fast-1")
+        ItemKind::Endpoint("fast-1")
     );
     let key = Stored.instance_key("front-1");
-    assert_eq!(Stored.item_kind(&key), Entry::Instance("front-1"));
-    assert_eq!(Stored.item_kind("siskinyoke/other"), Entry::Other);
+    assert_eq!(Stored.item_kind(&key), ItemKind::Instance("front-1"));
+    assert_eq!(Stored.item_kind("siskinyoke/other"), ItemKind::Other);
 }
 
 #[test]
--- a/crates/siskinyoke-native/tests/etcd.rs
+++ b/crates/siskinyoke-native/tests/etcd.rs
@@ -13,7 +13,7 @@
         "kvs": [{ "key": "c2lza2lueW9rZS9h", "value": "eA==", "mod_revision": "7" }] }"#;
     let batch = Etcd.decode_range(answer).unwrap();
     assert_eq!(batch.revision, 12);
-    assert!(batch.more);
+    assert!(batch.has_more);
     assert_eq!(batch.items[0].key, "siskinyoke/a");
     assert_eq!(batch.items[0].value.as_deref(), Some(&b"x"[..]));
     let body =
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -171,10 +171,10 @@
         etcd.put(&format!("siskinyoke/endpoints/{number:04}"), "{}");
     }
     let first = all(&etcd);
-    assert!(first.more);
+    assert!(first.has_more);
     let after = &first.items.last().unwrap().key;
     let body = call(&etcd, &Calls.range(after, Consistency::Linearizable)).unwrap();
     let second = Calls.decode_range(&body).unwrap();
-    assert!(!second.more);
+    assert!(!second.has_more);
     assert_eq!(first.items.len() + second.items.len(), 1_500);
 }
