--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -9,8 +9,8 @@
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::rollout::Order;
 use siskinyoke_dispatch::rollout::Status;
-use siskinyoke_interface::Entry;
 use siskinyoke_interface::Item;
+use siskinyoke_interface::ItemKind;
 
 /// Maximum number of organisations listed in the log line of a new configuration.
 const MAX_LOGGED_ORGANISATIONS: usize = 8;
@@ -75,37 +75,37 @@
 // Decodes an item, which may come from another writer; an invalid one is logged and skipped. A
 // configuration is applied directly.
 fn decode(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
-    match shell.interface.documents.entry(&item.key) {
-        Entry::Endpoint(id) => match item.value {
+    match shell.interface.documents.item_kind(&item.key) {
+        ItemKind::Endpoint(id) => match item.value {
             Some(value) => decode_endpoint(shell, id, &value).map(StoreUpdate::Endpoint),
             None => Some(StoreUpdate::EndpointRemoved(id.to_owned())),
         },
-        Entry::Instance(name) => match item.value {
+        ItemKind::Instance(name) => match item.value {
             Some(value) => decode_instance(shell, name, &value),
             None => Some(StoreUpdate::InstanceRemoved(name.to_owned())),
         },
-        Entry::Configuration => {
+        ItemKind::Configuration => {
             if let Some(value) = item.value {
                 apply_configuration(shell, &value, source);
             }
             None
         }
-        Entry::Order(service) => {
+        ItemKind::RolloutOrder(service) => {
             let Some(value) = item.value else {
                 return Some(StoreUpdate::RolloutOrderRemoved(service.into()));
             };
             decode_order(shell, service, &value, item.revision).map(StoreUpdate::RolloutOrder)
         }
-        Entry::Status(service) => {
+        ItemKind::RolloutStatus(service) => {
             let status = decode_status(shell, service, &item.value?, item.revision)?;
             Some(StoreUpdate::RolloutStatus(service.into(), status))
         }
-        Entry::Other => None,
+        ItemKind::Other => None,
     }
 }
 
 fn decode_endpoint(shell: &Shell, id: &str, value: &[u8]) -> Option<Endpoint> {
-    match shell.interface.documents.endpoint(id, value) {
+    match shell.interface.documents.decode_endpoint(id, value) {
         Ok(endpoint) => Some(endpoint),
         Err(err) => {
             let fields = json!({ "endpoint": id, "error": err.to_string() });
@@ -116,19 +116,23 @@
 }
 
 fn decode_order(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Order> {
-    match shell.interface.documents.order(service, value) {
+    match shell
+        .interface
+        .documents
+        .decode_rollout_order(service, value)
+    {
         Ok(text) => {
             let fields = json!({
                 "service": service,
                 "version": &*text.version,
-                "span_ms": text.span.0,
+                "span_ms": text.duration.0,
                 "revision": revision,
             });
             shell.log("rollout_order", fields);
             Some(Order {
                 service: service.into(),
                 version: text.version.into(),
-                duration: text.span,
+                duration: text.duration,
                 revision,
             })
         }
@@ -141,7 +145,7 @@
 }
 
 fn decode_status(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Status> {
-    match shell.interface.documents.state(value) {
+    match shell.interface.documents.decode_rollout_state(value) {
         Ok((state, version)) => Some(Status {
             state,
             version: version.into(),
@@ -188,7 +192,7 @@
 
 // Applies a configuration if it is newer than the active one.
 fn apply_configuration(shell: &Shell, bytes: &[u8], source: &str) {
-    let configuration = match shell.interface.documents.configuration(bytes) {
+    let configuration = match shell.interface.documents.decode_configuration(bytes) {
         Ok(configuration) => configuration,
         Err(err) => {
             let fields = json!({ "source": source, "error": err.to_string() });
--- a/crates/siskinyoke-gateway/src/job/completion.rs
+++ b/crates/siskinyoke-gateway/src/job/completion.rs
@@ -1,4 +1,4 @@
-//! How a request ends: what its caller is told, and what is logged and counted.
+//! Ends requests: sends the final response and records the outcome in logs and metrics.
 
 use http::Response;
 use serde_json::json;
@@ -8,7 +8,7 @@
 use crate::permit::outcome_name;
 use crate::response;
 use crate::response::ResponseBody;
-use crate::shell::RefusedRequest;
+use crate::shell::RefusalInfo;
 use siskinyoke_base::Code;
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Outcome;
@@ -23,8 +23,8 @@
             self.send_response(response);
             return "answered";
         }
-        // The end mark waits for its turn behind the pieces of a slow caller; without it the answer
-        // looks broken off. A caller that is gone needs none.
+        // Waits for the chunks queued for a slow caller: without the end mark the response would look
+        // truncated. Sending fails only if the caller has disconnected.
         drop(self.caller.chunks.send(None).await);
         "streamed"
     }
@@ -34,18 +34,18 @@
             return self.fail(Outcome::Cancelled);
         }
         self.shell.core.borrow_mut().refund(&self.routed);
-        let request = RefusedRequest {
+        let request = RefusalInfo {
             admitted: true,
-            ..RefusedRequest::routed(self.id.as_deref(), &self.routed)
+            ..RefusalInfo::routed(self.id.as_deref(), &self.routed)
         };
         self.shell.log_refusal(request, refusal);
         self.send_response(response::from_buffered(
-            self.shell.interface.exchange.refuse(refusal),
+            self.shell.interface.exchange.refusal_response(refusal),
         ));
         refusal.reason.as_str()
     }
 
-    // No endpoint brought a whole answer, and no other may be asked.
+    // Called when no endpoint returned a complete response and no other may be tried.
     pub(super) fn fail(&mut self, outcome: Outcome) -> &'static str {
         if self.caller.start.is_none() {
             return "cut";
@@ -85,7 +85,7 @@
     }
 
     fn error_response(&self, code: Code) -> Response<ResponseBody> {
-        response::from_buffered(self.shell.interface.exchange.fail(code))
+        response::from_buffered(self.shell.interface.exchange.error_response(code))
     }
 
     pub(super) fn send_response(&mut self, response: Response<ResponseBody>) {
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -99,7 +99,9 @@
             store.decode_watch(bytes, ended)
         };
         match self.call_until(address, call, limit, read).await {
-            Err(StoreError::NoReply) if store.quiet_watch() && opened.get() => Ok(Batch::default()),
+            Err(StoreError::NoReply) if store.idle_watch_is_silent() && opened.get() => {
+                Ok(Batch::default())
+            }
             other => other,
         }
     }
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -19,9 +19,9 @@
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Call;
 use siskinyoke_interface::Consistency;
-use siskinyoke_interface::Entry;
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::Item;
+use siskinyoke_interface::ItemKind;
 
 /// Time limit for a read; the store usually answers within four milliseconds.
 const READ_TIMEOUT: Millis = Millis(1_000);
@@ -121,12 +121,12 @@
                 .map(|item| item.key.clone())
                 .unwrap_or_default();
             items.extend(page.items);
-            if !page.more || after.is_empty() {
+            if !page.has_more || after.is_empty() {
                 break;
             }
         }
         let documents = &self.shell.interface.documents;
-        let configured = |item: &Item| documents.entry(&item.key) == Entry::Configuration;
+        let configured = |item: &Item| documents.item_kind(&item.key) == ItemKind::Configuration;
         let configured = items.iter().any(configured);
         self.compacted = false;
         self.call_succeeded();
@@ -189,7 +189,7 @@
         let address = self.shell.settings().store;
         let store = &*self.shell.interface.store;
         let held = self.shell.core.borrow().watch_timeout();
-        let limit = if store.quiet_watch() {
+        let limit = if store.idle_watch_is_silent() {
             held.max(RESPONSE_MARGIN)
         } else {
             held + RESPONSE_MARGIN
@@ -259,7 +259,7 @@
 fn is_compacted(err: &StoreError) -> bool {
     match err {
         StoreError::Status(status) => *status == http::StatusCode::GONE,
-        StoreError::Format(FormatError::Forgotten) => true,
+        StoreError::Format(FormatError::Compacted) => true,
         _ => false,
     }
 }
