--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -224,8 +224,8 @@
     revision: u64,
     before: u64,
 ) -> Result<(), OperateError> {
-    let body = context.call_store(&etcd::swap(key, value, revision))?;
-    if etcd::decode_swap(&body).map_err(invalid_response)? {
+    let body = context.call_store(&etcd::compare_and_swap(key, value, revision))?;
+    if etcd::decode_txn(&body).map_err(invalid_response)? {
         return Ok(());
     }
     Err(OperateError::Conflict(before))
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -224,17 +224,19 @@
         host: head.host,
         path: &head.path,
         hold_time: shell.now().since(arrival.at),
-        key: head.key.as_deref(),
-        timeout: head.deadline,
-        tokens: head.tokens,
-        output_estimate: head.estimate,
+        key: head.api_key.as_deref(),
+        timeout: head.timeout,
+        tokens: head.token_counts,
+        output_estimate: head.output_estimate,
         draw: stable_hash(&head.id),
     };
     let refusal = match route(shell, incoming).await {
         Ok(routed) => return Ok((head.id.map(ToOwned::to_owned), routed)),
         Err(refusal) => refusal,
     };
-    let organisation = head.key.and_then(|key| organisation_by_key(shell, &key));
+    let organisation = head
+        .api_key
+        .and_then(|api_key| organisation_by_key(shell, &api_key));
     let request = RefusalInfo {
         id: head.id,
         organisation: organisation.as_ref().map(|it| &*it.name),
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -33,7 +33,7 @@
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_dispatch::latency_model::LatencyModel;
-use siskinyoke_interface::Verdict;
+use siskinyoke_interface::ResponseClass;
 
 /// Channels for the response to the caller.
 #[derive(Debug)]
@@ -177,27 +177,27 @@
             self.id.as_deref(),
         );
         // Other verdicts mean a response from another endpoint or to another request.
-        if matches!(verdict, Verdict::Answer | Verdict::Full) {
+        if matches!(verdict, ResponseClass::Valid | ResponseClass::Rejected) {
             let named = shell.interface.exchange.rate_limit(response.headers());
             rate_limits::record(&shell, endpoint, start, verdict, named);
         }
         match verdict {
-            Verdict::Foreign => AttemptEnd::Retry(Outcome::ConnectionLost),
-            Verdict::Full | Verdict::Moved => {
+            ResponseClass::Mismatched => AttemptEnd::Retry(Outcome::ConnectionLost),
+            ResponseClass::Rejected | ResponseClass::Misdirected => {
                 self.maybe_executed = executed_before;
                 pool::drain(&self.shell, endpoint, response, connection);
-                let full = verdict == Verdict::Full;
+                let full = verdict == ResponseClass::Rejected;
                 AttemptEnd::Retry(if full {
                     Outcome::Full
                 } else {
                     Outcome::Misdirected
                 })
             }
-            Verdict::Answer if self.routed.is_stream() && response.status().is_success() => {
+            ResponseClass::Valid if self.routed.is_stream() && response.status().is_success() => {
                 self.stream_response(endpoint, permit, start, response, connection)
                     .await
             }
-            Verdict::Answer => {
+            ResponseClass::Valid => {
                 self.buffer_response(endpoint, start, response, connection)
                     .await
             }
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -7,7 +7,7 @@
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::rate_limits::LimitChange;
 use siskinyoke_interface::FormatError;
-use siskinyoke_interface::Verdict;
+use siskinyoke_interface::ResponseClass;
 
 /// Records the rate limit in the head of a response to a request sent at `sent`.
 ///
@@ -17,11 +17,11 @@
     shell: &Shell,
     endpoint: &Endpoint,
     sent: Millis,
-    verdict: Verdict,
+    verdict: ResponseClass,
     limit: Result<Option<f64>, FormatError>,
 ) {
     let rate = match limit {
-        Ok(None) if verdict != Verdict::Answer => return,
+        Ok(None) if verdict != ResponseClass::Valid => return,
         Ok(rate) => rate,
         Err(err) => {
             let fields = json!({ "endpoint": &*endpoint.id, "error": err.to_string() });
--- a/crates/siskinyoke-interface/src/exchange.rs
+++ b/crates/siskinyoke-interface/src/exchange.rs
@@ -17,7 +17,7 @@
 
 /// What a caller's request says, beside what is only passed on.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Head<'a> {
+pub struct RequestHead<'a> {
     /// The identity of this attempt.
     pub id: Option<&'a str>,
     /// The host it is for, without a port.
@@ -25,26 +25,26 @@
     /// The path by which its route is found.
     pub path: Cow<'a, str>,
     /// Its key, in the form in which the configuration holds keys.
-    pub key: Option<Cow<'a, str>>,
+    pub api_key: Option<Cow<'a, str>>,
     /// How long the caller waits.
-    pub deadline: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// Prompt tokens, and the most output tokens.
-    pub tokens: Option<(u64, u64)>,
+    pub token_counts: Option<(u64, u64)>,
     /// Output tokens that the caller expects; it may be far off.
-    pub estimate: Option<u64>,
+    pub output_estimate: Option<u64>,
 }
 
 /// What the head of an endpoint's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseClass {
     /// The endpoint's own answer, whatever its status.
-    Answer,
+    Valid,
     /// It had no room and did not run the request.
-    Full,
+    Rejected,
     /// The endpoint that was meant is not at this address; nothing ran.
-    Moved,
+    Misdirected,
     /// It is the answer to another request, or no answer in the protocol.
-    Foreign,
+    Mismatched,
 }
 
 /// Heads of requests and answers.
@@ -65,7 +65,11 @@
     /// # Errors
     ///
     /// What is wrong with a body that had to be understood.
-    fn decode_request<'a>(&self, parts: &'a Parts, body: &[u8]) -> Result<Head<'a>, FormatError>;
+    fn decode_request<'a>(
+        &self,
+        parts: &'a Parts,
+        body: &[u8],
+    ) -> Result<RequestHead<'a>, FormatError>;
 
     /// Returns the path with its query under which an endpoint is asked.
     fn endpoint_uri(&self, uri: &Uri) -> Uri {
@@ -87,7 +91,7 @@
         status: StatusCode,
         headers: &HeaderMap,
         id: Option<&str>,
-    ) -> Verdict;
+    ) -> ResponseClass;
 
     /// Returns the requests a second that an endpoint says it takes from all instances together, if its answer names
     /// that.
--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -149,7 +149,7 @@
     /// The first thing that does not fit together.
     pub fn resolve(&self) -> Result<Configuration, FormatError> {
         let preset = self.presets.get(&self.preset);
-        let preset = preset.ok_or_else(|| missing("preset", &self.preset, "see presets"))?;
+        let preset = preset.ok_or_else(|| unknown_name("preset", &self.preset, "see presets"))?;
         self.check_presets()?;
         let mut configuration = Configuration::new(self.revision, self.limits.decode());
         for row in &self.routes {
@@ -159,11 +159,11 @@
             let share = preset.shares.get(name).copied().unwrap_or(1.0);
             let organisation = Organisation {
                 name: name.as_str().into(),
-                priority: row.tier.as_ref().map(|it| self.rank(it)).transpose()?,
+                priority: row.tier.as_ref().map(|it| self.priority(it)).transpose()?,
                 rate: row.rate * share,
                 burst: row.burst * share,
                 counts_tokens: row.tokens,
-                default_cost: PLAIN,
+                default_cost: DEFAULT_COST_TOKENS,
             };
             configuration.add_organisation(organisation, &row.keys);
         }
@@ -173,12 +173,12 @@
     fn check_presets(&self) -> Result<(), FormatError> {
         for (name, preset) in &self.presets {
             for tier in &preset.closed {
-                self.rank(tier)?;
+                self.priority(tier)?;
             }
             for (organisation, share) in &preset.shares {
                 if !self.organisations.contains_key(organisation) {
                     let field = format!("presets.{name}.shares");
-                    return Err(missing(&field, organisation, "see organisations"));
+                    return Err(unknown_name(&field, organisation, "see organisations"));
                 }
                 if !(0.0..=100.0).contains(share) {
                     let field = format!("presets.{name}.shares.{organisation}");
@@ -195,7 +195,7 @@
         row: &RouteRow,
         preset: &Preset,
     ) -> Result<(), FormatError> {
-        let rank = self.rank(&row.tier)?;
+        let rank = self.priority(&row.tier)?;
         let closed = preset.closed.contains(&row.tier);
         if row.services.values().all(|weight| *weight == 0) {
             let field = format!("routes, tier {}", row.tier);
@@ -235,14 +235,14 @@
         match (&row.model, &row.path) {
             (Some(model), None) => {
                 let prefix = names::model_path(model, false);
-                configuration.add_route(ANY, route(model, prefix, plain));
+                configuration.add_route(ANY_HOST, route(model, prefix, plain));
                 let prefix = names::model_path(model, true);
-                configuration.add_route(ANY, route(model, prefix, Kind::Stream));
+                configuration.add_route(ANY_HOST, route(model, prefix, Kind::Stream));
             }
             (None, Some(path)) => {
                 let path = path.trim_matches('/');
                 let prefix = format!("{}{path}/", names::SERVICE_PATH);
-                configuration.add_route(ANY, route(path, prefix, plain));
+                configuration.add_route(ANY_HOST, route(path, prefix, plain));
             }
             _ => {
                 let field = format!("routes, tier {}", row.tier);
@@ -255,10 +255,10 @@
         Ok(())
     }
 
-    fn rank(&self, tier: &str) -> Result<u8, FormatError> {
+    fn priority(&self, tier: &str) -> Result<u8, FormatError> {
         let at = self.tiers.iter().position(|it| it == tier);
         at.and_then(|at| u8::try_from(at).ok())
-            .ok_or_else(|| missing("tier", tier, "see tiers"))
+            .ok_or_else(|| unknown_name("tier", tier, "see tiers"))
     }
 }
 
@@ -274,12 +274,12 @@
 }
 
 /// Routes of this interface do not look at the host.
-pub const ANY: &str = "";
+pub const ANY_HOST: &str = "";
 
 /// Tokens of a request that names none: about a page of text.
-const PLAIN: f64 = 1_000.0;
+const DEFAULT_COST_TOKENS: f64 = 1_000.0;
 
-fn missing(field: &str, name: &str, hint: &'static str) -> FormatError {
+fn unknown_name(field: &str, name: &str, hint: &'static str) -> FormatError {
     FormatError::InvalidValue(format!("{field}: {name}"), hint)
 }
 
--- a/crates/siskinyoke-native/src/directory.rs
+++ b/crates/siskinyoke-native/src/directory.rs
@@ -8,9 +8,9 @@
 
 /// The short pages beside callers' work.
 #[derive(Debug, Clone, Copy)]
-pub struct Paths;
+pub struct NativeDirectory;
 
-impl InstanceDirectory for Paths {
+impl InstanceDirectory for NativeDirectory {
     fn readiness_path(&self) -> &'static str {
         names::READY_PATH
     }
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -18,7 +18,7 @@
 
 /// What the store holds, by key.
 #[derive(Debug, Clone, Copy)]
-pub struct Stored;
+pub struct NativeDocuments;
 
 /// An endpoint's entry, written by operators or by the endpoint itself under a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     pub born: u64,
 }
 
-impl Documents for Stored {
+impl Documents for NativeDocuments {
     fn keys(&self) -> StoreKeys {
         StoreKeys {
             configuration: names::CONFIGURATION_KEY,
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -14,17 +14,17 @@
 use siskinyoke_interface::Item;
 use siskinyoke_interface::Store;
 
-const RANGE: &str = "/v3/kv/range";
-const PUT: &str = "/v3/kv/put";
-const TXN: &str = "/v3/kv/txn";
-const DELETE: &str = "/v3/kv/deleterange";
-const WATCH: &str = "/v3/watch";
-const GRANT: &str = "/v3/lease/grant";
-const KEEP: &str = "/v3/lease/keepalive";
-const REVOKE: &str = "/v3/lease/revoke";
+const RANGE_PATH: &str = "/v3/kv/range";
+const PUT_PATH: &str = "/v3/kv/put";
+const TXN_PATH: &str = "/v3/kv/txn";
+const DELETE_PATH: &str = "/v3/kv/deleterange";
+const WATCH_PATH: &str = "/v3/watch";
+const GRANT_PATH: &str = "/v3/lease/grant";
+const KEEPALIVE_PATH: &str = "/v3/lease/keepalive";
+const REVOKE_PATH: &str = "/v3/lease/revoke";
 
 /// The most items of one page: at some 200 bytes each far below a megabyte.
-const PAGE: u32 = 1_000;
+const MAX_PAGE_ITEMS: u32 = 1_000;
 
 /// The calls of etcd's published v3 JSON gateway.
 #[derive(Debug, Clone, Copy)]
@@ -39,12 +39,12 @@
             format!("{after}\0")
         };
         let body = json!({
-            "key": code(&from),
-            "range_end": code(END),
-            "limit": PAGE.to_string(),
+            "key": encode_key(&from),
+            "range_end": encode_key(RANGE_END),
+            "limit": MAX_PAGE_ITEMS.to_string(),
             "serializable": consistency == Consistency::Serializable,
         });
-        Call::post(RANGE, &body)
+        Call::post(RANGE_PATH, &body)
     }
 
     fn decode_range(&self, bytes: &[u8]) -> Result<Batch, FormatError> {
@@ -54,7 +54,7 @@
             items: rows
                 .map(|row| row.decode_request(false))
                 .collect::<Result<_, _>>()?,
-            revision: number(&page.header.revision)?,
+            revision: parse_number(&page.header.revision)?,
             has_more: page.more,
         })
     }
@@ -62,12 +62,12 @@
     fn watch(&self, revision: u64, _: Millis) -> Call {
         let body = json!({
             "create_request": {
-                "key": code(names::PREFIX),
-                "range_end": code(END),
+                "key": encode_key(names::PREFIX),
+                "range_end": encode_key(RANGE_END),
                 "start_revision": (revision + 1).to_string(),
             }
         });
-        Call::post(WATCH, &body)
+        Call::post(WATCH_PATH, &body)
     }
 
     fn decode_watch(&self, bytes: &[u8], ended: bool) -> Result<Option<Batch>, FormatError> {
@@ -77,7 +77,7 @@
             if line.last() != Some(&b'\n') && !ended {
                 break;
             }
-            let message: Message = serde_json::from_slice(line)?;
+            let message: WatchMessage = serde_json::from_slice(line)?;
             if message.result.canceled {
                 return Err(FormatError::Compacted);
             }
@@ -100,59 +100,59 @@
     fn grant_lease(&self, ttl: Millis) -> Call {
         // Its spans are whole seconds.
         let seconds = ttl.0.div_ceil(1_000);
-        Call::post(GRANT, &json!({ "TTL": seconds.to_string() }))
+        Call::post(GRANT_PATH, &json!({ "TTL": seconds.to_string() }))
     }
 
     fn decode_lease(&self, bytes: &[u8]) -> Result<u64, FormatError> {
         let lease: Lease = serde_json::from_slice(bytes)?;
-        number(&lease.id)
+        parse_number(&lease.id)
     }
 
     fn renew_lease(&self, lease: u64) -> Call {
-        Call::post(KEEP, &json!({ "ID": lease.to_string() }))
+        Call::post(KEEPALIVE_PATH, &json!({ "ID": lease.to_string() }))
     }
 
     fn decode_renewal(&self, bytes: &[u8]) -> Result<bool, FormatError> {
-        let kept: Kept = serde_json::from_slice(bytes)?;
-        Ok(number(&kept.result.ttl)? > 0)
+        let kept: KeepaliveResponse = serde_json::from_slice(bytes)?;
+        Ok(parse_number(&kept.result.ttl)? > 0)
     }
 
     fn revoke_lease(&self, lease: u64) -> Call {
-        Call::post(REVOKE, &json!({ "ID": lease.to_string() }))
+        Call::post(REVOKE_PATH, &json!({ "ID": lease.to_string() }))
     }
 
     fn put(&self, key: &str, value: &[u8], lease: u64) -> Call {
         let value = STANDARD.encode(value);
-        let body = json!({ "key": code(key), "value": value, "lease": lease.to_string() });
-        Call::post(PUT, &body)
+        let body = json!({ "key": encode_key(key), "value": value, "lease": lease.to_string() });
+        Call::post(PUT_PATH, &body)
     }
 
     fn put_if(&self, key: &str, value: &[u8], expected: &[(&str, u64)]) -> Call {
-        swap_if(key, value, expected)
+        conditional_put(key, value, expected)
     }
 
     fn decode_put_if(&self, bytes: &[u8]) -> Result<bool, FormatError> {
-        decode_swap(bytes)
+        decode_txn(bytes)
     }
 }
 
 /// Reads one key.
 pub fn get(key: &str) -> Call {
-    Call::post(RANGE, &json!({ "key": code(key) }))
+    Call::post(RANGE_PATH, &json!({ "key": encode_key(key) }))
 }
 
 /// Writes a key unless it changed after a revision; 0 stands for a key that is not there.
 ///
 /// Two operators who change the same document at once cannot undo each other unseen.
-pub fn swap(key: &str, value: &[u8], revision: u64) -> Call {
-    swap_if(key, value, &[(key, revision)])
+pub fn compare_and_swap(key: &str, value: &[u8], revision: u64) -> Call {
+    conditional_put(key, value, &[(key, revision)])
 }
 
-fn swap_if(key: &str, value: &[u8], expected: &[(&str, u64)]) -> Call {
+fn conditional_put(key: &str, value: &[u8], expected: &[(&str, u64)]) -> Call {
     let value = STANDARD.encode(value);
     let compare = |(key, revision): &(&str, u64)| {
         json!({
-            "key": code(key),
+            "key": encode_key(key),
             "target": "MOD",
             "result": "EQUAL",
             "mod_revision": revision.to_string(),
@@ -160,14 +160,14 @@
     };
     let body = json!({
         "compare": expected.iter().map(compare).collect::<Vec<_>>(),
-        "success": [{ "request_put": { "key": code(key), "value": value } }],
+        "success": [{ "request_put": { "key": encode_key(key), "value": value } }],
     });
-    Call::post(TXN, &body)
+    Call::post(TXN_PATH, &body)
 }
 
 /// Removes a key.
 pub fn remove(key: &str) -> Call {
-    Call::post(DELETE, &json!({ "key": code(key) }))
+    Call::post(DELETE_PATH, &json!({ "key": encode_key(key) }))
 }
 
 /// Decodes whether a swap took effect.
@@ -175,13 +175,13 @@
 /// # Errors
 ///
 /// What is wrong with the answer.
-pub fn decode_swap(bytes: &[u8]) -> Result<bool, FormatError> {
-    let swapped: Swapped = serde_json::from_slice(bytes)?;
+pub fn decode_txn(bytes: &[u8]) -> Result<bool, FormatError> {
+    let swapped: TxnResponse = serde_json::from_slice(bytes)?;
     Ok(swapped.succeeded)
 }
 
 /// The first key after all of ours: a slash is followed by a zero.
-const END: &str = "siskinyoke0";
+const RANGE_END: &str = "siskinyoke0";
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
@@ -213,20 +213,20 @@
         let value = STANDARD.decode(self.value)?;
         Ok(Item {
             key: String::from_utf8_lossy(&key).into_owned(),
-            revision: number(&self.mod_revision)?,
+            revision: parse_number(&self.mod_revision)?,
             value: (!removed).then_some(value),
         })
     }
 }
 
 #[derive(Debug, Deserialize)]
-struct Message {
-    result: Watched,
+struct WatchMessage {
+    result: WatchResult,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Watched {
+struct WatchResult {
     canceled: bool,
     events: Vec<Event>,
 }
@@ -251,22 +251,22 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Kept {
+struct KeepaliveResponse {
     result: Lease,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Swapped {
+struct TxnResponse {
     succeeded: bool,
 }
 
-fn code(key: &str) -> String {
+fn encode_key(key: &str) -> String {
     STANDARD.encode(key)
 }
 
 // Numbers come as text, and zero is left out.
-fn number(text: &str) -> Result<u64, FormatError> {
+fn parse_number(text: &str) -> Result<u64, FormatError> {
     if text.is_empty() {
         return Ok(0);
     }
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use serde_json::value::RawValue;
 
-use crate::configuration::ANY;
+use crate::configuration::ANY_HOST;
 use crate::names;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
@@ -23,18 +23,18 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_interface::Exchange;
 use siskinyoke_interface::FormatError;
-use siskinyoke_interface::Head;
-use siskinyoke_interface::Verdict;
+use siskinyoke_interface::RequestHead;
+use siskinyoke_interface::ResponseClass;
 use siskinyoke_interface::headers;
 
 /// Tokens of an answer whose request sets no limit.
-const OUTPUT: u64 = 256;
+const DEFAULT_OUTPUT_TOKENS: u64 = 256;
 
 /// Bytes of text that make one token, as a rough mean over Arabic and English.
-const TOKEN: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// Headers of callers that never reach an endpoint: keys, and what only we may say.
-const DROPPED: [HeaderName; 4] = [
+const DROPPED_HEADERS: [HeaderName; 4] = [
     header::AUTHORIZATION,
     header::HOST,
     names::ORGANISATION,
@@ -43,11 +43,11 @@
 
 /// Requests and answers of the product's own interface.
 #[derive(Debug, Clone, Copy)]
-pub struct Own;
+pub struct NativeExchange;
 
 /// The fields of a chat request that matter to a scheduler.
 #[derive(Debug, Deserialize)]
-struct Chat<'a> {
+struct ChatRequest<'a> {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -57,7 +57,7 @@
     messages: &'a RawValue,
 }
 
-impl Exchange for Own {
+impl Exchange for NativeExchange {
     fn needs_body(&self, parts: &Parts) -> bool {
         parts.uri.path() == names::CHAT_PATH
     }
@@ -71,10 +71,14 @@
         value.trim().parse().ok().map(Millis)
     }
 
-    fn decode_request<'a>(&self, parts: &'a Parts, body: &[u8]) -> Result<Head<'a>, FormatError> {
+    fn decode_request<'a>(
+        &self,
+        parts: &'a Parts,
+        body: &[u8],
+    ) -> Result<RequestHead<'a>, FormatError> {
         let head = &parts.headers;
         let (path, tokens) = if self.needs_body(parts) {
-            let chat: Chat<'_> = serde_json::from_slice(body)?;
+            let chat: ChatRequest<'_> = serde_json::from_slice(body)?;
             (
                 names::model_path(&chat.model, chat.stream).into(),
                 Some(chat.tokens()),
@@ -83,14 +87,14 @@
             let tokens = headers::header_text(head, &names::TOKENS).and_then(headers::parse_pair);
             (parts.uri.path().into(), tokens)
         };
-        Ok(Head {
+        Ok(RequestHead {
             id: self.request_id(parts),
-            host: ANY,
+            host: ANY_HOST,
             path,
-            key: headers::bearer_token(head).map(|key| Cow::Owned(names::digest(key))),
-            deadline: self.deadline(parts),
-            tokens,
-            estimate: headers::header_text(head, &names::ESTIMATE)
+            api_key: headers::bearer_token(head).map(|key| Cow::Owned(names::digest(key))),
+            timeout: self.deadline(parts),
+            token_counts: tokens,
+            output_estimate: headers::header_text(head, &names::ESTIMATE)
                 .and_then(|it| it.trim().parse().ok()),
         })
     }
@@ -108,7 +112,7 @@
     }
 
     fn request_headers(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap {
-        let mut out = headers::end_to_end(headers, &DROPPED);
+        let mut out = headers::end_to_end(headers, &DROPPED_HEADERS);
         if let Some(value) = organisation.and_then(|name| HeaderValue::from_str(name).ok()) {
             out.insert(names::ORGANISATION, value);
         }
@@ -138,15 +142,15 @@
         status: StatusCode,
         headers: &HeaderMap,
         id: Option<&str>,
-    ) -> Verdict {
+    ) -> ResponseClass {
         let echoed = headers::header_text(headers, &names::REQUEST_ID);
         if echoed.is_some() && id.is_some() && echoed != id {
-            return Verdict::Foreign;
+            return ResponseClass::Mismatched;
         }
         match status {
-            StatusCode::MISDIRECTED_REQUEST => Verdict::Moved,
-            StatusCode::TOO_MANY_REQUESTS => Verdict::Full,
-            _ => Verdict::Answer,
+            StatusCode::MISDIRECTED_REQUEST => ResponseClass::Misdirected,
+            StatusCode::TOO_MANY_REQUESTS => ResponseClass::Rejected,
+            _ => ResponseClass::Valid,
         }
     }
 
@@ -164,27 +168,27 @@
         } else {
             Code::Complete
         };
-        mark(&mut out, code);
+        set_result_code(&mut out, code);
         out
     }
 
     fn refusal_response(&self, refusal: Refusal) -> Response<Vec<u8>> {
         let after = (!refusal.reason.is_permanent()).then_some(refusal.retry_after);
-        own(code(refusal.reason), after)
+        result_response(code(refusal.reason), after)
     }
 
     fn error_response(&self, code: Code) -> Response<Vec<u8>> {
-        own(code, None)
+        result_response(code, None)
     }
 }
 
-impl Chat<'_> {
+impl ChatRequest<'_> {
     fn tokens(&self) -> (u64, u64) {
-        let prompt = self.messages.get().len() / TOKEN;
+        let prompt = self.messages.get().len() / BYTES_PER_TOKEN;
         let output = self.max_completion_tokens.or(self.max_tokens);
         (
             u64::try_from(prompt).unwrap_or(u64::MAX),
-            output.unwrap_or(OUTPUT),
+            output.unwrap_or(DEFAULT_OUTPUT_TOKENS),
         )
     }
 }
@@ -205,7 +209,7 @@
     }
 }
 
-fn own(code: Code, after: Option<Millis>) -> Response<Vec<u8>> {
+fn result_response(code: Code, after: Option<Millis>) -> Response<Vec<u8>> {
     let body = json!({
         "error": {
             "message": code.text(),
@@ -221,7 +225,7 @@
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
     );
-    mark(headers, code);
+    set_result_code(headers, code);
     if let Some(after) = after {
         // Clients of this interface read whole seconds; the body has the exact time.
         headers.insert(
@@ -232,7 +236,7 @@
     response
 }
 
-fn mark(headers: &mut HeaderMap, code: Code) {
+fn set_result_code(headers: &mut HeaderMap, code: Code) {
     headers.insert(names::CODE, HeaderValue::from(code.number()));
     headers.insert(names::KIND, HeaderValue::from_static(code.kind().as_str()));
 }
--- a/crates/siskinyoke-native/src/lib.rs
+++ b/crates/siskinyoke-native/src/lib.rs
@@ -15,9 +15,9 @@
 /// Returns the product's own interface.
 pub fn interface() -> Interface {
     Interface {
-        exchange: Box::new(exchange::Own),
+        exchange: Box::new(exchange::NativeExchange),
         store: Box::new(etcd::Etcd),
-        documents: Box::new(documents::Stored),
-        directory: Box::new(directory::Paths),
+        documents: Box::new(documents::NativeDocuments),
+        directory: Box::new(directory::NativeDirectory),
     }
 }
--- a/crates/siskinyoke-native/src/rollout.rs
+++ b/crates/siskinyoke-native/src/rollout.rs
@@ -9,7 +9,7 @@
 use siskinyoke_interface::RolloutSpec;
 
 /// The longest time that an order may give, in seconds.
-const LONGEST: u64 = 86_400;
+const MAX_ROLLOUT_SECONDS: u64 = 86_400;
 
 /// An operator's order, kept under its service's name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
             "name the version of the new endpoints",
         ));
     }
-    if !(1..=LONGEST).contains(&order.seconds) {
+    if !(1..=MAX_ROLLOUT_SECONDS).contains(&order.seconds) {
         return Err(FormatError::InvalidValue(
             "seconds".into(),
             "give 1 to 86400 seconds",
--- a/crates/siskinyoke-native/tests/documents.rs
+++ b/crates/siskinyoke-native/tests/documents.rs
@@ -9,7 +9,7 @@
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::ItemKind;
 use siskinyoke_native::configuration::Document;
-use siskinyoke_native::documents::Stored;
+use siskinyoke_native::documents::NativeDocuments;
 
 const TEXT: &str = r#"{
     "revision": 4,
@@ -33,7 +33,7 @@
 }"#;
 
 fn read(text: &str) -> Result<Configuration, FormatError> {
-    Stored.decode_configuration(text.as_bytes())
+    NativeDocuments.decode_configuration(text.as_bytes())
 }
 
 #[test]
@@ -127,24 +127,33 @@
 #[test]
 fn keys_say_what_an_item_is() {
     assert_eq!(
-        Stored.item_kind("siskinyoke/configuration"),
+        NativeDocuments.item_kind("siskinyoke/configuration"),
         ItemKind::Configuration
     );
     assert_eq!(
-        Stored.item_kind("siskinyoke/endpoints/fast-1"),
+        NativeDocuments.item_kind("siskinyoke/endpoints/fast-1"),
         ItemKind::Endpoint("fast-1")
     );
-    let key = Stored.instance_key("front-1");
-    assert_eq!(Stored.item_kind(&key), ItemKind::Instance("front-1"));
-    assert_eq!(Stored.item_kind("siskinyoke/other"), ItemKind::Other);
+    let key = NativeDocuments.instance_key("front-1");
+    assert_eq!(
+        NativeDocuments.item_kind(&key),
+        ItemKind::Instance("front-1")
+    );
+    assert_eq!(
+        NativeDocuments.item_kind("siskinyoke/other"),
+        ItemKind::Other
+    );
 }
 
 #[test]
 fn an_endpoint_without_slots_or_with_a_mistyped_field_is_none() {
     let sound = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8 }"#;
-    assert_eq!(Stored.decode_endpoint("e", sound).unwrap().slots, 8);
+    assert_eq!(
+        NativeDocuments.decode_endpoint("e", sound).unwrap().slots,
+        8
+    );
     let none = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 0 }"#;
-    assert!(Stored.decode_endpoint("e", none).is_err());
+    assert!(NativeDocuments.decode_endpoint("e", none).is_err());
     let odd = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8, "drain": true }"#;
-    assert!(Stored.decode_endpoint("e", odd).is_err());
+    assert!(NativeDocuments.decode_endpoint("e", odd).is_err());
 }
--- a/crates/siskinyoke-native/tests/etcd.rs
+++ b/crates/siskinyoke-native/tests/etcd.rs
@@ -68,13 +68,13 @@
 
 #[test]
 fn a_swap_names_the_revision_that_it_replaces() {
-    let call = etcd::swap("siskinyoke/configuration", b"x", 9);
+    let call = etcd::compare_and_swap("siskinyoke/configuration", b"x", 9);
     let body = String::from_utf8(call.body).unwrap();
     assert!(body.contains(r#""mod_revision":"9""#), "{body}");
     let call = Etcd.put_if("state", b"x", &[("order", 5), ("state", 0)]);
     let body = String::from_utf8(call.body).unwrap();
     assert!(body.contains(r#""mod_revision":"5""#), "{body}");
     assert!(body.contains(r#""mod_revision":"0""#), "{body}");
-    assert!(etcd::decode_swap(br#"{ "succeeded": true }"#).unwrap());
-    assert!(!etcd::decode_swap(b"{}").unwrap());
+    assert!(etcd::decode_txn(br#"{ "succeeded": true }"#).unwrap());
+    assert!(!etcd::decode_txn(b"{}").unwrap());
 }
--- a/crates/siskinyoke-native/tests/exchange.rs
+++ b/crates/siskinyoke-native/tests/exchange.rs
@@ -11,8 +11,8 @@
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_interface::Exchange;
-use siskinyoke_interface::Verdict;
-use siskinyoke_native::exchange::Own;
+use siskinyoke_interface::ResponseClass;
+use siskinyoke_native::exchange::NativeExchange;
 use siskinyoke_native::names::digest;
 
 const BODY: &[u8] = br#"{ "model": "qalam-small", "stream": true, "max_tokens": 20, "n": 1,
@@ -49,24 +49,24 @@
             ("x-request-id", "r1"),
         ],
     );
-    assert!(Own.needs_body(&parts));
-    let head = Own.decode_request(&parts, BODY).unwrap();
+    assert!(NativeExchange.needs_body(&parts));
+    let head = NativeExchange.decode_request(&parts, BODY).unwrap();
     assert_eq!(head.path, "/v1/models/qalam-small/stream/");
-    assert_eq!(head.tokens, Some((11, 20)));
-    assert_eq!(head.deadline, Some(Millis(900)));
+    assert_eq!(head.token_counts, Some((11, 20)));
+    assert_eq!(head.timeout, Some(Millis(900)));
     assert_eq!(head.id, Some("r1"));
-    assert_eq!(head.key.as_deref(), Some(digest("one").as_str()));
+    assert_eq!(head.api_key.as_deref(), Some(digest("one").as_str()));
 }
 
 #[test]
 fn a_chat_request_without_a_model_is_refused_with_the_field() {
     let parts = parts("/v1/chat/completions", &[]);
-    let err = Own
+    let err = NativeExchange
         .decode_request(&parts, br#"{ "messages": [] }"#)
         .unwrap_err();
     assert!(err.to_string().contains("missing field `model`"), "{err}");
     assert_eq!(
-        Own.error_response(Code::Malformed).status(),
+        NativeExchange.error_response(Code::Malformed).status(),
         StatusCode::BAD_REQUEST
     );
 }
@@ -74,10 +74,10 @@
 #[test]
 fn a_services_request_is_understood_by_its_path_and_asked_for_without_its_name() {
     let parts = parts("/v1/services/portal/marks/7?a=b", &[]);
-    assert!(!Own.needs_body(&parts));
-    let head = Own.decode_request(&parts, b"").unwrap();
+    assert!(!NativeExchange.needs_body(&parts));
+    let head = NativeExchange.decode_request(&parts, b"").unwrap();
     assert_eq!(head.path, "/v1/services/portal/marks/7");
-    assert_eq!(Own.endpoint_uri(&parts.uri), "/marks/7?a=b");
+    assert_eq!(NativeExchange.endpoint_uri(&parts.uri), "/marks/7?a=b");
 }
 
 // A caller sets the headers by which instances tell endpoints who asks and who is meant. It would
@@ -95,8 +95,8 @@
             ("x-own", "kept"),
         ],
     );
-    let mut out = Own.request_headers(&parts.headers, Some("school"));
-    Own.set_endpoint(&mut out, &endpoint(), Millis(450));
+    let mut out = NativeExchange.request_headers(&parts.headers, Some("school"));
+    NativeExchange.set_endpoint(&mut out, &endpoint(), Millis(450));
     let mut rows: Vec<_> = out
         .iter()
         .map(|(name, value)| (name.as_str(), value.to_str().unwrap()))
@@ -119,23 +119,32 @@
 #[test]
 fn only_statuses_that_say_so_mean_that_nothing_ran() {
     let none = HeaderMap::new();
-    let verdict = |status| Own.classify_response(status, &none, Some("r1"));
-    assert_eq!(verdict(StatusCode::TOO_MANY_REQUESTS), Verdict::Full);
-    assert_eq!(verdict(StatusCode::MISDIRECTED_REQUEST), Verdict::Moved);
-    assert_eq!(verdict(StatusCode::SERVICE_UNAVAILABLE), Verdict::Answer);
+    let verdict = |status| NativeExchange.classify_response(status, &none, Some("r1"));
+    assert_eq!(
+        verdict(StatusCode::TOO_MANY_REQUESTS),
+        ResponseClass::Rejected
+    );
+    assert_eq!(
+        verdict(StatusCode::MISDIRECTED_REQUEST),
+        ResponseClass::Misdirected
+    );
+    assert_eq!(
+        verdict(StatusCode::SERVICE_UNAVAILABLE),
+        ResponseClass::Valid
+    );
 }
 
 #[test]
 fn an_answer_that_names_another_request_is_foreign() {
     let mut headers = HeaderMap::new();
     headers.insert("x-request-id", "r2".parse().unwrap());
-    let verdict = Own.classify_response(StatusCode::OK, &headers, Some("r1"));
-    assert_eq!(verdict, Verdict::Foreign);
+    let verdict = NativeExchange.classify_response(StatusCode::OK, &headers, Some("r1"));
+    assert_eq!(verdict, ResponseClass::Mismatched);
 }
 
 #[test]
 fn a_refusal_bears_its_code_and_when_to_come_back() {
-    let response = Own.refusal_response(Refusal {
+    let response = NativeExchange.refusal_response(Refusal {
         reason: RefusalReason::Overload,
         retry_after: Millis(1_250),
     });
@@ -149,7 +158,7 @@
 
 #[test]
 fn a_wrong_key_is_not_told_to_come_back() {
-    let response = Own.refusal_response(Refusal {
+    let response = NativeExchange.refusal_response(Refusal {
         reason: RefusalReason::UnknownKey,
         retry_after: Millis::ZERO,
     });
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -79,12 +79,16 @@
 #[test]
 fn the_later_of_two_writes_over_the_same_revision_fails() {
     let etcd = start();
-    let first = call(&etcd, &etcd::swap(KEY, b"one", 0)).unwrap();
-    assert!(etcd::decode_swap(&first).unwrap());
+    let first = call(&etcd, &etcd::compare_and_swap(KEY, b"one", 0)).unwrap();
+    assert!(etcd::decode_txn(&first).unwrap());
     let revision = all(&etcd).items[0].revision;
     for (value, takes) in [("two", true), ("three", false)] {
-        let answer = call(&etcd, &etcd::swap(KEY, value.as_bytes(), revision)).unwrap();
-        assert_eq!(etcd::decode_swap(&answer).unwrap(), takes);
+        let answer = call(
+            &etcd,
+            &etcd::compare_and_swap(KEY, value.as_bytes(), revision),
+        )
+        .unwrap();
+        assert_eq!(etcd::decode_txn(&answer).unwrap(), takes);
     }
     assert_eq!(etcd.get(KEY).as_deref(), Some("two"));
 }
@@ -96,7 +100,7 @@
         lose_answers: Some(1),
         ..EtcdControl::default()
     });
-    assert!(call(&etcd, &etcd::swap(KEY, b"one", 0)).is_err());
+    assert!(call(&etcd, &etcd::compare_and_swap(KEY, b"one", 0)).is_err());
     assert_eq!(etcd.get(KEY).as_deref(), Some("one"));
 }
 
