--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -178,7 +178,7 @@
 fn generate_key(context: &Context) -> String {
     let drawn = rand::rng().sample_iter(&Alphanumeric).take(KEY_LENGTH);
     let key: String = drawn.map(char::from).collect();
-    let digest = names::digest(&key);
+    let digest = names::key_digest(&key);
     if context.json {
         return serde_json::json!({ "key": key, "digest": digest }).to_string();
     }
--- a/crates/siskinyoke-cli/src/operate/rollout.rs
+++ b/crates/siskinyoke-cli/src/operate/rollout.rs
@@ -100,12 +100,12 @@
 
 fn rollout_status(context: &Context, service: Option<&str>) -> Result<String, OperateError> {
     let mut rows: BTreeMap<String, RolloutRow> = BTreeMap::new();
-    for item in list_items(context, names::ORDER_PREFIX)? {
-        let name = item.key.trim_start_matches(names::ORDER_PREFIX);
+    for item in list_items(context, names::ROLLOUT_ORDER_PREFIX)? {
+        let name = item.key.trim_start_matches(names::ROLLOUT_ORDER_PREFIX);
         rows.entry(name.to_owned()).or_default().order = parse_value(&item)?;
     }
-    for item in list_items(context, names::STATE_PREFIX)? {
-        let name = item.key.trim_start_matches(names::STATE_PREFIX);
+    for item in list_items(context, names::ROLLOUT_STATE_PREFIX)? {
+        let name = item.key.trim_start_matches(names::ROLLOUT_STATE_PREFIX);
         rows.entry(name.to_owned()).or_default().status = parse_value(&item)?;
     }
     if let Some(service) = service {
@@ -159,5 +159,5 @@
 }
 
 fn order_key(service: &str) -> String {
-    format!("{}{service}", names::ORDER_PREFIX)
+    format!("{}{service}", names::ROLLOUT_ORDER_PREFIX)
 }
--- a/crates/siskinyoke-cli/tests/operate.rs
+++ b/crates/siskinyoke-cli/tests/operate.rs
@@ -192,5 +192,5 @@
     let text = good(&etcd, &["--json", "key"]);
     let drawn: serde_json::Value = serde_json::from_str(&text).unwrap();
     let key = drawn["key"].as_str().unwrap();
-    assert_eq!(drawn["digest"], siskinyoke_native::names::digest(key));
+    assert_eq!(drawn["digest"], siskinyoke_native::names::key_digest(key));
 }
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -41,7 +41,7 @@
     pub draining: bool,
     /// The start of its process in Unix ms, where it is known; another start forgets the past.
     #[serde(rename = "born", default)]
-    pub born: u64,
+    pub started_ms: u64,
 }
 
 impl Documents for NativeDocuments {
@@ -50,8 +50,8 @@
             configuration: names::CONFIGURATION_KEY,
             endpoints: names::ENDPOINT_PREFIX,
             instances: names::INSTANCE_PREFIX,
-            rollout_orders: names::ORDER_PREFIX,
-            rollout_states: names::STATE_PREFIX,
+            rollout_orders: names::ROLLOUT_ORDER_PREFIX,
+            rollout_states: names::ROLLOUT_STATE_PREFIX,
         }
     }
 
@@ -66,7 +66,7 @@
         }
         Ok(Endpoint {
             id: id.into(),
-            started_ms: entry.born,
+            started_ms: entry.started_ms,
             service: entry.service,
             version: entry.version,
             address: entry.address,
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -34,7 +34,7 @@
     fn range(&self, after: &str, consistency: Consistency) -> Call {
         // The next key after any other is that key with a zero byte.
         let from = if after.is_empty() {
-            names::PREFIX.to_owned()
+            names::KEY_PREFIX.to_owned()
         } else {
             format!("{after}\0")
         };
@@ -62,7 +62,7 @@
     fn watch(&self, revision: u64, _: Millis) -> Call {
         let body = json!({
             "create_request": {
-                "key": encode_key(names::PREFIX),
+                "key": encode_key(names::KEY_PREFIX),
                 "range_end": encode_key(RANGE_END),
                 "start_revision": (revision + 1).to_string(),
             }
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -37,8 +37,8 @@
 const DROPPED_HEADERS: [HeaderName; 4] = [
     header::AUTHORIZATION,
     header::HOST,
-    names::ORGANISATION,
-    names::ENDPOINT,
+    names::ORGANISATION_NAME,
+    names::TARGET_ENDPOINT,
 ];
 
 /// Requests and answers of the product's own interface.
@@ -67,7 +67,7 @@
     }
 
     fn deadline(&self, parts: &Parts) -> Option<Millis> {
-        let value = headers::header_text(&parts.headers, &names::NEED)?;
+        let value = headers::header_text(&parts.headers, &names::CALLER_TIMEOUT)?;
         value.trim().parse().ok().map(Millis)
     }
 
@@ -81,20 +81,21 @@
             let chat: ChatRequest<'_> = serde_json::from_slice(body)?;
             (
                 names::model_path(&chat.model, chat.stream).into(),
-                Some(chat.tokens()),
+                Some(chat.token_counts()),
             )
         } else {
-            let tokens = headers::header_text(head, &names::TOKENS).and_then(headers::parse_pair);
+            let tokens =
+                headers::header_text(head, &names::TOKEN_COUNTS).and_then(headers::parse_pair);
             (parts.uri.path().into(), tokens)
         };
         Ok(RequestHead {
             id: self.request_id(parts),
             host: ANY_HOST,
             path,
-            api_key: headers::bearer_token(head).map(|key| Cow::Owned(names::digest(key))),
+            api_key: headers::bearer_token(head).map(|key| Cow::Owned(names::key_digest(key))),
             timeout: self.deadline(parts),
             token_counts: tokens,
-            output_estimate: headers::header_text(head, &names::ESTIMATE)
+            output_estimate: headers::header_text(head, &names::OUTPUT_ESTIMATE)
                 .and_then(|it| it.trim().parse().ok()),
         })
     }
@@ -114,24 +115,24 @@
     fn request_headers(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap {
         let mut out = headers::end_to_end(headers, &DROPPED_HEADERS);
         if let Some(value) = organisation.and_then(|name| HeaderValue::from_str(name).ok()) {
-            out.insert(names::ORGANISATION, value);
+            out.insert(names::ORGANISATION_NAME, value);
         }
         out
     }
 
     fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis) {
         if let Ok(value) = HeaderValue::from_str(&endpoint.id) {
-            headers.insert(names::ENDPOINT, value);
+            headers.insert(names::TARGET_ENDPOINT, value);
         }
         if let Ok(value) = HeaderValue::from_str(&endpoint.address) {
             headers.insert(header::HOST, value);
         }
-        headers.insert(names::NEED, HeaderValue::from(left.0));
+        headers.insert(names::CALLER_TIMEOUT, HeaderValue::from(left.0));
     }
 
     fn set_last_event(&self, headers: &mut HeaderMap, event: &str) {
         if let Ok(value) = HeaderValue::from_str(event) {
-            headers.insert(names::LAST_EVENT, value);
+            headers.insert(names::LAST_EVENT_ID, value);
         }
     }
 
@@ -159,7 +160,7 @@
     }
 
     fn response_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap {
-        let mut out = headers::end_to_end(headers, &[names::CODE, names::KIND]);
+        let mut out = headers::end_to_end(headers, &[names::RESULT_CODE, names::RESULT_KIND]);
         let content = headers::header_text(headers, &header::CONTENT_TYPE).unwrap_or("");
         let code = if status.is_server_error() {
             Code::EndpointError
@@ -174,7 +175,7 @@
 
     fn refusal_response(&self, refusal: Refusal) -> Response<Vec<u8>> {
         let after = (!refusal.reason.is_permanent()).then_some(refusal.retry_after);
-        result_response(code(refusal.reason), after)
+        result_response(refusal_code(refusal.reason), after)
     }
 
     fn error_response(&self, code: Code) -> Response<Vec<u8>> {
@@ -183,7 +184,7 @@
 }
 
 impl ChatRequest<'_> {
-    fn tokens(&self) -> (u64, u64) {
+    fn token_counts(&self) -> (u64, u64) {
         let prompt = self.messages.get().len() / BYTES_PER_TOKEN;
         let output = self.max_completion_tokens.or(self.max_tokens);
         (
@@ -194,7 +195,7 @@
 }
 
 /// Returns the result code of a refusal.
-pub fn code(reason: RefusalReason) -> Code {
+pub fn refusal_code(reason: RefusalReason) -> Code {
     match reason {
         RefusalReason::NotReady => Code::NoConfiguration,
         RefusalReason::NoRoute => Code::UnknownRoute,
@@ -237,6 +238,9 @@
 }
 
 fn set_result_code(headers: &mut HeaderMap, code: Code) {
-    headers.insert(names::CODE, HeaderValue::from(code.number()));
-    headers.insert(names::KIND, HeaderValue::from_static(code.kind().as_str()));
+    headers.insert(names::RESULT_CODE, HeaderValue::from(code.number()));
+    headers.insert(
+        names::RESULT_KIND,
+        HeaderValue::from_static(code.kind().as_str()),
+    );
 }
--- a/crates/siskinyoke-native/src/names.rs
+++ b/crates/siskinyoke-native/src/names.rs
@@ -5,23 +5,23 @@
 /// The identity of a request, for logs; it is passed on and comes back.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// How long the sender still waits, in ms.
-pub const NEED: HeaderName = HeaderName::from_static("siskinyoke-need");
+pub const CALLER_TIMEOUT: HeaderName = HeaderName::from_static("siskinyoke-need");
 /// Output tokens that the caller expects.
-pub const ESTIMATE: HeaderName = HeaderName::from_static("siskinyoke-expected-tokens");
+pub const OUTPUT_ESTIMATE: HeaderName = HeaderName::from_static("siskinyoke-expected-tokens");
 /// Prompt tokens, and the most output tokens.
-pub const TOKENS: HeaderName = HeaderName::from_static("siskinyoke-tokens");
+pub const TOKEN_COUNTS: HeaderName = HeaderName::from_static("siskinyoke-tokens");
 /// The organisation, as endpoints are told it.
-pub const ORGANISATION: HeaderName = HeaderName::from_static("siskinyoke-organisation");
+pub const ORGANISATION_NAME: HeaderName = HeaderName::from_static("siskinyoke-organisation");
 /// The requests a second that an endpoint takes from all instances together.
 pub const RATE_LIMIT: HeaderName = HeaderName::from_static("siskinyoke-rate-limit");
 /// The endpoint that is meant; another at its address answers 421.
-pub const ENDPOINT: HeaderName = HeaderName::from_static("siskinyoke-endpoint");
+pub const TARGET_ENDPOINT: HeaderName = HeaderName::from_static("siskinyoke-endpoint");
 /// The number of the result code.
-pub const CODE: HeaderName = HeaderName::from_static("siskinyoke-code");
+pub const RESULT_CODE: HeaderName = HeaderName::from_static("siskinyoke-code");
 /// What the caller may conclude: `done`, `not-run` or `unknown`.
-pub const KIND: HeaderName = HeaderName::from_static("siskinyoke-kind");
+pub const RESULT_KIND: HeaderName = HeaderName::from_static("siskinyoke-kind");
 /// The last event a caller has of a stream.
-pub const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
 /// The path of chat requests; the model stands in the body.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
@@ -35,7 +35,7 @@
 pub const LOCATE_PATH: &str = "/v1/locate";
 
 /// The prefix of all our keys in the store.
-pub const PREFIX: &str = "siskinyoke/";
+pub const KEY_PREFIX: &str = "siskinyoke/";
 /// The key of the configuration.
 pub const CONFIGURATION_KEY: &str = "siskinyoke/configuration";
 /// The prefix of the endpoints' entries.
@@ -43,12 +43,12 @@
 /// The prefix of the instances' entries.
 pub const INSTANCE_PREFIX: &str = "siskinyoke/instances/";
 /// The prefix of the operators' orders to move a service to another version.
-pub const ORDER_PREFIX: &str = "siskinyoke/rollouts/";
+pub const ROLLOUT_ORDER_PREFIX: &str = "siskinyoke/rollouts/";
 /// The prefix of the states of these orders.
-pub const STATE_PREFIX: &str = "siskinyoke/rollout-states/";
+pub const ROLLOUT_STATE_PREFIX: &str = "siskinyoke/rollout-states/";
 
 /// Returns the digest under which the configuration holds a bearer key, in hex.
-pub fn digest(key: &str) -> String {
+pub fn key_digest(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
--- a/crates/siskinyoke-native/tests/exchange.rs
+++ b/crates/siskinyoke-native/tests/exchange.rs
@@ -13,7 +13,7 @@
 use siskinyoke_interface::Exchange;
 use siskinyoke_interface::ResponseClass;
 use siskinyoke_native::exchange::NativeExchange;
-use siskinyoke_native::names::digest;
+use siskinyoke_native::names::key_digest;
 
 const BODY: &[u8] = br#"{ "model": "qalam-small", "stream": true, "max_tokens": 20, "n": 1,
     "messages": [{ "role": "user", "content": "A paragraph." }] }"#;
@@ -55,7 +55,7 @@
     assert_eq!(head.token_counts, Some((11, 20)));
     assert_eq!(head.timeout, Some(Millis(900)));
     assert_eq!(head.id, Some("r1"));
-    assert_eq!(head.api_key.as_deref(), Some(digest("one").as_str()));
+    assert_eq!(head.api_key.as_deref(), Some(key_digest("one").as_str()));
 }
 
 #[test]
