--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request in, and brings its answer back.
+//! Handles requests of callers: checks, routes and admits them, and returns the responses.
 
 mod hold;
 
@@ -44,13 +44,14 @@
 use siskinyoke_dispatch::stable_hash;
 use siskinyoke_interface::FormatError;
 
-/// Pieces of a stream that wait for a slow caller before its endpoint is read no further.
+/// Maximum number of response chunks buffered for a slow caller before reading from the endpoint
+/// pauses.
 const MAX_BUFFERED_CHUNKS: usize = 8;
 
-/// When to come back if bodies fill the memory.
+/// Retry delay sent when the memory for request bodies is used up.
 const MEMORY_RETRY_AFTER: Millis = Millis(500);
 
-/// Why a body was not taken.
+/// Why a request body was not accepted.
 enum BodyError {
     TooLarge,
     TimedOut,
@@ -58,15 +59,15 @@
     OutOfMemory,
 }
 
-/// When a request arrived.
+/// Arrival of a request.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at: Millis,
-    // Whether it was held until a configuration was known.
+    // Whether the request was held until a configuration was known.
     held: bool,
 }
 
-/// Serves one request of a caller.
+/// Serves a request of a caller.
 pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     shell.last_arrival.set(shell.now());
     let mut response = handle(&shell, request).await;
@@ -92,14 +93,15 @@
     if let Some(refused) = check_head_size(shell, &parts, limits) {
         return refused;
     }
-    if shell.interface.exchange.in_body(&parts) {
+    if shell.interface.exchange.needs_body(&parts) {
         handle_by_body(shell, parts, body, limits, arrival).await
     } else {
         handle_by_head(shell, parts, body, limits, arrival).await
     }
 }
 
-// Nothing can be checked of a request that arrives before the configuration, so it is held whole first.
+// Nothing about the request can be checked before a configuration is known, so it is read and held
+// first.
 async fn handle_unconfigured(
     shell: &Rc<Shell>,
     parts: Parts,
@@ -109,7 +111,7 @@
     let (limits, body, reservation) = match hold::until_configured(shell, &parts, body).await {
         Ok(taken) => taken,
         Err(refusal) => {
-            let id = shell.interface.exchange.id(&parts);
+            let id = shell.interface.exchange.request_id(&parts);
             return refuse(shell, RefusalInfo::unrouted(id), refusal);
         }
     };
@@ -132,11 +134,11 @@
         return None;
     }
     shell.log("head_refused", json!({ "bytes": size }));
-    let answer = shell.interface.exchange.fail(Code::HeadTooLarge);
+    let answer = shell.interface.exchange.error_response(Code::HeadTooLarge);
     Some(response::from_buffered(answer))
 }
 
-// Decides by the head alone, so that no body is read for a request that is turned away.
+// Routes by the head alone, so that the body of a rejected request is never read.
 async fn handle_by_head(
     shell: &Rc<Shell>,
     parts: Parts,
@@ -161,7 +163,7 @@
     }
 }
 
-// Reads the whole request first, as its head does not say what it wants.
+// Reads the body first, because the head alone does not determine the route.
 async fn handle_by_body(
     shell: &Rc<Shell>,
     parts: Parts,
@@ -193,7 +195,7 @@
     }
 }
 
-// The bytes of a head, with those between its parts.
+// Returns the size of a request head on the wire, separators included.
 fn head_size(parts: &Parts) -> usize {
     const LINE_OVERHEAD_BYTES: usize = "  HTTP/1.1\r\n".len();
     const FIELD_OVERHEAD_BYTES: usize = ": \r\n".len();
@@ -206,15 +208,15 @@
     })
 }
 
-// Understands a request and lets it through the filters that need no more than its head; else returns
-// what its caller is told.
+// Decodes a request and checks its key, route and quota. Returns its identifier and route, or the
+// response for the caller.
 async fn decode_and_route(
     shell: &Shell,
     parts: &Parts,
     body: &[u8],
     arrival: Arrival,
 ) -> Result<(Option<String>, RoutedRequest), Box<Response<ResponseBody>>> {
-    let head = match shell.interface.exchange.decode(parts, body) {
+    let head = match shell.interface.exchange.decode_request(parts, body) {
         Ok(head) => head,
         Err(err) => return Err(Box::new(reject_malformed(shell, &err))),
     };
@@ -222,17 +224,19 @@
         host: head.host,
         path: &head.path,
         hold_time: shell.now().since(arrival.at),
-        key: head.key.as_deref(),
-        timeout: head.deadline,
-        tokens: head.tokens,
-        output_estimate: head.estimate,
+        key: head.api_key.as_deref(),
+        timeout: head.timeout,
+        tokens: head.token_counts,
+        output_estimate: head.output_estimate,
         draw: stable_hash(&head.id),
     };
     let refusal = match route(shell, incoming).await {
         Ok(routed) => return Ok((head.id.map(ToOwned::to_owned), routed)),
         Err(refusal) => refusal,
     };
-    let organisation = head.key.and_then(|key| organisation_by_key(shell, &key));
+    let organisation = head
+        .api_key
+        .and_then(|api_key| organisation_by_key(shell, &api_key));
     let request = RefusalInfo {
         id: head.id,
         organisation: organisation.as_ref().map(|it| &*it.name),
@@ -241,10 +245,11 @@
     Err(Box::new(refuse(shell, request, refusal)))
 }
 
-// Where the own shard's part of a quota is used up, others are asked before the request is refused.
+// If this shard's part of the quota is used up, quota is borrowed from other shards before the
+// request is refused.
 async fn route(shell: &Shell, incoming: IncomingRequest<'_>) -> Result<RoutedRequest, Refusal> {
-    let passed = shell.core.borrow_mut().route(shell.now(), incoming);
-    let refusal = match passed {
+    let result = shell.core.borrow_mut().route(shell.now(), incoming);
+    let refusal = match result {
         Err(refusal) if refusal.reason == RefusalReason::QuotaExceeded => refusal,
         other => return other,
     };
@@ -281,8 +286,8 @@
     EndpointRequest {
         fingerprint: stable_hash(&(parts.uri.path(), organisation, &body[..])),
         method: parts.method,
-        target: exchange.target(&parts.uri),
-        headers: exchange.request(&parts.headers, organisation),
+        target: exchange.endpoint_uri(&parts.uri),
+        headers: exchange.request_headers(&parts.headers, organisation),
         body,
         reservation: Rc::new(reservation),
     }
@@ -307,7 +312,8 @@
     let permit = Permit::new(shell, ticket);
     let decision = shell.add_waiter(ticket);
     if arrival.held {
-        // All that were held are let in before the first is placed, so that the most urgent goes first.
+        // Lets the other held requests be admitted first, so that the scheduler starts the most
+        // urgent one.
         yield_now().await;
     }
     shell.decide();
@@ -337,8 +343,8 @@
             *response.headers_mut() = headers;
             response
         }
-        // The job ended without a decision, by a error of ours.
-        Err(_) => response::from_buffered(shell.interface.exchange.fail(Code::Broken)),
+        // The job ended without a response because of an internal error.
+        Err(_) => response::from_buffered(shell.interface.exchange.error_response(Code::Broken)),
     }
 }
 
@@ -378,12 +384,12 @@
     shell
         .metrics
         .record_answer(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
-    response::from_buffered(shell.interface.exchange.refuse(refusal))
+    response::from_buffered(shell.interface.exchange.refusal_response(refusal))
 }
 
 fn reject_malformed(shell: &Shell, err: &FormatError) -> Response<ResponseBody> {
     shell.log("request_unreadable", json!({ "error": err.to_string() }));
-    response::from_buffered(shell.interface.exchange.fail(Code::Malformed))
+    response::from_buffered(shell.interface.exchange.error_response(Code::Malformed))
 }
 
 fn reject_body(shell: &Shell, id: Option<&str>, error: &BodyError) -> Response<ResponseBody> {
@@ -400,5 +406,5 @@
         }
     };
     shell.log("body_refused", json!({ "id": id, "why": code.text() }));
-    response::from_buffered(shell.interface.exchange.fail(code))
+    response::from_buffered(shell.interface.exchange.error_response(code))
 }
--- a/crates/siskinyoke-native/src/pages.rs
+++ b/crates/siskinyoke-native/src/directory.rs
@@ -4,14 +4,14 @@
 
 use crate::names;
 use siskinyoke_base::Millis;
-use siskinyoke_interface::Pages;
+use siskinyoke_interface::InstanceDirectory;
 
 /// The short pages beside callers' work.
 #[derive(Debug, Clone, Copy)]
-pub struct Paths;
+pub struct NativeDirectory;
 
-impl Pages for Paths {
-    fn ready_path(&self) -> &'static str {
+impl InstanceDirectory for NativeDirectory {
+    fn readiness_path(&self) -> &'static str {
         names::READY_PATH
     }
 
@@ -19,14 +19,14 @@
         names::LOCATE_PATH
     }
 
-    fn centre<'a>(&self, query: &'a str) -> &'a str {
+    fn requested_centre<'a>(&self, query: &'a str) -> &'a str {
         query
             .split('&')
             .find_map(|pair| pair.strip_prefix("centre="))
             .unwrap_or("")
     }
 
-    fn directory(&self, addresses: &[String], keep: Millis) -> Vec<u8> {
+    fn encode_addresses(&self, addresses: &[String], keep: Millis) -> Vec<u8> {
         json!({ "addresses": addresses, "keep_ms": keep.0 })
             .to_string()
             .into_bytes()
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -13,12 +13,12 @@
 use siskinyoke_dispatch::rollout::State;
 use siskinyoke_interface::Documents;
 use siskinyoke_interface::FormatError;
-use siskinyoke_interface::Keys;
-use siskinyoke_interface::OrderText;
+use siskinyoke_interface::RolloutSpec;
+use siskinyoke_interface::StoreKeys;
 
 /// What the store holds, by key.
 #[derive(Debug, Clone, Copy)]
-pub struct Stored;
+pub struct NativeDocuments;
 
 /// An endpoint's entry, written by operators or by the endpoint itself under a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,33 +40,33 @@
     #[serde(default)]
     pub draining: bool,
     /// The start of its process in Unix ms, where it is known; another start forgets the past.
-    #[serde(default)]
-    pub born: u64,
+    #[serde(rename = "born", default)]
+    pub started_ms: u64,
 }
 
-impl Documents for Stored {
-    fn keys(&self) -> Keys {
-        Keys {
+impl Documents for NativeDocuments {
+    fn keys(&self) -> StoreKeys {
+        StoreKeys {
             configuration: names::CONFIGURATION_KEY,
             endpoints: names::ENDPOINT_PREFIX,
             instances: names::INSTANCE_PREFIX,
-            orders: names::ORDER_PREFIX,
-            states: names::STATE_PREFIX,
+            rollout_orders: names::ROLLOUT_ORDER_PREFIX,
+            rollout_states: names::ROLLOUT_STATE_PREFIX,
         }
     }
 
-    fn configuration(&self, bytes: &[u8]) -> Result<Configuration, FormatError> {
+    fn decode_configuration(&self, bytes: &[u8]) -> Result<Configuration, FormatError> {
         configuration::Document::parse(bytes)?.resolve()
     }
 
-    fn endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError> {
+    fn decode_endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError> {
         let entry: EndpointEntry = serde_json::from_slice(bytes)?;
         if entry.slots == 0 {
-            return Err(FormatError::Value("slots".into(), "give 1 or more"));
+            return Err(FormatError::InvalidValue("slots".into(), "give 1 or more"));
         }
         Ok(Endpoint {
             id: id.into(),
-            started_ms: entry.born,
+            started_ms: entry.started_ms,
             service: entry.service,
             version: entry.version,
             address: entry.address,
@@ -76,15 +76,15 @@
         })
     }
 
-    fn order(&self, _: &str, bytes: &[u8]) -> Result<OrderText, FormatError> {
+    fn decode_rollout_order(&self, _: &str, bytes: &[u8]) -> Result<RolloutSpec, FormatError> {
         rollout::decode(bytes)
     }
 
-    fn state(&self, bytes: &[u8]) -> Result<(State, String), FormatError> {
+    fn decode_rollout_state(&self, bytes: &[u8]) -> Result<(State, String), FormatError> {
         rollout::decode_state(bytes)
     }
 
-    fn encode_state(&self, state: State, version: &str) -> Vec<u8> {
+    fn encode_rollout_state(&self, state: State, version: &str) -> Vec<u8> {
         rollout::encode_state(state, version)
     }
 }
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use serde_json::value::RawValue;
 
-use crate::configuration::ANY;
+use crate::configuration::ANY_HOST;
 use crate::names;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
@@ -23,31 +23,31 @@
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_interface::Exchange;
 use siskinyoke_interface::FormatError;
-use siskinyoke_interface::Head;
-use siskinyoke_interface::Verdict;
+use siskinyoke_interface::RequestHead;
+use siskinyoke_interface::ResponseClass;
 use siskinyoke_interface::headers;
 
 /// Tokens of an answer whose request sets no limit.
-const OUTPUT: u64 = 256;
+const DEFAULT_OUTPUT_TOKENS: u64 = 256;
 
 /// Bytes of text that make one token, as a rough mean over Arabic and English.
-const TOKEN: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// Headers of callers that never reach an endpoint: keys, and what only we may say.
-const DROPPED: [HeaderName; 4] = [
+const DROPPED_HEADERS: [HeaderName; 4] = [
     header::AUTHORIZATION,
     header::HOST,
-    names::ORGANISATION,
-    names::ENDPOINT,
+    names::ORGANISATION_NAME,
+    names::TARGET_ENDPOINT,
 ];
 
 /// Requests and answers of the product's own interface.
 #[derive(Debug, Clone, Copy)]
-pub struct Own;
+pub struct NativeExchange;
 
 /// The fields of a chat request that matter to a scheduler.
 #[derive(Debug, Deserialize)]
-struct Chat<'a> {
+struct ChatRequest<'a> {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -57,45 +57,51 @@
     messages: &'a RawValue,
 }
 
-impl Exchange for Own {
-    fn in_body(&self, parts: &Parts) -> bool {
+impl Exchange for NativeExchange {
+    fn needs_body(&self, parts: &Parts) -> bool {
         parts.uri.path() == names::CHAT_PATH
     }
 
-    fn id<'a>(&self, parts: &'a Parts) -> Option<&'a str> {
-        headers::text(&parts.headers, &names::REQUEST_ID)
+    fn request_id<'a>(&self, parts: &'a Parts) -> Option<&'a str> {
+        headers::header_text(&parts.headers, &names::REQUEST_ID)
     }
 
     fn deadline(&self, parts: &Parts) -> Option<Millis> {
-        let value = headers::text(&parts.headers, &names::NEED)?;
+        let value = headers::header_text(&parts.headers, &names::CALLER_TIMEOUT)?;
         value.trim().parse().ok().map(Millis)
     }
 
-    fn decode<'a>(&self, parts: &'a Parts, body: &[u8]) -> Result<Head<'a>, FormatError> {
+    fn decode_request<'a>(
+        &self,
+        parts: &'a Parts,
+        body: &[u8],
+    ) -> Result<RequestHead<'a>, FormatError> {
         let head = &parts.headers;
-        let (path, tokens) = if self.in_body(parts) {
-            let chat: Chat<'_> = serde_json::from_slice(body)?;
+        let (path, tokens) = if self.needs_body(parts) {
+            let chat: ChatRequest<'_> = serde_json::from_slice(body)?;
             (
                 names::model_path(&chat.model, chat.stream).into(),
-                Some(chat.tokens()),
+                Some(chat.token_counts()),
             )
         } else {
-            let tokens = headers::text(head, &names::TOKENS).and_then(headers::pair);
+            let tokens =
+                headers::header_text(head, &names::TOKEN_COUNTS).and_then(headers::parse_pair);
             (parts.uri.path().into(), tokens)
         };
-        Ok(Head {
-            id: self.id(parts),
-            host: ANY,
+        Ok(RequestHead {
+            id: self.request_id(parts),
+            host: ANY_HOST,
             path,
-            key: headers::bearer(head).map(|key| Cow::Owned(names::digest(key))),
-            deadline: self.deadline(parts),
-            tokens,
-            estimate: headers::text(head, &names::ESTIMATE).and_then(|it| it.trim().parse().ok()),
+            api_key: headers::bearer_token(head).map(|key| Cow::Owned(names::key_digest(key))),
+            timeout: self.deadline(parts),
+            token_counts: tokens,
+            output_estimate: headers::header_text(head, &names::OUTPUT_ESTIMATE)
+                .and_then(|it| it.trim().parse().ok()),
         })
     }
 
     // Services are asked for what follows their name.
-    fn target(&self, uri: &Uri) -> Uri {
+    fn endpoint_uri(&self, uri: &Uri) -> Uri {
         let Some(named) = uri.path().strip_prefix(names::SERVICE_PATH) else {
             return uri.clone();
         };
@@ -106,51 +112,56 @@
             .unwrap_or_else(|_| uri.clone())
     }
 
-    fn request(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap {
-        let mut out = headers::end_to_end(headers, &DROPPED);
+    fn request_headers(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap {
+        let mut out = headers::end_to_end(headers, &DROPPED_HEADERS);
         if let Some(value) = organisation.and_then(|name| HeaderValue::from_str(name).ok()) {
-            out.insert(names::ORGANISATION, value);
+            out.insert(names::ORGANISATION_NAME, value);
         }
         out
     }
 
-    fn address(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis) {
+    fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis) {
         if let Ok(value) = HeaderValue::from_str(&endpoint.id) {
-            headers.insert(names::ENDPOINT, value);
+            headers.insert(names::TARGET_ENDPOINT, value);
         }
         if let Ok(value) = HeaderValue::from_str(&endpoint.address) {
             headers.insert(header::HOST, value);
         }
-        headers.insert(names::NEED, HeaderValue::from(left.0));
+        headers.insert(names::CALLER_TIMEOUT, HeaderValue::from(left.0));
     }
 
-    fn resume(&self, headers: &mut HeaderMap, event: &str) {
+    fn set_last_event(&self, headers: &mut HeaderMap, event: &str) {
         if let Ok(value) = HeaderValue::from_str(event) {
-            headers.insert(names::LAST_EVENT, value);
+            headers.insert(names::LAST_EVENT_ID, value);
         }
     }
 
     // Of refusals only 429 says by the standard that nothing ran; 503 may come from a proxy that had
     // already passed the request on.
-    fn verdict(&self, status: StatusCode, headers: &HeaderMap, id: Option<&str>) -> Verdict {
-        let echoed = headers::text(headers, &names::REQUEST_ID);
+    fn classify_response(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: Option<&str>,
+    ) -> ResponseClass {
+        let echoed = headers::header_text(headers, &names::REQUEST_ID);
         if echoed.is_some() && id.is_some() && echoed != id {
-            return Verdict::Foreign;
+            return ResponseClass::Mismatched;
         }
         match status {
-            StatusCode::MISDIRECTED_REQUEST => Verdict::Moved,
-            StatusCode::TOO_MANY_REQUESTS => Verdict::Full,
-            _ => Verdict::Answer,
+            StatusCode::MISDIRECTED_REQUEST => ResponseClass::Misdirected,
+            StatusCode::TOO_MANY_REQUESTS => ResponseClass::Rejected,
+            _ => ResponseClass::Valid,
         }
     }
 
     fn rate_limit(&self, headers: &HeaderMap) -> Result<Option<f64>, FormatError> {
-        headers::rate(headers, &names::RATE_LIMIT)
+        headers::parse_rate(headers, &names::RATE_LIMIT)
     }
 
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap {
-        let mut out = headers::end_to_end(headers, &[names::CODE, names::KIND]);
-        let content = headers::text(headers, &header::CONTENT_TYPE).unwrap_or("");
+    fn response_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap {
+        let mut out = headers::end_to_end(headers, &[names::RESULT_CODE, names::RESULT_KIND]);
+        let content = headers::header_text(headers, &header::CONTENT_TYPE).unwrap_or("");
         let code = if status.is_server_error() {
             Code::EndpointError
         } else if content.starts_with("text/event-stream") {
@@ -158,33 +169,33 @@
         } else {
             Code::Complete
         };
-        mark(&mut out, code);
+        set_result_code(&mut out, code);
         out
     }
 
-    fn refuse(&self, refusal: Refusal) -> Response<Vec<u8>> {
+    fn refusal_response(&self, refusal: Refusal) -> Response<Vec<u8>> {
         let after = (!refusal.reason.is_permanent()).then_some(refusal.retry_after);
-        own(code(refusal.reason), after)
+        result_response(refusal_code(refusal.reason), after)
     }
 
-    fn fail(&self, code: Code) -> Response<Vec<u8>> {
-        own(code, None)
+    fn error_response(&self, code: Code) -> Response<Vec<u8>> {
+        result_response(code, None)
     }
 }
 
-impl Chat<'_> {
-    fn tokens(&self) -> (u64, u64) {
-        let prompt = self.messages.get().len() / TOKEN;
+impl ChatRequest<'_> {
+    fn token_counts(&self) -> (u64, u64) {
+        let prompt = self.messages.get().len() / BYTES_PER_TOKEN;
         let output = self.max_completion_tokens.or(self.max_tokens);
         (
             u64::try_from(prompt).unwrap_or(u64::MAX),
-            output.unwrap_or(OUTPUT),
+            output.unwrap_or(DEFAULT_OUTPUT_TOKENS),
         )
     }
 }
 
 /// Returns the result code of a refusal.
-pub fn code(reason: RefusalReason) -> Code {
+pub fn refusal_code(reason: RefusalReason) -> Code {
     match reason {
         RefusalReason::NotReady => Code::NoConfiguration,
         RefusalReason::NoRoute => Code::UnknownRoute,
@@ -199,7 +210,7 @@
     }
 }
 
-fn own(code: Code, after: Option<Millis>) -> Response<Vec<u8>> {
+fn result_response(code: Code, after: Option<Millis>) -> Response<Vec<u8>> {
     let body = json!({
         "error": {
             "message": code.text(),
@@ -215,7 +226,7 @@
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
     );
-    mark(headers, code);
+    set_result_code(headers, code);
     if let Some(after) = after {
         // Clients of this interface read whole seconds; the body has the exact time.
         headers.insert(
@@ -226,7 +237,10 @@
     response
 }
 
-fn mark(headers: &mut HeaderMap, code: Code) {
-    headers.insert(names::CODE, HeaderValue::from(code.number()));
-    headers.insert(names::KIND, HeaderValue::from_static(code.kind().as_str()));
+fn set_result_code(headers: &mut HeaderMap, code: Code) {
+    headers.insert(names::RESULT_CODE, HeaderValue::from(code.number()));
+    headers.insert(
+        names::RESULT_KIND,
+        HeaderValue::from_static(code.kind().as_str()),
+    );
 }
--- a/crates/siskinyoke-native/tests/etcd.rs
+++ b/crates/siskinyoke-native/tests/etcd.rs
@@ -13,7 +13,7 @@
         "kvs": [{ "key": "c2lza2lueW9rZS9h", "value": "eA==", "mod_revision": "7" }] }"#;
     let batch = Etcd.decode_range(answer).unwrap();
     assert_eq!(batch.revision, 12);
-    assert!(batch.more);
+    assert!(batch.has_more);
     assert_eq!(batch.items[0].key, "siskinyoke/a");
     assert_eq!(batch.items[0].value.as_deref(), Some(&b"x"[..]));
     let body =
@@ -49,32 +49,32 @@
 fn a_watch_over_forgotten_changes_fails() {
     let text = "{\"result\":{\"canceled\":true,\"compact_revision\":\"90\"}}\n";
     let err = Etcd.decode_watch(text.as_bytes(), false).unwrap_err();
-    assert!(matches!(err, FormatError::Forgotten));
+    assert!(matches!(err, FormatError::Compacted));
 }
 
 #[test]
 fn a_lease_that_has_ended_is_told_from_one_that_holds() {
     assert_eq!(
-        Etcd.decode_grant(br#"{ "ID": "77", "TTL": "5" }"#).unwrap(),
+        Etcd.decode_lease(br#"{ "ID": "77", "TTL": "5" }"#).unwrap(),
         77
     );
     let holds = br#"{ "result": { "ID": "77", "TTL": "5" } }"#;
-    assert!(Etcd.decode_renew(holds).unwrap());
+    assert!(Etcd.decode_renewal(holds).unwrap());
     let ended = br#"{ "result": { "ID": "77" } }"#;
-    assert!(!Etcd.decode_renew(ended).unwrap());
-    let call = Etcd.grant(Millis(4_500));
+    assert!(!Etcd.decode_renewal(ended).unwrap());
+    let call = Etcd.grant_lease(Millis(4_500));
     assert_eq!(call.body, br#"{"TTL":"5"}"#);
 }
 
 #[test]
 fn a_swap_names_the_revision_that_it_replaces() {
-    let call = etcd::swap("siskinyoke/configuration", b"x", 9);
+    let call = etcd::compare_and_swap("siskinyoke/configuration", b"x", 9);
     let body = String::from_utf8(call.body).unwrap();
     assert!(body.contains(r#""mod_revision":"9""#), "{body}");
     let call = Etcd.put_if("state", b"x", &[("order", 5), ("state", 0)]);
     let body = String::from_utf8(call.body).unwrap();
     assert!(body.contains(r#""mod_revision":"5""#), "{body}");
     assert!(body.contains(r#""mod_revision":"0""#), "{body}");
-    assert!(etcd::decode_swap(br#"{ "succeeded": true }"#).unwrap());
-    assert!(!etcd::decode_swap(b"{}").unwrap());
+    assert!(etcd::decode_txn(br#"{ "succeeded": true }"#).unwrap());
+    assert!(!etcd::decode_txn(b"{}").unwrap());
 }
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -79,12 +79,16 @@
 #[test]
 fn the_later_of_two_writes_over_the_same_revision_fails() {
     let etcd = start();
-    let first = call(&etcd, &etcd::swap(KEY, b"one", 0)).unwrap();
-    assert!(etcd::decode_swap(&first).unwrap());
+    let first = call(&etcd, &etcd::compare_and_swap(KEY, b"one", 0)).unwrap();
+    assert!(etcd::decode_txn(&first).unwrap());
     let revision = all(&etcd).items[0].revision;
     for (value, takes) in [("two", true), ("three", false)] {
-        let answer = call(&etcd, &etcd::swap(KEY, value.as_bytes(), revision)).unwrap();
-        assert_eq!(etcd::decode_swap(&answer).unwrap(), takes);
+        let answer = call(
+            &etcd,
+            &etcd::compare_and_swap(KEY, value.as_bytes(), revision),
+        )
+        .unwrap();
+        assert_eq!(etcd::decode_txn(&answer).unwrap(), takes);
     }
     assert_eq!(etcd.get(KEY).as_deref(), Some("two"));
 }
@@ -96,7 +100,7 @@
         lose_answers: Some(1),
         ..EtcdControl::default()
     });
-    assert!(call(&etcd, &etcd::swap(KEY, b"one", 0)).is_err());
+    assert!(call(&etcd, &etcd::compare_and_swap(KEY, b"one", 0)).is_err());
     assert_eq!(etcd.get(KEY).as_deref(), Some("one"));
 }
 
@@ -128,32 +132,32 @@
         etcd.put(KEY, &number.to_string());
     }
     let err = watched(&etcd, revision).unwrap_err();
-    assert!(matches!(err, FormatError::Forgotten), "{err}");
+    assert!(matches!(err, FormatError::Compacted), "{err}");
 }
 
 #[test]
 fn what_hangs_on_a_lease_goes_with_it() {
     let etcd = start();
-    let granted = call(&etcd, &Calls.grant(Millis(4_500))).unwrap();
-    let lease = Calls.decode_grant(&granted).unwrap();
+    let granted = call(&etcd, &Calls.grant_lease(Millis(4_500))).unwrap();
+    let lease = Calls.decode_lease(&granted).unwrap();
     call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
-    let kept = call(&etcd, &Calls.renew(lease)).unwrap();
-    assert!(Calls.decode_renew(&kept).unwrap());
+    let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    assert!(Calls.decode_renewal(&kept).unwrap());
     assert_eq!(all(&etcd).items.len(), 1);
     etcd.control(&EtcdControl {
         lapse: Some(Lapse::All),
         ..EtcdControl::default()
     });
     assert_eq!(all(&etcd).items, []);
-    let kept = call(&etcd, &Calls.renew(lease)).unwrap();
-    assert!(!Calls.decode_renew(&kept).unwrap());
+    let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    assert!(!Calls.decode_renewal(&kept).unwrap());
 }
 
 #[test]
 fn a_lease_ends_by_itself() {
     let etcd = start();
-    let granted = call(&etcd, &Calls.grant(Millis(1))).unwrap();
-    let lease = Calls.decode_grant(&granted).unwrap();
+    let granted = call(&etcd, &Calls.grant_lease(Millis(1))).unwrap();
+    let lease = Calls.decode_lease(&granted).unwrap();
     call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
     for _ in 0..400 {
         if all(&etcd).items.is_empty() {
@@ -171,10 +175,10 @@
         etcd.put(&format!("siskinyoke/endpoints/{number:04}"), "{}");
     }
     let first = all(&etcd);
-    assert!(first.more);
+    assert!(first.has_more);
     let after = &first.items.last().unwrap().key;
     let body = call(&etcd, &Calls.range(after, Consistency::Linearizable)).unwrap();
     let second = Calls.decode_range(&body).unwrap();
-    assert!(!second.more);
+    assert!(!second.has_more);
     assert_eq!(first.items.len() + second.items.len(), 1_500);
 }
