--- a/crates/siskinyoke-interface/src/documents.rs
+++ b/crates/siskinyoke-interface/src/documents.rs
@@ -1,4 +1,4 @@
-//! What the store holds: the configuration, the endpoints and the instances.
+//! Documents in the store: configuration, endpoints, instances and rollouts.
 
 use std::fmt::Debug;
 
@@ -8,53 +8,53 @@
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::rollout::State;
 
-/// What an item is by its key.
+/// The kind of a stored item, determined by its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ItemKind<'a> {
     /// The operators' configuration.
     Configuration,
-    /// An endpoint of this identity.
+    /// The entry of the endpoint with this identity.
     Endpoint(&'a str),
-    /// An instance of this name.
+    /// The entry of the instance with this name.
     Instance(&'a str),
-    /// The order to move this service's traffic to another version.
+    /// The order to roll out another version of this service.
     RolloutOrder(&'a str),
-    /// How far the order for this service has come.
+    /// The status of this service's rollout.
     RolloutStatus(&'a str),
-    /// Nothing of ours.
+    /// Any other item; it is ignored.
     Other,
 }
 
-/// Where the documents lie in the store.
+/// Keys and key prefixes of the documents in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreKeys {
     /// The key of the operators' configuration.
     pub configuration: &'static str,
-    /// The prefix of the endpoints' entries; their identity follows.
+    /// The prefix of endpoint entries, followed by the endpoint's identity.
     pub endpoints: &'static str,
-    /// The prefix of the instances' entries; their name follows.
+    /// The prefix of instance entries, followed by the instance's name.
     pub instances: &'static str,
-    /// The prefix of the orders to move a service's traffic; its name follows.
+    /// The prefix of rollout orders, followed by the service's name.
     pub rollout_orders: &'static str,
-    /// The prefix of their states; the service's name follows.
+    /// The prefix of rollout states, followed by the service's name.
     pub rollout_states: &'static str,
 }
 
-/// An order to move a service's traffic, as an operator writes it.
+/// A rollout as an operator ordered it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutSpec {
-    /// The version that traffic is to move to.
+    /// The version to which traffic is shifted.
     pub version: String,
-    /// How long the move may take.
+    /// Time allowed for the rollout.
     pub duration: Millis,
 }
 
-/// The documents in the store.
+/// Keys and formats of the documents in the store.
 pub trait Documents: Debug {
-    /// Returns where they lie.
+    /// Returns the keys and key prefixes of the documents.
     fn keys(&self) -> StoreKeys;
 
-    /// Says what an item is by its key.
+    /// Determines the kind of an item from its key.
     fn item_kind<'a>(&self, key: &'a str) -> ItemKind<'a> {
         let keys = self.keys();
         if key == keys.configuration {
@@ -73,12 +73,12 @@
         service.map_or(ItemKind::Other, ItemKind::RolloutStatus)
     }
 
-    /// Returns the key of the order for a service.
+    /// Returns the key of a service's rollout order.
     fn rollout_order_key(&self, service: &str) -> String {
         format!("{}{service}", self.keys().rollout_orders)
     }
 
-    /// Returns the key of a service's state.
+    /// Returns the key of a service's rollout state.
     fn rollout_state_key(&self, service: &str) -> String {
         format!("{}{service}", self.keys().rollout_states)
     }
@@ -92,31 +92,31 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with it; nothing of it may be used then.
+    /// The document is malformed or inconsistent. No part of it may be used then.
     fn decode_configuration(&self, bytes: &[u8]) -> Result<Configuration, FormatError>;
 
     /// Decodes an endpoint's entry.
     ///
     /// # Errors
     ///
-    /// What is wrong with it; such an entry names no endpoint.
+    /// The entry is malformed. It is treated as no endpoint.
     fn decode_endpoint(&self, id: &str, bytes: &[u8]) -> Result<Endpoint, FormatError>;
 
-    /// Decodes an order for a service.
+    /// Decodes a service's rollout order.
     ///
     /// # Errors
     ///
-    /// What is wrong with it; the order before it stays.
+    /// The order is malformed. The previous order remains in force.
     fn decode_rollout_order(&self, service: &str, bytes: &[u8])
     -> Result<RolloutSpec, FormatError>;
 
-    /// Decodes the state of an order, with its version.
+    /// Decodes the state of a rollout and the version it applies to.
     ///
     /// # Errors
     ///
-    /// What is wrong with it; it says nothing then.
+    /// The document is malformed. It is ignored.
     fn decode_rollout_state(&self, bytes: &[u8]) -> Result<(State, String), FormatError>;
 
-    /// Encodes the state of an order for this version.
+    /// Encodes the state of a rollout of this version.
     fn encode_rollout_state(&self, state: State, version: &str) -> Vec<u8>;
 }
--- a/crates/siskinyoke-interface/src/error.rs
+++ b/crates/siskinyoke-interface/src/error.rs
@@ -1,38 +1,38 @@
-//! What can be wrong with a message of another process.
+//! Errors in documents and messages of other processes.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A message that cannot be understood.
+    /// A document or message that cannot be decoded.
     #[derive(Debug)]
     pub enum FormatError {
-        /// The bytes are no document, or a field is missing or of another type.
+        /// The bytes are not JSON, or a field is missing, unknown or of the wrong type.
         Json(err: serde_json::Error) {
-            display("not the expected document: {err}")
+            display("unexpected document format: {err}")
             source(err)
             from()
         }
-        /// The text is not JSON with comments.
+        /// The text is not valid JSON with comments.
         Syntax(text: String) {
-            display("is not JSON with comments: {text}")
+            display("is not valid JSON with comments: {text}")
         }
-        /// A stored value is not in the encoding that stored values have.
+        /// A stored key or value is not valid base64.
         Encoding(err: base64::DecodeError) {
-            display("a stored value is not base64 text: {err}")
+            display("stored data is not valid base64: {err}")
             source(err)
             from()
         }
-        /// The store no longer has the changes that were asked for.
+        /// The store has compacted the requested revision.
         Compacted {
-            display("the store has forgotten the changes asked for (everything is read anew)")
+            display("the store has compacted the requested revision; rereading everything")
         }
-        /// A field is outside what can work.
+        /// The value of a field is invalid.
         InvalidValue(field: String, hint: &'static str) {
             display("'{field}' cannot be used: {hint}")
         }
-        /// A word stands where only certain words may.
-        UnknownValue(field: &'static str, word: String) {
-            display("{field} is '{word}', which is not known")
+        /// The value of a field is none of the defined ones.
+        UnknownValue(field: &'static str, value: String) {
+            display("{field} has the unknown value '{value}'")
         }
     }
 }
--- a/crates/siskinyoke-interface/src/exchange.rs
+++ b/crates/siskinyoke-interface/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers, towards callers and towards endpoints.
+//! Heads of requests and responses, for callers and for endpoints.
 
 use std::borrow::Cow;
 use std::fmt::Debug;
@@ -15,77 +15,78 @@
 use siskinyoke_dispatch::Endpoint;
 use siskinyoke_dispatch::Refusal;
 
-/// What a caller's request says, beside what is only passed on.
+/// The properties of a caller's request that routing and scheduling use.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestHead<'a> {
-    /// The identity of this attempt.
+    /// The identity of this attempt, if given.
     pub id: Option<&'a str>,
-    /// The host it is for, without a port.
+    /// The requested host, without a port.
     pub host: &'a str,
-    /// The path by which its route is found.
+    /// The path used to find the route.
     pub path: Cow<'a, str>,
-    /// Its key, in the form in which the configuration holds keys.
+    /// The API key, in the form in which the configuration stores keys.
     pub api_key: Option<Cow<'a, str>>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Millis>,
-    /// Prompt tokens, and the most output tokens.
+    /// Prompt tokens and maximum output tokens.
     pub token_counts: Option<(u64, u64)>,
-    /// Output tokens that the caller expects; it may be far off.
+    /// The caller's estimate of the output tokens, which may be far off.
     pub output_estimate: Option<u64>,
 }
 
-/// What the head of an endpoint's answer says.
+/// The meaning of the head of an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// The endpoint's own answer, whatever its status.
+    /// A response to this request, with any status.
     Valid,
-    /// It had no room and did not run the request.
+    /// The endpoint had no free slot and did not run the request.
     Rejected,
-    /// The endpoint that was meant is not at this address; nothing ran.
+    /// Another endpoint is at this address; it did not run the request.
     Misdirected,
-    /// It is the answer to another request, or no answer in the protocol.
+    /// A response to another request, or one that violates the protocol.
     Mismatched,
 }
 
-/// Heads of requests and answers.
+/// Decodes and builds the heads of requests and responses.
 pub trait Exchange: Debug {
-    /// Returns whether a request can only be understood with its body.
+    /// Returns whether a request can only be decoded together with its body.
     fn needs_body(&self, _: &Parts) -> bool {
         false
     }
 
-    /// Returns the identity of a request, for logs.
+    /// Returns the identity of a request, for log entries.
     fn request_id<'a>(&self, parts: &'a Parts) -> Option<&'a str>;
 
-    /// Returns how long a request's caller waits, if it says so.
+    /// Returns how long the caller waits for the response, if the request states it.
     fn deadline(&self, parts: &Parts) -> Option<Millis>;
 
-    /// Decodes a caller's request; `body` is empty unless its head says too little.
+    /// Decodes a caller's request; `body` is empty unless [`Self::needs_body`] returns true.
     ///
     /// # Errors
     ///
-    /// What is wrong with a body that had to be understood.
+    /// The body is needed but malformed.
     fn decode_request<'a>(
         &self,
         parts: &'a Parts,
         body: &[u8],
     ) -> Result<RequestHead<'a>, FormatError>;
 
-    /// Returns the path with its query under which an endpoint is asked.
+    /// Returns the path and query of the request to an endpoint.
     fn endpoint_uri(&self, uri: &Uri) -> Uri {
         uri.clone()
     }
 
-    /// Turns a caller's headers into those for endpoints, but for what differs with each sending.
+    /// Converts a caller's headers to those for endpoints, except for the headers that differ with
+    /// each attempt.
     fn request_headers(&self, headers: &HeaderMap, organisation: Option<&str>) -> HeaderMap;
 
-    /// Sets what differs with each sending: the one endpoint meant, and the time that is left.
-    fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis);
+    /// Sets the headers that differ with each attempt: the target endpoint and the remaining time.
+    fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, remaining: Millis);
 
-    /// Asks an endpoint to go on after an event of a stream.
+    /// Asks the endpoint to resume a stream after this event.
     fn set_last_event(&self, headers: &mut HeaderMap, event: &str);
 
-    /// Decodes the head of an endpoint's answer to the request with this identity.
+    /// Classifies the head of an endpoint's response to the request with this identity.
     fn classify_response(
         &self,
         status: StatusCode,
@@ -93,20 +94,20 @@
         id: Option<&str>,
     ) -> ResponseClass;
 
-    /// Returns the requests a second that an endpoint says it takes from all instances together, if its answer names
-    /// that.
+    /// Returns the rate limit stated in an endpoint's response, if any: requests per second from all
+    /// instances together.
     ///
     /// # Errors
     ///
-    /// What is wrong with the figure.
+    /// The value is not a valid rate.
     fn rate_limit(&self, headers: &HeaderMap) -> Result<Option<f64>, FormatError>;
 
-    /// Turns an endpoint's headers into those for the caller.
+    /// Converts the headers of an endpoint's response to those for the caller.
     fn response_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap;
 
-    /// Makes the answer to a request that was turned away unrun.
+    /// Builds the response to a refused request, which has not run.
     fn refusal_response(&self, refusal: Refusal) -> Response<Vec<u8>>;
 
-    /// Makes any other answer of our own; the code says whether the request may have run.
+    /// Builds any other error response; the code tells whether the request may have run.
     fn error_response(&self, code: Code) -> Response<Vec<u8>>;
 }
--- a/crates/siskinyoke-interface/src/headers.rs
+++ b/crates/siskinyoke-interface/src/headers.rs
@@ -1,4 +1,4 @@
-//! What HTTP itself says of headers, whatever the interface.
+//! HTTP header handling shared by all interfaces.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -8,7 +8,7 @@
 use crate::FormatError;
 use siskinyoke_base::Millis;
 
-/// Returns how long an idle connection may be used again, if the other side says so.
+/// Returns how long the peer keeps an idle connection open, if its response states it.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Millis> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
@@ -17,7 +17,7 @@
     seconds.trim().parse().ok().map(Millis::from_secs)
 }
 
-/// Returns whether the other side closes the connection after this answer.
+/// Returns whether the peer closes the connection after this response.
 pub fn closes_connection(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
@@ -26,9 +26,9 @@
         .any(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// Returns the headers that concern more than one connection, without those in `dropped`.
+/// Returns the end-to-end headers, without those in `dropped`.
 pub fn end_to_end(headers: &HeaderMap, dropped: &[HeaderName]) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -38,7 +38,10 @@
     let mut out = HeaderMap::with_capacity(headers.len() + 2);
     for (name, value) in headers {
         let text = name.as_str();
-        if dropped.contains(name) || is_hop_by_hop(text) || named.iter().any(|it| it == text) {
+        if dropped.contains(name)
+            || is_hop_by_hop(text)
+            || connection_options.iter().any(|it| it == text)
+        {
             continue;
         }
         out.append(name.clone(), value.clone());
@@ -46,28 +49,28 @@
     out
 }
 
-/// Returns a header's value as text.
+/// Returns a header's value as text, if it is present and visible ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns the bearer key of a request.
+/// Returns the bearer token of a request.
 pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let (scheme, key) = header_text(headers, &header::AUTHORIZATION)?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
-/// Reads two numbers with a comma between them.
+/// Parses two integers separated by a comma.
 pub fn parse_pair(text: &str) -> Option<(u64, u64)> {
     let (first, second) = text.split_once(',')?;
     Some((first.trim().parse().ok()?, second.trim().parse().ok()?))
 }
 
-/// Reads a header that holds a rate a second, if it is there.
+/// Parses a header that holds requests per second, if present.
 ///
 /// # Errors
 ///
-/// That it is no rate.
+/// The value is not a finite number of 0 or more.
 pub fn parse_rate(headers: &HeaderMap, name: &HeaderName) -> Result<Option<f64>, FormatError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -77,17 +80,18 @@
         Some(rate) if f64::is_finite(rate) && rate >= 0.0 => Ok(Some(rate)),
         _ => Err(FormatError::InvalidValue(
             name.to_string(),
-            "give requests a second, 0 or more",
+            "give requests per second, 0 or more",
         )),
     }
 }
 
-/// Returns a span as a header in seconds with three decimals.
-pub fn seconds_value(span: Millis) -> HeaderValue {
-    let text = format!("{:.3}", span.as_secs());
+/// Formats a duration as a header value in seconds with three decimals.
+pub fn seconds_value(duration: Millis) -> HeaderValue {
+    let text = format!("{:.3}", duration.as_secs());
     HeaderValue::from_str(&text).unwrap_or_else(|_| HeaderValue::from_static("1"))
 }
 
+// Includes the headers that are set anew for each message.
 fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
--- a/crates/siskinyoke-interface/src/lib.rs
+++ b/crates/siskinyoke-interface/src/lib.rs
@@ -1,7 +1,8 @@
-//! The border between the runtime and those it speaks with.
+//! Traits that separate the runtime from external protocols.
 //!
-//! An interface says how callers, endpoints, operators and the store are spoken to: names, formats
-//! and calls. It decides nothing. The runtime holds one interface and knows no other names.
+//! An interface defines the names, formats and calls used with callers, endpoints, operators and
+//! the store. It makes no scheduling or routing decisions. The runtime uses exactly one interface
+//! and contains no protocol names of its own.
 
 pub mod directory;
 pub mod documents;
@@ -25,15 +26,15 @@
 pub use store::Item;
 pub use store::Store;
 
-/// How callers, endpoints, operators and the store are spoken to.
+/// The protocols used with callers, endpoints, operators and the store.
 #[derive(Debug)]
 pub struct Interface {
-    /// Requests and answers.
+    /// Heads of requests and responses.
     pub exchange: Box<dyn Exchange>,
-    /// The calls of the store.
+    /// Calls to the store.
     pub store: Box<dyn Store>,
-    /// What the store holds.
+    /// Documents in the store.
     pub documents: Box<dyn Documents>,
-    /// The short pages beside callers' work.
+    /// Readiness and the instance directory.
     pub directory: Box<dyn InstanceDirectory>,
 }
--- a/crates/siskinyoke-interface/src/store.rs
+++ b/crates/siskinyoke-interface/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the store that holds what must last, and their answers.
+//! Calls to the key-value store that holds durable state, and their responses.
 
 use std::fmt::Debug;
 
@@ -8,19 +8,19 @@
 use crate::FormatError;
 use siskinyoke_base::Millis;
 
-/// One call: a method, a path with its query, and a body.
+/// An HTTP request to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// The HTTP method.
     pub method: &'static str,
     /// The path with its query.
     pub path: String,
-    /// The body, empty for reads by path.
+    /// The body; empty for reads by path and query.
     pub body: Vec<u8>,
 }
 
 impl Call {
-    /// Makes a call without a body.
+    /// Creates a `GET` call without a body.
     pub fn get(path: impl Into<String>) -> Self {
         Self {
             method: "GET",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Makes a call whose body is a document.
+    /// Creates a `POST` call with a JSON body.
     pub fn post(path: impl Into<String>, body: &serde_json::Value) -> Self {
         Self {
             method: "POST",
@@ -39,14 +39,14 @@
     }
 }
 
-/// One stored item.
+/// A stored item, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Its key.
+    /// The key.
     pub key: String,
     /// The revision of its last change.
     pub revision: u64,
-    /// Its value, or nothing if the change removed it.
+    /// The value, or `None` if the item was removed.
     pub value: Option<Vec<u8>>,
 }
 
@@ -55,84 +55,86 @@
 pub struct Batch {
     /// The items.
     pub items: Vec<Item>,
-    /// The revision up to which the store has spoken.
+    /// The store revision up to which changes are included.
     pub revision: u64,
     /// Whether another page follows.
     pub has_more: bool,
 }
 
-/// How fresh a reading has to be.
+/// Consistency of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// The newest state.
+    /// Returns the latest state.
     Linearizable,
-    /// A state that may be some seconds old, which costs the store far less.
+    /// May return a state that is some seconds old; far cheaper for the store.
     Serializable,
 }
 
-/// The calls of a store.
+/// Builds calls to a store and decodes its responses.
 pub trait Store: Debug {
-    /// Reads everything of ours after a key.
+    /// Reads a page of our items after a key.
     fn range(&self, after: &str, consistency: Consistency) -> Call;
 
     /// Decodes a page of items.
     ///
     /// # Errors
     ///
-    /// What is wrong with the answer.
+    /// The response is malformed.
     fn decode_range(&self, bytes: &[u8]) -> Result<Batch, FormatError>;
 
-    /// Waits for changes of anything of ours that are later than a revision.
+    /// Waits for changes to our items after a revision.
     fn watch(&self, revision: u64, wait: Millis) -> Call;
 
-    /// Decodes what has come of a watch's answer, `ended` if no more will.
+    /// Decodes the part of a watch response received so far; `ended` if it is complete.
     ///
-    /// Nothing is returned as long as more has to be awaited. A store that sends changes for as long
-    /// as the connection stays is left once some have come.
+    /// Returns `None` as long as more data is needed. If the store streams changes until the
+    /// connection closes, a batch is returned as soon as it contains a change; the caller then
+    /// abandons the response.
     ///
     /// # Errors
     ///
-    /// What is wrong with the answer, or that the store has forgotten changes.
+    /// The response is malformed, or the store has compacted the revision.
     fn decode_watch(&self, bytes: &[u8], ended: bool) -> Result<Option<Batch>, FormatError>;
 
-    /// Returns whether a watch stays open without a word while nothing changes.
+    /// Returns whether an open watch sends nothing while nothing changes.
     fn idle_watch_is_silent(&self) -> bool {
         false
     }
 
-    /// Asks for a lease.
+    /// Requests a lease.
     fn grant_lease(&self, ttl: Millis) -> Call;
 
-    /// Decodes the answer to a lease that was asked for.
+    /// Decodes the identity of a granted lease.
     ///
     /// # Errors
     ///
-    /// What is wrong with the answer.
+    /// The response is malformed.
     fn decode_lease(&self, bytes: &[u8]) -> Result<u64, FormatError>;
 
     /// Renews a lease.
     fn renew_lease(&self, lease: u64) -> Call;
 
-    /// Decodes the answer to a renewal: whether the lease still holds.
+    /// Decodes whether a renewed lease is still valid.
     ///
     /// # Errors
     ///
-    /// What is wrong with the answer.
+    /// The response is malformed.
     fn decode_renewal(&self, bytes: &[u8]) -> Result<bool, FormatError>;
 
-    /// Ends a lease and what hangs on it.
+    /// Revokes a lease, which removes the items attached to it.
     fn revoke_lease(&self, lease: u64) -> Call;
 
-    /// Writes a value under a lease, whatever stood there.
+    /// Writes a value attached to a lease, replacing any previous value.
     fn put(&self, key: &str, value: &[u8], lease: u64) -> Call;
 
-    /// Writes a value if each of some keys still has its revision, or is missing where that is 0.
+    /// Writes a value if each of the `expected` keys still has its revision; 0 means that the key
+    /// must not exist.
     fn put_if(&self, key: &str, value: &[u8], expected: &[(&str, u64)]) -> Call;
 
-    /// Decodes the answer to such a write: whether it took place.
+    /// Decodes whether a conditional write took effect.
     ///
     /// # Errors
     ///
-    /// What is wrong with the answer.
+    /// The response is malformed.
     fn decode_put_if(&self, bytes: &[u8]) -> Result<bool, FormatError>;
 }
--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration as operators write it, and the preset in force.
+//! The operators' configuration document and its presets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,102 +18,103 @@
 use siskinyoke_dispatch::Service;
 use siskinyoke_interface::FormatError;
 
-/// The configuration as operators write it: JSON with comments.
+/// The configuration document, written by operators as JSON with comments.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Counted up by one with each change.
+    /// Revision number, incremented with each change.
     pub revision: u64,
-    /// The preset in force.
+    /// Name of the active preset.
     pub preset: String,
-    /// Every preset by name.
+    /// Presets by name.
     pub presets: BTreeMap<String, Preset>,
-    /// The tiers of work, the most urgent first.
+    /// Names of the priority tiers, highest priority first.
     pub tiers: Vec<String>,
-    /// Which requests are served, and how.
+    /// Routes: which requests are served, and how.
     pub routes: Vec<RouteRow>,
-    /// Who may call.
+    /// Organisations that may send requests, by name.
     pub organisations: BTreeMap<String, OrganisationRow>,
-    /// Limits on callers.
+    /// Size limits and timeouts for callers.
     #[serde(default)]
     pub limits: LimitsRow,
 }
 
-/// What a preset changes.
+/// A preset: changes to the document that operators can activate by name.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Preset {
-    /// Tiers whose work is turned away.
+    /// Tiers whose requests are refused.
     #[serde(default)]
     pub closed: Vec<String>,
-    /// By organisation, the part of its quota that it has.
+    /// Factors applied to quotas, by organisation; 1 if absent.
     #[serde(default)]
     pub shares: BTreeMap<String, f64>,
 }
 
-/// One kind of requests and how they are served.
+/// A route: which requests it matches and how they are served.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRow {
-    /// The model of chat requests; or else `path`.
+    /// The model of chat requests; excludes `path`.
     pub model: Option<String>,
-    /// The path of a plain service's requests, below its name: `portal/marks/`.
+    /// The path of requests to a plain service, starting with its name: `portal/marks/`.
     pub path: Option<String>,
-    /// The services that serve it, with weights.
+    /// Services that serve it, with their weights.
     pub services: BTreeMap<Arc<str>, u32>,
-    /// Its tier.
+    /// The priority tier.
     pub tier: String,
-    /// Whether it may run more than once.
+    /// Whether a request may run more than once.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether its streams can go on at another endpoint.
+    /// Whether a stream may be resumed at another endpoint.
     #[serde(default)]
     pub resume: bool,
-    /// How long a request may take in all, in ms.
+    /// Maximum total duration of a request, in ms.
     pub timeout_ms: u64,
-    /// The latency objective: to the whole answer, or to a stream's first event, in ms.
+    /// Latency target for the complete response, or for the first event of a stream, in ms.
     pub objective_ms: u64,
-    /// The longest pause between events of a stream that is on time, in ms.
+    /// Target for the longest gap between two events of a stream, in ms.
     #[serde(default)]
     pub gap_ms: u64,
-    /// The most endpoints that one request may be sent to.
-    #[serde(default = "two")]
+    /// Maximum number of endpoints one request may be sent to.
+    #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests need no API key.
     #[serde(default)]
     pub open: bool,
 }
 
-/// One organisation: its keys and what it may use.
+/// An organisation: its API keys, priority and quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationRow {
-    /// Digests of its keys; `siskinyoke key` makes both.
+    /// Digests of its API keys; `siskinyoke key` creates a key and its digest.
     pub keys: Vec<String>,
-    /// The tier that goes before its routes' own.
+    /// The priority tier; takes precedence over the tier of the route.
     pub tier: Option<String>,
-    /// What it may use a second over all instances; nothing is no limit.
+    /// Quota units per second over all instances; zero means unlimited.
     #[serde(default)]
     pub rate: f64,
-    /// What it may use at once after a pause.
+    /// Quota units that may be used at once after an idle period.
     #[serde(default)]
     pub burst: f64,
-    /// Whether rate and burst count tokens; else requests.
+    /// Whether quota units are tokens; otherwise they are requests.
     #[serde(default)]
     pub tokens: bool,
 }
 
-/// Limits on callers.
+/// Size limits and timeouts for callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsRow {
-    /// The longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// The longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// How long a request that is needed whole may take to arrive, in ms.
+    /// Time within which a request head must arrive, as must a body that is needed to route the
+    /// request, in ms.
     pub arrival_ms: u64,
-    /// How long a connection may stay open between requests, in ms.
+    /// How long a connection may stay idle between requests, in ms.
     pub idle_ms: u64,
 }
 
@@ -121,7 +122,8 @@
     fn default() -> Self {
         Self {
             head: 64 * 1024,
-            // A week's timetable or a long composition takes some hundred kilobytes.
+            // Large requests, such as a week's timetable or a long composition, take some hundred
+            // kilobytes.
             body: 4 * 1024 * 1024,
             arrival_ms: 10_000,
             idle_ms: 60_000,
@@ -130,11 +132,12 @@
 }
 
 impl Document {
-    /// Reads a configuration; nothing of a faulty one is used.
+    /// Parses a configuration document.
     ///
     /// # Errors
     ///
-    /// Where it is not JSON with comments, or which field is wrong.
+    /// The text is not valid JSON with comments, or a field is missing, unknown or of the wrong
+    /// type.
     pub fn parse(bytes: &[u8]) -> Result<Self, FormatError> {
         let text = String::from_utf8_lossy(bytes);
         let value: serde_json::Value = parse_to_serde_value(&text, &ParseOptions::default())
@@ -142,14 +145,15 @@
         Ok(serde_json::from_value(value)?)
     }
 
-    /// Checks it whole and returns what is in force under its preset.
+    /// Validates the document and returns the configuration with the active preset applied.
     ///
     /// # Errors
     ///
-    /// The first thing that does not fit together.
+    /// The first inconsistency found. The document must not be used in part.
     pub fn resolve(&self) -> Result<Configuration, FormatError> {
         let preset = self.presets.get(&self.preset);
-        let preset = preset.ok_or_else(|| unknown_name("preset", &self.preset, "see presets"))?;
+        let preset =
+            preset.ok_or_else(|| unknown_name("preset", &self.preset, "not defined in presets"))?;
         self.check_presets()?;
         let mut configuration = Configuration::new(self.revision, self.limits.decode());
         for row in &self.routes {
@@ -159,7 +163,11 @@
             let share = preset.shares.get(name).copied().unwrap_or(1.0);
             let organisation = Organisation {
                 name: name.as_str().into(),
-                priority: row.tier.as_ref().map(|it| self.priority(it)).transpose()?,
+                priority: row
+                    .tier
+                    .as_ref()
+                    .map(|tier| self.priority(tier))
+                    .transpose()?,
                 rate: row.rate * share,
                 burst: row.burst * share,
                 counts_tokens: row.tokens,
@@ -178,7 +186,11 @@
             for (organisation, share) in &preset.shares {
                 if !self.organisations.contains_key(organisation) {
                     let field = format!("presets.{name}.shares");
-                    return Err(unknown_name(&field, organisation, "see organisations"));
+                    return Err(unknown_name(
+                        &field,
+                        organisation,
+                        "not defined in organisations",
+                    ));
                 }
                 if !(0.0..=100.0).contains(share) {
                     let field = format!("presets.{name}.shares.{organisation}");
@@ -195,13 +207,13 @@
         row: &RouteRow,
         preset: &Preset,
     ) -> Result<(), FormatError> {
-        let rank = self.priority(&row.tier)?;
+        let priority = self.priority(&row.tier)?;
         let closed = preset.closed.contains(&row.tier);
         if row.services.values().all(|weight| *weight == 0) {
             let field = format!("routes, tier {}", row.tier);
             return Err(FormatError::InvalidValue(
                 field,
-                "name a service with a weight",
+                "give a service with a weight above 0",
             ));
         }
         for service in row.services.keys() {
@@ -217,7 +229,7 @@
             timeout: Millis(row.timeout_ms),
             latency_target: Millis(row.objective_ms),
             gap_target: Millis(row.gap_ms),
-            priority: rank,
+            priority,
             targets: if closed {
                 Vec::new()
             } else {
@@ -227,7 +239,7 @@
             auth_exempt: row.open,
             resumable: row.resume,
         };
-        let plain = if row.idempotent {
+        let kind = if row.idempotent {
             Kind::Safe
         } else {
             Kind::Unsafe
@@ -235,14 +247,14 @@
         match (&row.model, &row.path) {
             (Some(model), None) => {
                 let prefix = names::model_path(model, false);
-                configuration.add_route(ANY_HOST, route(model, prefix, plain));
+                configuration.add_route(ANY_HOST, route(model, prefix, kind));
                 let prefix = names::model_path(model, true);
                 configuration.add_route(ANY_HOST, route(model, prefix, Kind::Stream));
             }
             (None, Some(path)) => {
                 let path = path.trim_matches('/');
                 let prefix = format!("{}{path}/", names::SERVICE_PATH);
-                configuration.add_route(ANY_HOST, route(path, prefix, plain));
+                configuration.add_route(ANY_HOST, route(path, prefix, kind));
             }
             _ => {
                 let field = format!("routes, tier {}", row.tier);
@@ -256,9 +268,10 @@
     }
 
     fn priority(&self, tier: &str) -> Result<u8, FormatError> {
-        let at = self.tiers.iter().position(|it| it == tier);
-        at.and_then(|at| u8::try_from(at).ok())
-            .ok_or_else(|| unknown_name("tier", tier, "see tiers"))
+        let index = self.tiers.iter().position(|it| it == tier);
+        index
+            .and_then(|index| u8::try_from(index).ok())
+            .ok_or_else(|| unknown_name("tier", tier, "not defined in tiers"))
     }
 }
 
@@ -273,16 +286,16 @@
     }
 }
 
-/// Routes of this interface do not look at the host.
+/// The host under which all routes are stored, as this interface does not route by host.
 pub const ANY_HOST: &str = "";
 
-/// Tokens of a request that names none: about a page of text.
+/// Quota cost of a request that states no token counts; about a page of text.
 const DEFAULT_COST_TOKENS: f64 = 1_000.0;
 
 fn unknown_name(field: &str, name: &str, hint: &'static str) -> FormatError {
     FormatError::InvalidValue(format!("{field}: {name}"), hint)
 }
 
-fn two() -> u32 {
+fn default_attempts() -> u32 {
     2
 }
--- a/crates/siskinyoke-native/src/directory.rs
+++ b/crates/siskinyoke-native/src/directory.rs
@@ -1,4 +1,4 @@
-//! The short pages beside callers' work.
+//! Readiness check and instance directory.
 
 use serde_json::json;
 
@@ -6,7 +6,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_interface::InstanceDirectory;
 
-/// The short pages beside callers' work.
+/// The native readiness check and instance directory.
 #[derive(Debug, Clone, Copy)]
 pub struct NativeDirectory;
 
@@ -26,8 +26,8 @@
             .unwrap_or("")
     }
 
-    fn encode_addresses(&self, addresses: &[String], keep: Millis) -> Vec<u8> {
-        json!({ "addresses": addresses, "keep_ms": keep.0 })
+    fn encode_addresses(&self, addresses: &[String], ttl: Millis) -> Vec<u8> {
+        json!({ "addresses": addresses, "keep_ms": ttl.0 })
             .to_string()
             .into_bytes()
     }
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -1,4 +1,4 @@
-//! What the store holds, by key.
+//! Documents in the store.
 
 use std::sync::Arc;
 
@@ -16,30 +16,31 @@
 use siskinyoke_interface::RolloutSpec;
 use siskinyoke_interface::StoreKeys;
 
-/// What the store holds, by key.
+/// The native documents in the store.
 #[derive(Debug, Clone, Copy)]
 pub struct NativeDocuments;
 
-/// An endpoint's entry, written by operators or by the endpoint itself under a lease.
+/// An endpoint's entry, written by an operator, or by the endpoint itself under a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointEntry {
-    /// The service that it serves.
+    /// The service that it belongs to.
     pub service: Arc<str>,
-    /// The version of its software, where it says.
-    #[serde(default = "nothing", skip_serializing_if = "str::is_empty")]
+    /// The version of its software; empty if unknown.
+    #[serde(default = "empty", skip_serializing_if = "str::is_empty")]
     pub version: Arc<str>,
     /// Its IP address and port.
     pub address: Arc<str>,
-    /// Its data centre.
-    #[serde(default = "nothing")]
+    /// The data centre that it runs in; empty if unknown.
+    #[serde(default = "empty")]
     pub centre: Arc<str>,
     /// How many requests it runs at once.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     #[serde(default)]
     pub draining: bool,
-    /// The start of its process in Unix ms, where it is known; another start forgets the past.
+    /// When its process started, in milliseconds of Unix time; 0 if unknown. Observations of an
+    /// earlier start are discarded.
     #[serde(rename = "born", default)]
     pub started_ms: u64,
 }
@@ -89,6 +90,6 @@
     }
 }
 
-fn nothing() -> Arc<str> {
+fn empty() -> Arc<str> {
     "".into()
 }
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -1,4 +1,4 @@
-//! The calls of etcd's published v3 JSON gateway.
+//! Calls to etcd through the JSON gateway of its v3 API.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -23,16 +23,16 @@
 const KEEPALIVE_PATH: &str = "/v3/lease/keepalive";
 const REVOKE_PATH: &str = "/v3/lease/revoke";
 
-/// The most items of one page: at some 200 bytes each far below a megabyte.
+/// Maximum number of items in one page; at about 200 bytes each, a page stays far below 1 MB.
 const MAX_PAGE_ITEMS: u32 = 1_000;
 
-/// The calls of etcd's published v3 JSON gateway.
+/// Calls to etcd through the JSON gateway of its v3 API.
 #[derive(Debug, Clone, Copy)]
 pub struct Etcd;
 
 impl Store for Etcd {
     fn range(&self, after: &str, consistency: Consistency) -> Call {
-        // The next key after any other is that key with a zero byte.
+        // The smallest key greater than another is that key followed by a zero byte.
         let from = if after.is_empty() {
             names::KEY_PREFIX.to_owned()
         } else {
@@ -73,7 +73,7 @@
     fn decode_watch(&self, bytes: &[u8], ended: bool) -> Result<Option<Batch>, FormatError> {
         let mut batch = Batch::default();
         for line in bytes.split_inclusive(|byte| *byte == b'\n') {
-            // Half a message waits for its rest.
+            // The last message is incomplete until its newline is received.
             if line.last() != Some(&b'\n') && !ended {
                 break;
             }
@@ -98,7 +98,7 @@
     }
 
     fn grant_lease(&self, ttl: Millis) -> Call {
-        // Its spans are whole seconds.
+        // etcd takes lease durations in whole seconds; round up.
         let seconds = ttl.0.div_ceil(1_000);
         Call::post(GRANT_PATH, &json!({ "TTL": seconds.to_string() }))
     }
@@ -113,8 +113,8 @@
     }
 
     fn decode_renewal(&self, bytes: &[u8]) -> Result<bool, FormatError> {
-        let kept: KeepaliveResponse = serde_json::from_slice(bytes)?;
-        Ok(parse_number(&kept.result.ttl)? > 0)
+        let response: KeepaliveResponse = serde_json::from_slice(bytes)?;
+        Ok(parse_number(&response.result.ttl)? > 0)
     }
 
     fn revoke_lease(&self, lease: u64) -> Call {
@@ -136,14 +136,14 @@
     }
 }
 
-/// Reads one key.
+/// Reads a single key.
 pub fn get(key: &str) -> Call {
     Call::post(RANGE_PATH, &json!({ "key": encode_key(key) }))
 }
 
-/// Writes a key unless it changed after a revision; 0 stands for a key that is not there.
+/// Writes a value if its key still has a revision; 0 means that the key must not exist.
 ///
-/// Two operators who change the same document at once cannot undo each other unseen.
+/// This prevents lost updates when two operators change the same document at once.
 pub fn compare_and_swap(key: &str, value: &[u8], revision: u64) -> Call {
     conditional_put(key, value, &[(key, revision)])
 }
@@ -170,17 +170,17 @@
     Call::post(DELETE_PATH, &json!({ "key": encode_key(key) }))
 }
 
-/// Decodes whether a swap took effect.
+/// Decodes whether the conditions of a transaction held, so that its writes took effect.
 ///
 /// # Errors
 ///
-/// What is wrong with the answer.
+/// The response is malformed.
 pub fn decode_txn(bytes: &[u8]) -> Result<bool, FormatError> {
-    let swapped: TxnResponse = serde_json::from_slice(bytes)?;
-    Ok(swapped.succeeded)
+    let response: TxnResponse = serde_json::from_slice(bytes)?;
+    Ok(response.succeeded)
 }
 
-/// The first key after all of ours: a slash is followed by a zero.
+/// The exclusive end of the range of our keys: `0` is the character after `/`.
 const RANGE_END: &str = "siskinyoke0";
 
 #[derive(Debug, Default, Deserialize)]
@@ -234,7 +234,7 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Event {
-    // Left out for a write.
+    // Absent for a write.
     #[serde(rename = "type")]
     kind: String,
     kv: Row,
@@ -245,7 +245,7 @@
 struct Lease {
     #[serde(rename = "ID")]
     id: String,
-    // Left out once it has ended.
+    // Absent if the lease has expired.
     #[serde(rename = "TTL")]
     ttl: String,
 }
@@ -265,11 +265,11 @@
     STANDARD.encode(key)
 }
 
-// Numbers come as text, and zero is left out.
+// etcd encodes 64-bit integers as strings and omits zeros.
 fn parse_number(text: &str) -> Result<u64, FormatError> {
     if text.is_empty() {
         return Ok(0);
     }
     text.parse()
-        .map_err(|_| FormatError::InvalidValue(text.to_owned(), "a whole number was expected"))
+        .map_err(|_| FormatError::InvalidValue(text.to_owned(), "an integer was expected"))
 }
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and answers: OpenAI-style chat, plain services, result codes.
+//! Requests and responses: OpenAI-style chat, plain services, result codes.
 
 use std::borrow::Cow;
 
@@ -27,13 +27,14 @@
 use siskinyoke_interface::ResponseClass;
 use siskinyoke_interface::headers;
 
-/// Tokens of an answer whose request sets no limit.
+/// Output tokens assumed for a chat request that sets no limit.
 const DEFAULT_OUTPUT_TOKENS: u64 = 256;
 
-/// Bytes of text that make one token, as a rough mean over Arabic and English.
+/// Bytes of text per token, a rough average of Arabic and English.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Headers of callers that never reach an endpoint: keys, and what only we may say.
+/// Headers of callers that are not forwarded to endpoints: credentials, and headers that only
+/// instances may set.
 const DROPPED_HEADERS: [HeaderName; 4] = [
     header::AUTHORIZATION,
     header::HOST,
@@ -41,11 +42,11 @@
     names::TARGET_ENDPOINT,
 ];
 
-/// Requests and answers of the product's own interface.
+/// Requests and responses of the native interface.
 #[derive(Debug, Clone, Copy)]
 pub struct NativeExchange;
 
-/// The fields of a chat request that matter to a scheduler.
+/// The fields of a chat request that routing and scheduling use.
 #[derive(Debug, Deserialize)]
 struct ChatRequest<'a> {
     model: String,
@@ -100,12 +101,12 @@
         })
     }
 
-    // Services are asked for what follows their name.
+    // Services get the path that follows their name.
     fn endpoint_uri(&self, uri: &Uri) -> Uri {
-        let Some(named) = uri.path().strip_prefix(names::SERVICE_PATH) else {
+        let Some(service_path) = uri.path().strip_prefix(names::SERVICE_PATH) else {
             return uri.clone();
         };
-        let rest = named.split_once('/').map_or("", |pair| pair.1);
+        let rest = service_path.split_once('/').map_or("", |pair| pair.1);
         let query = uri.query().map_or(String::new(), |it| format!("?{it}"));
         format!("/{rest}{query}")
             .parse()
@@ -120,14 +121,14 @@
         out
     }
 
-    fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, left: Millis) {
+    fn set_endpoint(&self, headers: &mut HeaderMap, endpoint: &Endpoint, remaining: Millis) {
         if let Ok(value) = HeaderValue::from_str(&endpoint.id) {
             headers.insert(names::TARGET_ENDPOINT, value);
         }
         if let Ok(value) = HeaderValue::from_str(&endpoint.address) {
             headers.insert(header::HOST, value);
         }
-        headers.insert(names::CALLER_TIMEOUT, HeaderValue::from(left.0));
+        headers.insert(names::CALLER_TIMEOUT, HeaderValue::from(remaining.0));
     }
 
     fn set_last_event(&self, headers: &mut HeaderMap, event: &str) {
@@ -136,8 +137,8 @@
         }
     }
 
-    // Of refusals only 429 says by the standard that nothing ran; 503 may come from a proxy that had
-    // already passed the request on.
+    // A 503 is no proof that the request did not run: it may come from a proxy that had already
+    // forwarded it. Of the refusals, only 429 means by the standard that nothing ran.
     fn classify_response(
         &self,
         status: StatusCode,
@@ -174,8 +175,8 @@
     }
 
     fn refusal_response(&self, refusal: Refusal) -> Response<Vec<u8>> {
-        let after = (!refusal.reason.is_permanent()).then_some(refusal.retry_after);
-        result_response(refusal_code(refusal.reason), after)
+        let retry_after = (!refusal.reason.is_permanent()).then_some(refusal.retry_after);
+        result_response(refusal_code(refusal.reason), retry_after)
     }
 
     fn error_response(&self, code: Code) -> Response<Vec<u8>> {
@@ -210,13 +211,13 @@
     }
 }
 
-fn result_response(code: Code, after: Option<Millis>) -> Response<Vec<u8>> {
+fn result_response(code: Code, retry_after: Option<Millis>) -> Response<Vec<u8>> {
     let body = json!({
         "error": {
             "message": code.text(),
             "type": code.kind().as_str(),
             "code": code.number(),
-            "retry_after_ms": after.map(|span| span.0),
+            "retry_after_ms": retry_after.map(|delay| delay.0),
         }
     });
     let mut response = Response::new(body.to_string().into_bytes());
@@ -227,11 +228,11 @@
         HeaderValue::from_static("application/json"),
     );
     set_result_code(headers, code);
-    if let Some(after) = after {
-        // Clients of this interface read whole seconds; the body has the exact time.
+    if let Some(retry_after) = retry_after {
+        // `Retry-After` is in whole seconds; the body has the exact delay.
         headers.insert(
             header::RETRY_AFTER,
-            HeaderValue::from(after.0.div_ceil(1_000)),
+            HeaderValue::from(retry_after.0.div_ceil(1_000)),
         );
     }
     response
--- a/crates/siskinyoke-native/src/lib.rs
+++ b/crates/siskinyoke-native/src/lib.rs
@@ -1,6 +1,6 @@
-//! The product's own interface: OpenAI-style requests, plain services, and etcd as the store.
+//! The native interface: OpenAI-style requests, plain services, and etcd as the store.
 //!
-//! It names and decodes; it decides nothing.
+//! It defines names and formats only and makes no scheduling or routing decisions.
 
 pub mod configuration;
 pub mod directory;
@@ -12,7 +12,7 @@
 
 use siskinyoke_interface::Interface;
 
-/// Returns the product's own interface.
+/// Returns the native interface.
 pub fn interface() -> Interface {
     Interface {
         exchange: Box::new(exchange::NativeExchange),
--- a/crates/siskinyoke-native/src/names.rs
+++ b/crates/siskinyoke-native/src/names.rs
@@ -1,58 +1,58 @@
-//! Names of headers, paths and keys.
+//! Names of headers, paths and store keys.
 
 use http::HeaderName;
 
-/// The identity of a request, for logs; it is passed on and comes back.
+/// The identity of a request, for log entries; forwarded to the endpoint, which echoes it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How long the sender still waits, in ms.
+/// Time the sender still waits for the response, in ms.
 pub const CALLER_TIMEOUT: HeaderName = HeaderName::from_static("siskinyoke-need");
-/// Output tokens that the caller expects.
+/// The caller's estimate of the output tokens.
 pub const OUTPUT_ESTIMATE: HeaderName = HeaderName::from_static("siskinyoke-expected-tokens");
-/// Prompt tokens, and the most output tokens.
+/// Prompt tokens and maximum output tokens.
 pub const TOKEN_COUNTS: HeaderName = HeaderName::from_static("siskinyoke-tokens");
-/// The organisation, as endpoints are told it.
+/// The organisation of the caller, sent to endpoints.
 pub const ORGANISATION_NAME: HeaderName = HeaderName::from_static("siskinyoke-organisation");
-/// The requests a second that an endpoint takes from all instances together.
+/// Requests per second that an endpoint accepts from all instances together.
 pub const RATE_LIMIT: HeaderName = HeaderName::from_static("siskinyoke-rate-limit");
-/// The endpoint that is meant; another at its address answers 421.
+/// The target endpoint; any other endpoint at its address responds with 421.
 pub const TARGET_ENDPOINT: HeaderName = HeaderName::from_static("siskinyoke-endpoint");
-/// The number of the result code.
+/// The numeric result code.
 pub const RESULT_CODE: HeaderName = HeaderName::from_static("siskinyoke-code");
-/// What the caller may conclude: `done`, `not-run` or `unknown`.
+/// Whether the request ran: `done`, `not-run` or `unknown`.
 pub const RESULT_KIND: HeaderName = HeaderName::from_static("siskinyoke-kind");
-/// The last event a caller has of a stream.
+/// The last event of a stream that the caller received.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// The path of chat requests; the model stands in the body.
+/// The path of chat requests; the body names the model.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
-/// The prefix of plain services' paths; the service's name follows.
+/// The path prefix of plain services, followed by the service's name.
 pub const SERVICE_PATH: &str = "/v1/services/";
-/// The prefix under which models' routes are kept.
+/// The path prefix of routes for chat requests, followed by the model.
 pub const MODEL_PATH: &str = "/v1/models/";
-/// The path that says whether an instance takes callers.
+/// The path of the check whether an instance accepts callers.
 pub const READY_PATH: &str = "/healthz";
-/// The path that names the instances to use.
+/// The path that lists the instances to use.
 pub const LOCATE_PATH: &str = "/v1/locate";
 
-/// The prefix of all our keys in the store.
+/// The prefix of all our store keys.
 pub const KEY_PREFIX: &str = "siskinyoke/";
-/// The key of the configuration.
+/// The store key of the operators' configuration.
 pub const CONFIGURATION_KEY: &str = "siskinyoke/configuration";
-/// The prefix of the endpoints' entries.
+/// The key prefix of endpoint entries.
 pub const ENDPOINT_PREFIX: &str = "siskinyoke/endpoints/";
-/// The prefix of the instances' entries.
+/// The key prefix of instance entries.
 pub const INSTANCE_PREFIX: &str = "siskinyoke/instances/";
-/// The prefix of the operators' orders to move a service to another version.
+/// The key prefix of rollout orders.
 pub const ROLLOUT_ORDER_PREFIX: &str = "siskinyoke/rollouts/";
-/// The prefix of the states of these orders.
+/// The key prefix of rollout states.
 pub const ROLLOUT_STATE_PREFIX: &str = "siskinyoke/rollout-states/";
 
-/// Returns the digest under which the configuration holds a bearer key, in hex.
+/// Returns the hexadecimal digest of an API key, as stored in the configuration.
 pub fn key_digest(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Returns the prefix under which the route of a model is kept.
+/// Returns the path prefix of a model's route, which differs for streams.
 pub fn model_path(model: &str, stream: bool) -> String {
     let end = if stream { "stream/" } else { "" };
     format!("{MODEL_PATH}{model}/{end}")
--- a/crates/siskinyoke-native/src/rollout.rs
+++ b/crates/siskinyoke-native/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Orders to move a service's traffic to another version, and their states.
+//! Rollout orders and their status.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,52 +8,52 @@
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::RolloutSpec;
 
-/// The longest time that an order may give, in seconds.
+/// Maximum duration of a rollout: one day.
 const MAX_ROLLOUT_SECONDS: u64 = 86_400;
 
-/// An operator's order, kept under its service's name.
+/// An operator's order to shift a service's traffic to another version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutOrder {
-    /// The version that traffic is to move to.
+    /// The version to which traffic is shifted.
     pub version: String,
-    /// How long the move may take, in seconds.
+    /// Time allowed for the rollout, in seconds.
     pub seconds: u64,
 }
 
-/// How far an order has come, written by instances.
+/// The status of a rollout, written by instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutStatus {
     /// The state.
     pub state: RolloutState,
-    /// The version that was ordered.
+    /// The ordered version.
     pub version: String,
 }
 
-/// The state of an order, as it stands in documents.
+/// The state of a rollout, as encoded in documents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutState {
-    /// The new version is on trial, or traffic is moving to it.
+    /// The new version is in its canary phase, or traffic is being shifted to it.
     Running,
-    /// The new version is in force.
+    /// The new version serves all traffic.
     Completed,
-    /// The new version gets nothing more.
+    /// The new version receives no more traffic.
     RolledBack,
 }
 
-/// Decodes an order.
+/// Decodes a rollout order.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
+/// The order is malformed, has no version, or its duration is out of range.
 pub fn decode(bytes: &[u8]) -> Result<RolloutSpec, FormatError> {
     let order: RolloutOrder = serde_json::from_slice(bytes)?;
     if order.version.is_empty() {
         return Err(FormatError::InvalidValue(
             "version".into(),
-            "name the version of the new endpoints",
+            "give the version of the new endpoints",
         ));
     }
     if !(1..=MAX_ROLLOUT_SECONDS).contains(&order.seconds) {
@@ -68,11 +68,11 @@
     })
 }
 
-/// Decodes a state, with its version.
+/// Decodes the state of a rollout and the version it applies to.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
+/// The document is malformed.
 pub fn decode_state(bytes: &[u8]) -> Result<(State, String), FormatError> {
     let status: RolloutStatus = serde_json::from_slice(bytes)?;
     let state = match status.state {
@@ -83,7 +83,7 @@
     Ok((state, status.version))
 }
 
-/// Encodes a state.
+/// Encodes the state of a rollout of this version.
 pub fn encode_state(state: State, version: &str) -> Vec<u8> {
     let state = match state {
         State::Running => RolloutState::Running,
--- a/crates/siskinyoke-native/tests/documents.rs
+++ b/crates/siskinyoke-native/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The configuration as operators write it, and entries in the store.
+//! The native configuration document and endpoint entries.
 
 use std::fs;
 
@@ -11,7 +11,7 @@
 use siskinyoke_native::configuration::Document;
 use siskinyoke_native::documents::NativeDocuments;
 
-const TEXT: &str = r#"{
+const CONFIGURATION_TEXT: &str = r#"{
     "revision": 4,
     "preset": "ordinary", // in force
     "presets": {
@@ -32,17 +32,17 @@
     }
 }"#;
 
-fn read(text: &str) -> Result<Configuration, FormatError> {
+fn decode(text: &str) -> Result<Configuration, FormatError> {
     NativeDocuments.decode_configuration(text.as_bytes())
 }
 
 #[test]
 fn a_document_becomes_routes_services_and_organisations() {
-    let configuration = read(TEXT).unwrap();
+    let configuration = decode(CONFIGURATION_TEXT).unwrap();
     assert_eq!(configuration.version, 4);
-    let whole = configuration.route("", "/v1/models/qalam/").unwrap();
-    assert_eq!(whole.kind, Kind::Safe);
-    assert_eq!(whole.timeout, Millis(60_000));
+    let chat = configuration.route("", "/v1/models/qalam/").unwrap();
+    assert_eq!(chat.kind, Kind::Safe);
+    assert_eq!(chat.timeout, Millis(60_000));
     let stream = configuration.route("", "/v1/models/qalam/stream/").unwrap();
     assert_eq!(stream.kind, Kind::Stream);
     let marks = configuration.route("", "/v1/services/portal/marks/7");
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn the_preset_in_force_closes_tiers_and_shares_quotas() {
-    let text = TEXT.replace(r#""preset": "ordinary""#, r#""preset": "peak""#);
-    let configuration = read(&text).unwrap();
+fn the_active_preset_closes_tiers_and_scales_quotas() {
+    let text = CONFIGURATION_TEXT.replace(r#""preset": "ordinary""#, r#""preset": "peak""#);
+    let configuration = decode(&text).unwrap();
     let nightly = configuration.route("", "/v1/models/nightly/").unwrap();
     assert!(nightly.targets.is_empty());
     let marking = configuration.route("", "/v1/models/qalam/").unwrap();
@@ -66,11 +66,11 @@
     assert!((school.rate - 50.0).abs() < f64::EPSILON);
 }
 
-// An operator mistypes a name. Taken as it is, the change would close a tier that does not exist and
-// leave open the one that was meant; refused whole, the configuration before stays in force.
+// If a mistyped name were accepted, a preset would close a tier that does not exist and leave the
+// intended one open. The whole document is refused, so the previous configuration stays active.
 #[test]
-fn a_name_that_does_not_fit_is_refused_with_the_place_and_a_hint() {
-    let faulty = [
+fn an_unknown_name_is_refused_with_its_field_and_a_hint() {
+    let cases = [
         (
             r#""preset": "ordinary""#,
             r#""preset": "pek""#,
@@ -101,31 +101,32 @@
             "JSON with comments",
         ),
     ];
-    for (sound, broken, hint) in faulty {
-        assert!(TEXT.contains(sound), "{sound}");
-        let err = read(&TEXT.replace(sound, broken)).unwrap_err().to_string();
-        assert!(err.contains(hint), "{broken}: {err}");
+    for (valid, invalid, hint) in cases {
+        assert!(CONFIGURATION_TEXT.contains(valid), "{valid}");
+        let text = CONFIGURATION_TEXT.replace(valid, invalid);
+        let err = decode(&text).unwrap_err().to_string();
+        assert!(err.contains(hint), "{invalid}: {err}");
     }
 }
 
 #[test]
-fn the_examples_are_sound() {
+fn the_examples_are_valid() {
     for name in ["cairo", "muscat", "local"] {
         let path = format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"));
         let bytes = fs::read(format!("{path}/configuration.jsonc")).unwrap();
         let document = Document::parse(&bytes).unwrap();
         for preset in document.presets.keys() {
-            let other = Document {
+            let with_preset = Document {
                 preset: preset.clone(),
                 ..document.clone()
             };
-            other.resolve().unwrap();
+            with_preset.resolve().unwrap();
         }
     }
 }
 
 #[test]
-fn keys_say_what_an_item_is() {
+fn the_kind_of_an_item_is_determined_by_its_key() {
     assert_eq!(
         NativeDocuments.item_kind("siskinyoke/configuration"),
         ItemKind::Configuration
@@ -146,14 +147,15 @@
 }
 
 #[test]
-fn an_endpoint_without_slots_or_with_a_mistyped_field_is_none() {
-    let sound = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8 }"#;
+fn an_endpoint_without_slots_or_with_an_unknown_field_is_rejected() {
+    let valid = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8 }"#;
     assert_eq!(
-        NativeDocuments.decode_endpoint("e", sound).unwrap().slots,
+        NativeDocuments.decode_endpoint("e", valid).unwrap().slots,
         8
     );
-    let none = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 0 }"#;
-    assert!(NativeDocuments.decode_endpoint("e", none).is_err());
-    let odd = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8, "drain": true }"#;
-    assert!(NativeDocuments.decode_endpoint("e", odd).is_err());
+    let no_slots = br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 0 }"#;
+    assert!(NativeDocuments.decode_endpoint("e", no_slots).is_err());
+    let unknown_field =
+        br#"{ "service": "qalam", "address": "10.0.0.1:8000", "slots": 8, "drain": true }"#;
+    assert!(NativeDocuments.decode_endpoint("e", unknown_field).is_err());
 }
--- a/crates/siskinyoke-native/tests/exchange.rs
+++ b/crates/siskinyoke-native/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the product's own interface.
+//! Requests and responses of the native interface.
 
 use http::HeaderMap;
 use http::Request;
@@ -15,7 +15,7 @@
 use siskinyoke_native::exchange::NativeExchange;
 use siskinyoke_native::names::key_digest;
 
-const BODY: &[u8] = br#"{ "model": "qalam-small", "stream": true, "max_tokens": 20, "n": 1,
+const CHAT_BODY: &[u8] = br#"{ "model": "qalam-small", "stream": true, "max_tokens": 20, "n": 1,
     "messages": [{ "role": "user", "content": "A paragraph." }] }"#;
 
 fn parts(path: &str, rows: &[(&str, &str)]) -> Parts {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_chat_request_is_understood_by_its_body() {
+fn a_chat_request_is_decoded_from_its_body() {
     let parts = parts(
         "/v1/chat/completions",
         &[
@@ -50,7 +50,7 @@
         ],
     );
     assert!(NativeExchange.needs_body(&parts));
-    let head = NativeExchange.decode_request(&parts, BODY).unwrap();
+    let head = NativeExchange.decode_request(&parts, CHAT_BODY).unwrap();
     assert_eq!(head.path, "/v1/models/qalam-small/stream/");
     assert_eq!(head.token_counts, Some((11, 20)));
     assert_eq!(head.timeout, Some(Millis(900)));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_chat_request_without_a_model_is_refused_with_the_field() {
+fn a_chat_request_without_a_model_is_malformed() {
     let parts = parts("/v1/chat/completions", &[]);
     let err = NativeExchange
         .decode_request(&parts, br#"{ "messages": [] }"#)
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_services_request_is_understood_by_its_path_and_asked_for_without_its_name() {
+fn a_service_request_is_routed_by_path_and_forwarded_without_the_services_name() {
     let parts = parts("/v1/services/portal/marks/7?a=b", &[]);
     assert!(!NativeExchange.needs_body(&parts));
     let head = NativeExchange.decode_request(&parts, b"").unwrap();
@@ -80,8 +80,8 @@
     assert_eq!(NativeExchange.endpoint_uri(&parts.uri), "/marks/7?a=b");
 }
 
-// A caller sets the headers by which instances tell endpoints who asks and who is meant. It would
-// be charged to another organisation, and its key would lie in an endpoint's logs.
+// If headers set by the caller were forwarded, it could act as another organisation or choose the
+// endpoint, and its API key would end up in the endpoint's logs.
 #[test]
 fn a_callers_key_and_forged_headers_never_reach_an_endpoint() {
     let parts = parts(
@@ -114,36 +114,36 @@
     );
 }
 
-// A proxy before an engine answers 503 after it passed the request on. Called "not run", a booking
-// would be sent again and two troupes stand in one room.
+// A proxy in front of an endpoint may respond with 503 after forwarding the request. If this were
+// taken for "not run", a non-idempotent request, such as a room booking, would run twice.
 #[test]
-fn only_statuses_that_say_so_mean_that_nothing_ran() {
+fn only_statuses_that_guarantee_it_mean_that_nothing_ran() {
     let none = HeaderMap::new();
-    let verdict = |status| NativeExchange.classify_response(status, &none, Some("r1"));
+    let classify = |status| NativeExchange.classify_response(status, &none, Some("r1"));
     assert_eq!(
-        verdict(StatusCode::TOO_MANY_REQUESTS),
+        classify(StatusCode::TOO_MANY_REQUESTS),
         ResponseClass::Rejected
     );
     assert_eq!(
-        verdict(StatusCode::MISDIRECTED_REQUEST),
+        classify(StatusCode::MISDIRECTED_REQUEST),
         ResponseClass::Misdirected
     );
     assert_eq!(
-        verdict(StatusCode::SERVICE_UNAVAILABLE),
+        classify(StatusCode::SERVICE_UNAVAILABLE),
         ResponseClass::Valid
     );
 }
 
 #[test]
-fn an_answer_that_names_another_request_is_foreign() {
+fn a_response_with_another_request_id_is_mismatched() {
     let mut headers = HeaderMap::new();
     headers.insert("x-request-id", "r2".parse().unwrap());
-    let verdict = NativeExchange.classify_response(StatusCode::OK, &headers, Some("r1"));
-    assert_eq!(verdict, ResponseClass::Mismatched);
+    let class = NativeExchange.classify_response(StatusCode::OK, &headers, Some("r1"));
+    assert_eq!(class, ResponseClass::Mismatched);
 }
 
 #[test]
-fn a_refusal_bears_its_code_and_when_to_come_back() {
+fn a_refusal_has_its_result_code_and_a_retry_delay() {
     let response = NativeExchange.refusal_response(Refusal {
         reason: RefusalReason::Overload,
         retry_after: Millis(1_250),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_wrong_key_is_not_told_to_come_back() {
+fn a_refusal_for_an_unknown_key_has_no_retry_delay() {
     let response = NativeExchange.refusal_response(Refusal {
         reason: RefusalReason::UnknownKey,
         retry_after: Millis::ZERO,
