--- a/crates/siskinyoke-gateway/tests/replica.rs
+++ b/crates/siskinyoke-gateway/tests/replica.rs
@@ -1,4 +1,4 @@
-//! What the store said, kept for peers.
+//! Replication of the store's contents between peers.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use siskinyoke_interface::Batch;
 use siskinyoke_interface::Item;
 
-/// A store with its whole history.
+/// A model of the store, with its complete history.
 #[derive(Default)]
 struct Model {
     items: BTreeMap<String, Item>,
@@ -45,51 +45,52 @@
     }
 }
 
+// Returns the items of a replica's full state.
 fn state(replica: &Replica) -> BTreeMap<String, Item> {
-    let all = replica.changes_since(0).expect("everything").items;
+    let all = replica.changes_since(0).expect("the full state").items;
     let all = all.into_iter().filter(|it| it.value.is_some());
     all.map(|it| (it.key.clone(), it)).collect()
 }
 
-// What an instance believes is what it was told in `news`, one after the other.
-fn believe(beliefs: &mut BTreeMap<String, Item>, news: Vec<Item>) {
-    for item in news {
+// Applies the changes that a replica returned to an instance's view.
+fn apply_to_view(view: &mut BTreeMap<String, Item>, changes: Vec<Item>) {
+    for item in changes {
         if item.value.is_some() {
-            beliefs.insert(item.key.clone(), item);
+            view.insert(item.key.clone(), item);
         } else {
-            beliefs.remove(&item.key);
+            view.remove(&item.key);
         }
     }
 }
 
-// Changes reach some instances from the store and others from those, in any order, in part twice, and by
-// whole readings whose pages are no snapshot. An instance that ends with another state than the store's
-// would send work to endpoints that are gone, or go back to a configuration that was replaced.
+// Changes reach instances from the store or from peers, in any order, some twice, or by full reads
+// whose pages are no snapshot. An instance whose state differs from the store's would send requests to
+// removed endpoints, or return to a replaced configuration.
 #[test]
 fn replicas_agree_with_the_store_however_changes_reach_them() {
     for seed in seeds() {
-        arbtest(agree).seed(seed);
+        arbtest(check_agreement).seed(seed);
     }
 }
 
-// The first one was given what changed by a peer that had read the state anew, and went on believing in an item
-// that had come and gone in between. A seed's lower half is the number of bytes to draw from.
+// With the first seed, a peer that had reread the full state sent only changes, and the instance kept an
+// item whose removal the peer had not seen. The lower half of a seed is the number of random bytes.
 fn seeds() -> impl Iterator<Item = u64> {
-    let drawn = (1..400_u64).map(|at| at.wrapping_mul(0x9e37_79b9_7f4a_7c15) << 32 | 0x400);
-    std::iter::once(0xc34d_a03c_0000_0236).chain(drawn)
+    let generated = (1..400_u64).map(|at| at.wrapping_mul(0x9e37_79b9_7f4a_7c15) << 32 | 0x400);
+    std::iter::once(0xc34d_a03c_0000_0236).chain(generated)
 }
 
-fn agree(u: &mut Unstructured<'_>) -> Result<()> {
+fn check_agreement(u: &mut Unstructured<'_>) -> Result<()> {
     let mut model = Model::default();
     let mut replicas: Vec<(Replica, BTreeMap<String, Item>)> = Vec::new();
     replicas.resize_with(3, Default::default);
     model.write(0, Some(0));
     for _ in 0..40 {
-        act(u, &mut model, &mut replicas)?;
+        step(u, &mut model, &mut replicas)?;
     }
-    for (replica, beliefs) in &mut replicas {
+    for (replica, view) in &mut replicas {
         let batch = model.watch(replica.revision());
-        let news = if replica.revision() == 0 {
+        let changes = if replica.revision() == 0 {
             replica.replace_all(Batch {
                 items: model.items.values().cloned().collect(),
                 ..batch
@@ -97,17 +98,17 @@
         } else {
             replica.apply_changes(batch)
         };
-        believe(beliefs, news);
+        apply_to_view(view, changes);
         assert_eq!(state(replica), model.items);
-        assert_eq!(*beliefs, model.items);
+        assert_eq!(*view, model.items);
     }
     Ok(())
 }
 
 type Instance = (Replica, BTreeMap<String, Item>);
 
-fn act(u: &mut Unstructured<'_>, model: &mut Model, replicas: &mut [Instance]) -> Result<()> {
-    let at = u.int_in_range(0..=2)?;
+fn step(u: &mut Unstructured<'_>, model: &mut Model, replicas: &mut [Instance]) -> Result<()> {
+    let index = u.int_in_range(0..=2)?;
     match u.int_in_range(0..=5)? {
         0..=2 => {
             let value = if u.ratio(1, 3)? {
@@ -117,14 +118,14 @@
             };
             model.write(u.int_in_range(0..=5)?, value);
         }
-        3 if replicas[at].0.revision() > 0 => {
-            let news = replicas[at]
+        3 if replicas[index].0.revision() > 0 => {
+            let changes = replicas[index]
                 .0
-                .apply_changes(model.watch(replicas[at].0.revision()));
-            believe(&mut replicas[at].1, news);
+                .apply_changes(model.watch(replicas[index].0.revision()));
+            apply_to_view(&mut replicas[index].1, changes);
         }
         4 => {
-            // A reading in two pages, with a change between them.
+            // A full read in two pages, with a change between them.
             let revision = model.revision();
             let first: Vec<Item> = model
                 .items
@@ -142,14 +143,14 @@
                 revision,
                 has_more: false,
             };
-            let news = replicas[at].0.replace_all(batch);
-            believe(&mut replicas[at].1, news);
+            let changes = replicas[index].0.replace_all(batch);
+            apply_to_view(&mut replicas[index].1, changes);
         }
         _ => {
             let from = u.int_in_range(0..=2)?;
-            if let Some(update) = replicas[from].0.changes_since(replicas[at].0.revision()) {
-                let news = replicas[at].0.apply_update(update);
-                believe(&mut replicas[at].1, news);
+            if let Some(update) = replicas[from].0.changes_since(replicas[index].0.revision()) {
+                let changes = replicas[index].0.apply_update(update);
+                apply_to_view(&mut replicas[index].1, changes);
             }
         }
     }
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn a_peer_is_given_what_it_lacks_and_everything_if_it_knows_nothing() {
+fn a_peer_gets_missing_changes_or_the_full_state_if_it_has_none() {
     let mut model = Model::default();
     for key in 0..4 {
         model.write(key, Some(key));
@@ -173,17 +174,17 @@
     assert!(!update.full);
     assert_eq!(update.items.len(), 1);
     assert_eq!(update.items[0].value, None);
-    // A reading tells nothing of removals before it.
+    // A full read contains no earlier removals.
     assert_eq!(replica.changes_since(3), None);
     let update = replica.changes_since(0).unwrap();
     assert!(update.full);
     assert_eq!(update.items.len(), 3);
 }
 
-// Endpoints come and go for days, each under a name of its own. Were every removal remembered, memory
-// would grow without end.
+// Endpoints are added and removed for days, each under a new name. If every removal was kept, memory
+// would grow without bound.
 #[test]
-fn removals_long_past_are_forgotten() {
+fn old_removals_are_pruned() {
     let mut model = Model::default();
     model.write(0, Some(0));
     let mut replica = Replica::default();
@@ -192,13 +193,13 @@
         ..model.watch(0)
     });
     for number in 0..3_000_u64 {
-        let gone = Item {
+        let removed = Item {
             key: format!("gone{number}"),
             revision: number + 2,
             value: None,
         };
         replica.apply_changes(Batch {
-            items: vec![gone],
+            items: vec![removed],
             revision: number + 2,
             has_more: false,
         });
@@ -209,11 +210,11 @@
     assert_eq!(update.items.len(), 1);
 }
 
-// All instances start at once. Each has read the store a little earlier or later than the others, and hears of a
-// later revision from all of them. If each handed over everything, three hundred instances with three thousand
-// endpoints would fill their links for half a minute and serve nobody meanwhile.
+// All instances start at once, each reads the store at a slightly different revision, and those behind
+// learn of later ones from all others. If full states were exchanged, three hundred instances with three
+// thousand endpoints would saturate their links for half a minute and serve no requests meanwhile.
 #[test]
-fn an_instance_that_just_started_hands_over_no_whole_state_to_one_that_has_read_its_own() {
+fn a_just_started_instance_sends_no_full_state_to_one_that_has_read_its_own() {
     let mut model = Model::default();
     for key in 0..4 {
         model.write(key, Some(key));
@@ -228,7 +229,7 @@
     let mut late = Replica::default();
     late.replace_all(read(&model));
     assert_eq!(late.changes_since(early.revision()), None);
-    // What it has from the store itself is known to both from then on.
+    // Once the earlier one has caught up from the store, changes alone suffice.
     early.apply_changes(model.watch(early.revision()));
     model.write(2, Some(9));
     late.apply_changes(model.watch(late.revision()));
