--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -178,7 +178,7 @@
 fn generate_key(context: &Context) -> String {
     let drawn = rand::rng().sample_iter(&Alphanumeric).take(KEY_LENGTH);
     let key: String = drawn.map(char::from).collect();
-    let digest = names::digest(&key);
+    let digest = names::key_digest(&key);
     if context.json {
         return serde_json::json!({ "key": key, "digest": digest }).to_string();
     }
@@ -224,8 +224,8 @@
     revision: u64,
     before: u64,
 ) -> Result<(), OperateError> {
-    let body = context.call_store(&etcd::swap(key, value, revision))?;
-    if etcd::decode_swap(&body).map_err(invalid_response)? {
+    let body = context.call_store(&etcd::compare_and_swap(key, value, revision))?;
+    if etcd::decode_txn(&body).map_err(invalid_response)? {
         return Ok(());
     }
     Err(OperateError::Conflict(before))
--- a/crates/siskinyoke-native/src/documents.rs
+++ b/crates/siskinyoke-native/src/documents.rs
@@ -18,7 +18,7 @@
 
 /// What the store holds, by key.
 #[derive(Debug, Clone, Copy)]
-pub struct Stored;
+pub struct NativeDocuments;
 
 /// An endpoint's entry, written by operators or by the endpoint itself under a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,17 +41,17 @@
     pub draining: bool,
     /// The start of its process in Unix ms, where it is known; another start forgets the past.
     #[serde(rename = "born", default)]
-    pub born: u64,
+    pub started_ms: u64,
 }
 
-impl Documents for Stored {
+impl Documents for NativeDocuments {
     fn keys(&self) -> StoreKeys {
         StoreKeys {
             configuration: names::CONFIGURATION_KEY,
             endpoints: names::ENDPOINT_PREFIX,
             instances: names::INSTANCE_PREFIX,
-            rollout_orders: names::ORDER_PREFIX,
-            rollout_states: names::STATE_PREFIX,
+            rollout_orders: names::ROLLOUT_ORDER_PREFIX,
+            rollout_states: names::ROLLOUT_STATE_PREFIX,
         }
     }
 
@@ -66,7 +66,7 @@
         }
         Ok(Endpoint {
             id: id.into(),
-            started_ms: entry.born,
+            started_ms: entry.started_ms,
             service: entry.service,
             version: entry.version,
             address: entry.address,
