--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -121,18 +121,18 @@
         .documents
         .decode_rollout_order(service, value)
     {
-        Ok(text) => {
+        Ok(order) => {
             let fields = json!({
                 "service": service,
-                "version": &*text.version,
-                "span_ms": text.duration.0,
+                "version": &*order.version,
+                "span_ms": order.duration.0,
                 "revision": revision,
             });
             shell.log("rollout_order", fields);
             Some(Order {
                 service: service.into(),
-                version: text.version.into(),
-                duration: text.duration,
+                version: order.version.into(),
+                duration: order.duration,
                 revision,
             })
         }
@@ -161,7 +161,7 @@
 
 fn decode_instance(shell: &Shell, name: &str, value: &[u8]) -> Option<StoreUpdate> {
     match serde_json::from_slice(value) {
-        Ok(place) => Some(StoreUpdate::Instance(name.to_owned(), place)),
+        Ok(location) => Some(StoreUpdate::Instance(name.to_owned(), location)),
         Err(err) => {
             let fields = json!({ "instance": name, "error": err.to_string() });
             shell.log("instance_unreadable", fields);
--- a/crates/siskinyoke-gateway/src/first_read.rs
+++ b/crates/siskinyoke-gateway/src/first_read.rs
@@ -29,8 +29,8 @@
     ///
     /// # Errors
     ///
-    /// The error of the last call if all have failed, or [`StoreError::NoReply`] if none was answered
-    /// within the limit.
+    /// The error of the last call if all have failed, or [`StoreError::NoReply`] if none was
+    /// answered within the limit.
     pub async fn call(
         &mut self,
         address: SocketAddr,
@@ -66,7 +66,7 @@
         }
     }
 
-    // Waits until a call has succeeded or all have failed. Returns `None` when the next call is due.
+    // Waits until a call has succeeded or all have failed; `None` means that the next call is due.
     async fn next_result(&mut self) -> Option<Result<ReadResponse, StoreError>> {
         let mut hedge_delay = std::pin::pin!(sleep(READ_HEDGE_DELAY.into()));
         loop {
@@ -82,6 +82,7 @@
     }
 }
 
+// Makes a call on a connection of its own.
 async fn call_once(
     address: SocketAddr,
     call: Call,
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -26,8 +26,8 @@
 
 /// Minimum interval between reports while requests wait.
 ///
-/// A freed slot can stay unused until peers learn of it. Ten milliseconds are a thirtieth of a usual
-/// service time.
+/// A freed slot can stay unused until peers learn of it. Ten milliseconds are a thirtieth of a
+/// usual service time.
 const LOADED_REPORT_SPACING: Millis = Millis(10);
 
 /// Minimum interval between reports while no request waits, when slots are plentiful.
@@ -171,22 +171,23 @@
             return;
         };
         for address in to {
-            // Other reports are soon followed by the next one, so only failures of full ones are logged.
+            // Other reports are soon followed by the next one, so only failures of full reports are
+            // logged.
             send_bytes(shell, *address, &bytes, full);
         }
     }
 
-    // Sends a full report to an instance that has no configuration yet, so that it can fetch ours. It
-    // may have started during a store outage and belong to another shard, whose instances it cannot
-    // find by itself.
+    // Sends a full report to an instance that has no configuration yet, so that it can fetch ours.
+    // It may have started during a store outage and belong to another shard, whose instances it
+    // cannot find by itself.
     fn send_full_report(shell: &Shell, to: SocketAddr) {
         if shell.core.borrow().configuration_version() > 0 {
             Self::send_report_to(shell, &BTreeSet::from([to]), true);
         }
     }
 
-    // Returns the peers that currently report. A search adds listed instances and, if none are listed,
-    // the seeds and the addresses from reports.
+    // Returns the peers that currently report. A search adds listed instances and, if none are
+    // listed, the seeds and the addresses from reports.
     fn recipients(&self, shell: &Shell, now: Millis, search: bool) -> BTreeSet<SocketAddr> {
         let core = shell.core.borrow();
         let mut all: BTreeSet<SocketAddr> = core
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -30,12 +30,13 @@
 /// Each lender is asked for the required units divided by this.
 const QUOTA_REQUEST_DIVISOR: u64 = 2;
 
-/// How long their replies are awaited: a few round trips between two data centres.
+/// How long replies to quota requests are awaited: a few round trips between two data centres.
 const QUOTA_REPLY_TIMEOUT: Millis = Millis(30);
 
 /// How long no units are requested for an organisation after no lender had any.
 ///
-/// Otherwise each request of an organisation that exceeds its quota would query other shards in vain.
+/// Otherwise each request of an organisation that exceeds its quota would query other shards in
+/// vain.
 const QUOTA_RETRY_DELAY: Millis = Millis(300);
 
 /// Number of instances asked for a slot at once, each of a different shard.
@@ -128,8 +129,8 @@
     }
 }
 
-// Starts the request at the lent slot. A second slot for the same request, or one that comes too late,
-// is returned at once.
+// Starts the request at the lent slot. A second slot for the same request, or one that comes too
+// late, is returned at once.
 fn slot_granted(shell: &Shell, from: SocketAddr, id: u64, key: EndpointKey) {
     let request = shell.lending.slot_requests.borrow_mut().remove(&id);
     let now = shell.now();
@@ -216,7 +217,12 @@
     };
     let grants = request_quota(shell, BorrowRequest::Units(part)).await;
     let granted: u64 = grants.iter().map(|grant| granted_units(*grant)).sum();
-    let fields = json!({ "organisation": organisation, "units": units, "given": granted, "answers": grants.len() });
+    let fields = json!({
+        "organisation": organisation,
+        "units": units,
+        "given": granted,
+        "answers": grants.len()
+    });
     shell.log("units_borrowed", fields);
     if granted == 0 {
         let now = shell.now();
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -43,6 +43,7 @@
 /// How long no changes are fetched from a peer after a failure; other peers have the same changes.
 const FAILED_PEER_BACKOFF: Millis = Millis::from_secs(3);
 
+/// Path prefix of requests for changes, followed by the revision that the sender knows.
 const CHANGES_PATH: &str = "/changes/";
 
 quick_error! {
@@ -84,8 +85,9 @@
     let now = shell.now();
     let ahead = shell.core.borrow_mut().record_peer_revision(now, revision);
     let failed = shell.failed_peer.get();
-    let avoided = failed.is_some_and(|it| it.0 == from && now.since(it.1) < FAILED_PEER_BACKOFF);
-    if !ahead || avoided || shell.catching_up.replace(true) {
+    let backing_off =
+        failed.is_some_and(|it| it.0 == from && now.since(it.1) < FAILED_PEER_BACKOFF);
+    if !ahead || backing_off || shell.catching_up.replace(true) {
         return;
     }
     let shell = shell.clone();
@@ -105,6 +107,8 @@
     });
 }
 
+// Fetches and applies changes from a peer. A failure ends the watcher's pause between two calls of
+// the store.
 async fn fetch(shell: &Shell, from: SocketAddr) {
     match request_update(shell, from).await {
         Ok(update) => cluster_view::apply(shell, update, "peer"),
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -17,11 +17,11 @@
     shell: &Shell,
     endpoint: &Endpoint,
     sent: Millis,
-    verdict: ResponseClass,
+    class: ResponseClass,
     limit: Result<Option<f64>, FormatError>,
 ) {
     let rate = match limit {
-        Ok(None) if verdict != ResponseClass::Valid => return,
+        Ok(None) if class != ResponseClass::Valid => return,
         Ok(rate) => rate,
         Err(err) => {
             let fields = json!({ "endpoint": &*endpoint.id, "error": err.to_string() });
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -23,8 +23,8 @@
 
 /// Renewal interval of an instance that watches the store for others.
 ///
-/// An idle watch does not show whether the store is reachable. An unanswered renewal does, so that a
-/// peer can take over, and it costs the store only a tenth of any other call.
+/// An idle watch does not show whether the store is reachable. An unanswered renewal does, so that
+/// a peer can take over, and it costs the store only a tenth of any other call.
 const WATCHER_RENEWAL_INTERVAL: Millis = Millis(1_000);
 
 /// Delay after the first failed call; it doubles with each further one.
@@ -74,8 +74,8 @@
     }
 }
 
-// Renews the lease. If it has expired, the store has removed the entry, and other instances cannot find
-// this one until it is written again, so that happens at once.
+// Renews the lease. If it has expired, the store has removed the entry, and other instances cannot
+// find this one until it is written again, so that happens at once.
 async fn renew_or_register(
     shell: &Shell,
     client: &mut Client,
@@ -107,8 +107,8 @@
 // lease.
 async fn deregister(shell: &Shell, client: &mut Client, lease: Option<u64>) {
     let Some(lease) = lease else { return };
-    let end = shell.interface.store.revoke_lease(lease);
-    if let Err(err) = call(shell, client, "leave", &end).await {
+    let revocation = shell.interface.store.revoke_lease(lease);
+    if let Err(err) = call(shell, client, "leave", &revocation).await {
         shell.log("registration_failed", json!({ "error": err.to_string() }));
     }
 }
@@ -123,6 +123,7 @@
     }
 }
 
+// Makes a call and records its result in the metrics.
 async fn call(
     shell: &Shell,
     client: &mut Client,
--- a/crates/siskinyoke-gateway/src/replica.rs
+++ b/crates/siskinyoke-gateway/src/replica.rs
@@ -10,8 +10,8 @@
 
 /// Maximum number of removed items kept for peers.
 ///
-/// A peer fetches changes within a second or two. A rolling restart of a fleet removes a few hundred
-/// items in that time; a peer that misses more receives the full state.
+/// A peer fetches changes within a second or two. A rolling restart of a fleet removes a few
+/// hundred items in that time; a peer that misses more receives the full state.
 const MAX_TOMBSTONES: usize = 1_024;
 
 /// Changes since a revision, or the full state.
@@ -29,8 +29,8 @@
 #[derive(Debug)]
 struct Entry {
     item: Item,
-    // The replica's revision after the item was applied. The item's own revision may be higher, as a
-    // paged read is no snapshot.
+    // The replica's revision after the item was applied. The item's own revision may be higher, as
+    // a paged read is no snapshot.
     applied_revision: u64,
 }
 
@@ -40,8 +40,8 @@
     revision: u64,
     // The last change of each key, including removals.
     entries: BTreeMap<String, Entry>,
-    // The revision since which `entries` has every removal: that of the last full state, or of a removal
-    // pruned after it.
+    // The revision since which `entries` has every removal: that of the last full state, or of a
+    // removal pruned after it.
     complete_since: u64,
     // The revision of the first full state.
     first_revision: u64,
@@ -112,8 +112,8 @@
 
     /// Returns the update for a peer that knows all changes up to a revision.
     ///
-    /// Returns `None` if the peer's state is older than the first one of this replica: the peer gets
-    /// the changes from the store with one call. Instances that start together are all in this
+    /// Returns `None` if the peer's state is older than the first one of this replica: the peer
+    /// gets the changes from the store with one call. Instances that start together are all in this
     /// situation, and sending full states to each other would saturate their links for seconds.
     pub fn changes_since(&self, known: u64) -> Option<Update> {
         let full = known < self.complete_since;
@@ -136,11 +136,13 @@
         })
     }
 
+    // Returns the items that have not been removed.
     fn live_items(&self) -> impl Iterator<Item = &Item> {
         let items = self.entries.values().map(|it| &it.item);
         items.filter(|item| item.value.is_some())
     }
 
+    // Stores changed items and the revision to which they lead.
     fn record(&mut self, revision: u64, changed: &[Item]) {
         self.revision = revision;
         for item in changed {
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -69,7 +69,8 @@
     ///
     /// # Errors
     ///
-    /// Any other result. The connection is reused only after a complete response.
+    /// If the call fails or the response has an error status. The connection is reused only after a
+    /// complete response.
     pub async fn call(
         &mut self,
         address: SocketAddr,
@@ -84,8 +85,8 @@
     ///
     /// # Errors
     ///
-    /// As for [`Self::call`], but if the store sends nothing on an open watch while nothing changes,
-    /// reaching the limit is no error and yields an empty batch.
+    /// As for [`Self::call`]. However, if the store sends nothing on an open watch while nothing
+    /// changes, reaching the limit is no error and yields an empty batch.
     pub async fn watch(
         &mut self,
         address: SocketAddr,
@@ -106,8 +107,8 @@
         }
     }
 
-    // Makes a call within a time limit. `read` gets the body received so far and whether it is complete,
-    // and returns the result once it can be decoded.
+    // Makes a call within a time limit. `read` gets the body received so far and whether it is
+    // complete, and returns the result once it can be decoded.
     async fn call_until<T>(
         &mut self,
         address: SocketAddr,
@@ -156,9 +157,9 @@
         while let Some(frame) = body.frame().await {
             bytes.extend_from_slice(frame?.data_ref().unwrap_or(&Bytes::new()));
             if status.is_success()
-                && let Some(answer) = read(&bytes, false)?
+                && let Some(value) = read(&bytes, false)?
             {
-                return Ok(answer);
+                return Ok(value);
             }
         }
         if connection.wait_ready().await {
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -65,7 +65,7 @@
 struct Watcher {
     shell: Rc<Shell>,
     client: Client,
-    // Whether the store has compacted changes that are missing here, so that a full read is needed.
+    // Whether the store has compacted changes that are missing here; a full read is needed then.
     compacted: bool,
     // The role at the last check.
     role: Option<StoreRole>,
@@ -92,8 +92,8 @@
         role
     }
 
-    // Waits for the next changes. Reads the full state first if it is unknown: with a cheap read, or
-    // with a linearizable one if that has no configuration.
+    // Waits for the next changes. Reads the full state first if changes are missing. The very first
+    // read is serializable, and repeated as a linearizable one if it has no configuration.
     async fn step(&mut self) -> Result<(), StoreError> {
         let revision = self.shell.replica.borrow().revision();
         if revision > 0 && !self.compacted {
@@ -185,16 +185,17 @@
         Ok(body)
     }
 
+    // Waits for changes after a revision and applies them.
     async fn watch(&mut self, revision: u64) -> Result<(), StoreError> {
         let address = self.shell.settings().store;
         let store = &*self.shell.interface.store;
-        let held = self.shell.core.borrow().watch_timeout();
+        let timeout = self.shell.core.borrow().watch_timeout();
         let limit = if store.idle_watch_is_silent() {
-            held.max(RESPONSE_MARGIN)
+            timeout.max(RESPONSE_MARGIN)
         } else {
-            held + RESPONSE_MARGIN
+            timeout + RESPONSE_MARGIN
         };
-        let call = store.watch(revision, held);
+        let call = store.watch(revision, timeout);
         let sent = self.shell.now();
         let unreachable = !self.shell.core.borrow().reaches_store();
         let result = tokio::select! {
@@ -208,7 +209,7 @@
         if let Err(err) = &result {
             let fields = json!({
                 "sent_ms_ago": self.shell.now().since(sent).0,
-                "held_ms": held.0,
+                "held_ms": timeout.0,
                 "doubted": unreachable,
                 "revision": revision,
                 "error": err.to_string(),
@@ -225,6 +226,7 @@
         };
         cluster_view::apply(&self.shell, update, "store");
         if changed {
+            // Let changes accumulate before the next watch, unless fetching them from a peer fails.
             let delay = self.shell.core.borrow().update_batch_delay();
             tokio::select! {
                 () = sleep(delay.into()) => {}
--- a/crates/siskinyoke-gateway/tests/first_read.rs
+++ b/crates/siskinyoke-gateway/tests/first_read.rs
@@ -78,8 +78,8 @@
     assert_eq!(calls, 1);
 }
 
-// The store does not respond within the time limit. Without a bound, the calls of all instances would
-// add up.
+// The store does not respond within the time limit. Without a bound, the calls of all instances
+// would add up.
 #[test]
 fn calls_of_one_read_are_bounded() {
     let limit = Millis(2_500);
--- a/crates/siskinyoke-gateway/tests/replica.rs
+++ b/crates/siskinyoke-gateway/tests/replica.rs
@@ -64,8 +64,8 @@
 }
 
 // Changes reach instances from the store or from peers, in any order, some twice, or by full reads
-// whose pages are no snapshot. An instance whose state differs from the store's would send requests to
-// removed endpoints, or return to a replaced configuration.
+// whose pages are no snapshot. An instance whose state differs from the store's would send requests
+// to removed endpoints, or return to a replaced configuration.
 #[test]
 fn replicas_agree_with_the_store_however_changes_reach_them() {
     for seed in seeds() {
@@ -73,8 +73,9 @@
     }
 }
 
-// With the first seed, a peer that had reread the full state sent only changes, and the instance kept an
-// item whose removal the peer had not seen. The lower half of a seed is the number of random bytes.
+// With the first seed, a peer that had reread the full state sent only changes, and the instance
+// kept an item that had been created and removed between the peer's two reads. The lower half of a
+// seed is the number of random bytes.
 fn seeds() -> impl Iterator<Item = u64> {
     let generated = (1..400_u64).map(|at| at.wrapping_mul(0x9e37_79b9_7f4a_7c15) << 32 | 0x400);
     std::iter::once(0xc34d_a03c_0000_0236).chain(generated)
@@ -181,8 +182,8 @@
     assert_eq!(update.items.len(), 3);
 }
 
-// Endpoints are added and removed for days, each under a new name. If every removal was kept, memory
-// would grow without bound.
+// Endpoints are added and removed for days, each under a new name. If every removal was kept,
+// memory would grow without bound.
 #[test]
 fn old_removals_are_pruned() {
     let mut model = Model::default();
@@ -210,9 +211,10 @@
     assert_eq!(update.items.len(), 1);
 }
 
-// All instances start at once, each reads the store at a slightly different revision, and those behind
-// learn of later ones from all others. If full states were exchanged, three hundred instances with three
-// thousand endpoints would saturate their links for half a minute and serve no requests meanwhile.
+// All instances start at once, each reads the store at a slightly different revision, and those
+// behind learn of later ones from all others. If full states were exchanged, three hundred
+// instances with three thousand endpoints would saturate their links for half a minute and serve no
+// requests meanwhile.
 #[test]
 fn a_just_started_instance_sends_no_full_state_to_one_that_has_read_its_own() {
     let mut model = Model::default();
