--- a/crates/siskinyoke-gateway/src/attempt.rs
+++ b/crates/siskinyoke-gateway/src/attempt.rs
@@ -21,6 +21,7 @@
 /// A request in the form in which it is sent to endpoints.
 #[derive(Debug, Clone)]
 pub struct EndpointRequest {
+    /// The HTTP method.
     pub method: Method,
     /// Path and query sent to the endpoint.
     pub target: http::Uri,
@@ -78,7 +79,12 @@
 
 async fn connect(shell: &Shell, endpoint: &Endpoint) -> Option<Connection> {
     let Ok(address) = endpoint.address.parse::<SocketAddr>() else {
-        shell.log("endpoint_address", json!({ "endpoint": &*endpoint.id, "address": &*endpoint.address, "hint": "expected IP:PORT" }));
+        let fields = json!({
+            "endpoint": &*endpoint.id,
+            "address": &*endpoint.address,
+            "hint": "expected IP:PORT",
+        });
+        shell.log("endpoint_address", fields);
         return None;
     };
     match Connection::open(address).await {
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -134,8 +134,8 @@
         return None;
     }
     shell.log("head_refused", json!({ "bytes": size }));
-    let answer = shell.interface.exchange.fail(Code::HeadTooLarge);
-    Some(response::from_buffered(answer))
+    let response = shell.interface.exchange.fail(Code::HeadTooLarge);
+    Some(response::from_buffered(response))
 }
 
 // Routes by the head alone, so that the body of a rejected request is never read.
@@ -179,6 +179,7 @@
     handle_buffered(shell, parts, body, reservation, arrival).await
 }
 
+// Routes and admits a request whose body has been read.
 async fn handle_buffered(
     shell: &Rc<Shell>,
     parts: Parts,
@@ -291,6 +292,7 @@
     }
 }
 
+// Admits a request, starts its job and waits for the start of its response.
 async fn admit(
     shell: &Rc<Shell>,
     id: Option<String>,
@@ -346,6 +348,8 @@
     }
 }
 
+// Reads a body within a size limit and a time limit. Memory for the announced length is reserved
+// while it is read.
 async fn read_body(
     shell: &Rc<Shell>,
     max_bytes: usize,
--- a/crates/siskinyoke-gateway/src/connection.rs
+++ b/crates/siskinyoke-gateway/src/connection.rs
@@ -83,7 +83,7 @@
         set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS).map_err(std::io::Error::from)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         let task = tokio::task::spawn_local(async move {
-            // An error also fails the request in flight; an idle connection is dropped from the pool.
+            // An error also fails the request in flight; idle connections are dropped by the pool.
             drop(connection.await);
         });
         Ok(Self { sender, task })
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -97,7 +97,7 @@
         let outcome = tokio::select! {
             biased;
             () = chunks.closed() => "caller_left",
-            done = timeout(remaining, self.serve(permit, decision)) => done.unwrap_or("late"),
+            result = timeout(remaining, self.serve(permit, decision)) => result.unwrap_or("late"),
         };
         if outcome == "late" {
             self.time_out();
@@ -106,6 +106,7 @@
         self.shell.decide();
     }
 
+    // Runs attempts until one completes or no retry is allowed; returns the outcome for the log.
     async fn serve(
         &mut self,
         permit: Permit,
@@ -178,8 +179,8 @@
         );
         // Other verdicts mean a response from another endpoint or to another request.
         if matches!(verdict, Verdict::Answer | Verdict::Full) {
-            let named = shell.interface.exchange.rate_limit(response.headers());
-            rate_limits::record(&shell, endpoint, start, verdict, named);
+            let rate_limit = shell.interface.exchange.rate_limit(response.headers());
+            rate_limits::record(&shell, endpoint, start, verdict, rate_limit);
         }
         match verdict {
             Verdict::Foreign => AttemptEnd::Retry(Outcome::ConnectionLost),
--- a/crates/siskinyoke-gateway/src/job/completion.rs
+++ b/crates/siskinyoke-gateway/src/job/completion.rs
@@ -1,4 +1,6 @@
 //! Ends requests: sends the final response and records the outcome in logs and metrics.
+//!
+//! Methods that end a request return the name of its outcome.
 
 use http::Response;
 use serde_json::json;
@@ -23,8 +25,8 @@
             self.send_response(response);
             return "answered";
         }
-        // Waits for the chunks queued for a slow caller: without the end mark the response would look
-        // truncated. Sending fails only if the caller has disconnected.
+        // Waits for the chunks queued for a slow caller, because without the end mark the response
+        // would look truncated. Sending fails only if the caller has disconnected.
         drop(self.caller.chunks.send(None).await);
         "streamed"
     }
--- a/crates/siskinyoke-gateway/src/job/forwarding.rs
+++ b/crates/siskinyoke-gateway/src/job/forwarding.rs
@@ -29,6 +29,7 @@
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
 impl Job {
+    // Buffers a response without forwarding it; one that is too large is relayed instead.
     pub(super) async fn buffer_response(
         &mut self,
         endpoint: &Arc<Endpoint>,
@@ -65,8 +66,8 @@
         })
     }
 
-    // Forwards a response that is too large to buffer, chunk by chunk. Forwarded data cannot be taken
-    // back, so the request is not retried if the connection breaks.
+    // Forwards a response that is too large to buffer, chunk by chunk. Forwarded data cannot be
+    // taken back, so the request is not retried if the connection breaks.
     async fn relay(
         &mut self,
         parts: &http::response::Parts,
@@ -92,6 +93,8 @@
         })
     }
 
+    // Forwards complete events as they arrive. A stream that breaks or stalls is resumed at another
+    // endpoint if a retry is allowed.
     pub(super) async fn stream_response(
         &mut self,
         endpoint: &Arc<Endpoint>,
@@ -150,7 +153,7 @@
         AttemptEnd::Retry(outcome)
     }
 
-    // Errors of sending are ignored: a caller that disconnects closes the channel, which ends the job.
+    // Send errors are ignored: a caller that disconnects closes the channel, which ends the job.
     async fn forward(&mut self, parts: &http::response::Parts, chunk: Bytes) {
         if let Some(sender) = self.caller.start.take() {
             let headers = self.response_headers(parts);
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -54,7 +54,7 @@
     PeerApi,
 }
 
-/// Accepts connections; for callers only until this instance has left.
+/// Accepts connections; a listener for callers stops at the end of the drain period.
 pub async fn accept(shell: Rc<Shell>, listener: TcpListener, kind: ListenerKind) {
     let mut drained = pin!(drain_period_elapsed(shell.clone(), kind));
     loop {
@@ -67,7 +67,10 @@
                 tokio::task::spawn_local(serve_connection(shell.clone(), stream, kind));
             }
             Err(err) => {
-                let fields = json!({ "error": err.to_string(), "hint": "check the limit on open file descriptors" });
+                let fields = json!({
+                    "error": err.to_string(),
+                    "hint": "check the limit on open file descriptors",
+                });
                 shell.log("accept_failed", fields);
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -112,7 +115,7 @@
     let mut closing = false;
     loop {
         tokio::select! {
-            // Errors of the connection are ignored: the outcome of each request is logged on its own.
+            // Connection errors are ignored: the outcome of each request is logged separately.
             _ = &mut serving => break,
             () = &mut drained, if !closing => {
                 closing = true;
--- a/crates/siskinyoke-gateway/src/memory.rs
+++ b/crates/siskinyoke-gateway/src/memory.rs
@@ -11,7 +11,7 @@
 /// Memory reserved for a request body, released on drop.
 ///
 /// Bodies stay in memory while their requests are queued. Without a limit a few hundred large
-/// bodies exhaust the memory of a small instance, and its crash ends every request it serves.
+/// bodies exhaust the memory of a small instance, whose crash breaks every request it serves.
 #[derive(Debug)]
 pub struct MemoryReservation {
     shell: Rc<Shell>,
--- a/crates/siskinyoke-gateway/src/pool.rs
+++ b/crates/siskinyoke-gateway/src/pool.rs
@@ -36,7 +36,7 @@
 const MAX_DRAINED_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     expires_at: Millis,
 }
@@ -44,7 +44,7 @@
 /// Idle connections to endpoints, reused in last-in, first-out order.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: RefCell<Map<EndpointKey, Vec<Idle>>>,
+    idle: RefCell<Map<EndpointKey, Vec<IdleConnection>>>,
 }
 
 impl Pool {
@@ -52,7 +52,7 @@
     pub fn take(&self, now: Millis, key: EndpointKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&key)?;
-        while let Some(Idle {
+        while let Some(IdleConnection {
             connection,
             expires_at,
         }) = connections.pop()
@@ -67,17 +67,21 @@
     /// Drops connections that are expired or closed.
     pub fn remove_expired(&self, now: Millis) {
         let mut idle = self.idle.borrow_mut();
-        for list in idle.values_mut() {
-            list.retain(|it| now < it.expires_at && it.connection.is_ready());
+        for connections in idle.values_mut() {
+            connections.retain(|it| now < it.expires_at && it.connection.is_ready());
         }
-        idle.retain(|_, list| !list.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     fn put(&self, key: EndpointKey, connection: Connection, expires_at: Millis) {
-        self.idle.borrow_mut().entry(key).or_default().push(Idle {
-            connection,
-            expires_at,
-        });
+        self.idle
+            .borrow_mut()
+            .entry(key)
+            .or_default()
+            .push(IdleConnection {
+                connection,
+                expires_at,
+            });
     }
 }
 
--- a/crates/siskinyoke-gateway/tests/events.rs
+++ b/crates/siskinyoke-gateway/tests/events.rs
@@ -4,7 +4,7 @@
 
 use siskinyoke_gateway::events::EventBuffer;
 
-// An endpoint fails in the middle of an event, and another resumes after the last complete event. If
+// An endpoint fails in the middle of an event, and another resumes after the last complete one. If
 // the partial event were kept, it would be merged with data from the second endpoint.
 #[test]
 fn a_partial_event_is_discarded_with_its_endpoint() {
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -10,17 +10,17 @@
 use siskinyoke_gateway::settings::Settings;
 use siskinyoke_gateway::shell::Shell;
 
-const SETTINGS: &str = r#"{ "instance": "i", "ip": "127.0.0.1", "centre": "a", "metrics": 1,
+const SETTINGS_JSON: &str = r#"{ "instance": "i", "ip": "127.0.0.1", "centre": "a", "metrics": 1,
     "listen": { "callers": "127.0.0.1:1", "health": "127.0.0.1:2", "directory": "127.0.0.1:3",
                 "peers": "127.0.0.1:4" },
     "store": "127.0.0.1:5", "memory_mb": 16,
     "bounds": { "grace_s": 8, "retry_ratio": 0.2, "retry_slack": 54, "quota_window_s": 8,
                 "quota_overage": 0.1, "quota_slack": 110000, "keep_s": 5 } }"#;
 
-const MB: usize = 1024 * 1024;
+const MIB: usize = 1024 * 1024;
 
 fn shell() -> Rc<Shell> {
-    let settings = Settings::parse(SETTINGS).unwrap();
+    let settings = Settings::parse(SETTINGS_JSON).unwrap();
     let identity = Identity {
         name: settings.instance.clone(),
         location: settings.location(),
@@ -36,18 +36,18 @@
         },
     };
     let interface = settings.interface.build();
-    let journal = LogWriter::start(std::io::sink());
-    Rc::new(Shell::new(interface, settings, identity, journal).unwrap())
+    let log_writer = LogWriter::start(std::io::sink());
+    Rc::new(Shell::new(interface, settings, identity, log_writer).unwrap())
 }
 
-// Hundreds of queued requests with large bodies, each within its own limit, exhaust the memory of the
-// process, and its crash ends every request it serves.
+// Hundreds of queued requests with large bodies, each within its own limit, exhaust the memory of
+// the process, and its crash breaks every request it serves.
 #[test]
 fn waiting_bodies_fill_a_quarter_of_the_memory_at_most() {
     let shell = shell();
-    let first = MemoryReservation::try_reserve(&shell, 3 * MB);
+    let first = MemoryReservation::try_reserve(&shell, 3 * MIB);
     assert!(first.is_some());
-    assert!(MemoryReservation::try_reserve(&shell, 2 * MB).is_none());
+    assert!(MemoryReservation::try_reserve(&shell, 2 * MIB).is_none());
     drop(first);
-    assert!(MemoryReservation::try_reserve(&shell, 2 * MB).is_some());
+    assert!(MemoryReservation::try_reserve(&shell, 2 * MIB).is_some());
 }
