--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -178,7 +178,7 @@
 fn generate_key(context: &Context) -> String {
     let drawn = rand::rng().sample_iter(&Alphanumeric).take(KEY_LENGTH);
     let key: String = drawn.map(char::from).collect();
-    let digest = names::digest(&key);
+    let digest = names::key_digest(&key);
     if context.json {
         return serde_json::json!({ "key": key, "digest": digest }).to_string();
     }
@@ -211,7 +211,7 @@
         after = last.map(|it| it.key.clone()).unwrap_or_default();
         let wanted = |it: &Item| it.key.starts_with(prefix);
         items.extend(page.items.into_iter().filter(wanted));
-        if !page.more || after.is_empty() {
+        if !page.has_more || after.is_empty() {
             return Ok(items);
         }
     }
@@ -224,8 +224,8 @@
     revision: u64,
     before: u64,
 ) -> Result<(), OperateError> {
-    let body = context.call_store(&etcd::swap(key, value, revision))?;
-    if etcd::decode_swap(&body).map_err(invalid_response)? {
+    let body = context.call_store(&etcd::compare_and_swap(key, value, revision))?;
+    if etcd::decode_txn(&body).map_err(invalid_response)? {
         return Ok(());
     }
     Err(OperateError::Conflict(before))
--- a/crates/siskinyoke-gateway/src/attempt.rs
+++ b/crates/siskinyoke-gateway/src/attempt.rs
@@ -79,12 +79,14 @@
 
 async fn connect(shell: &Shell, endpoint: &Endpoint) -> Option<Connection> {
     let Ok(address) = endpoint.address.parse::<SocketAddr>() else {
-        let fields = json!({
-            "endpoint": &*endpoint.id,
-            "address": &*endpoint.address,
-            "hint": "expected IP:PORT",
-        });
-        shell.log("endpoint_address", fields);
+        shell.log(
+            "endpoint_address",
+            json!({
+                "endpoint": &*endpoint.id,
+                "address": &*endpoint.address,
+                "hint": "expected IP:PORT"
+            }),
+        );
         return None;
     };
     match Connection::open(address).await {
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -93,7 +93,7 @@
     if let Some(refused) = check_head_size(shell, &parts, limits) {
         return refused;
     }
-    if shell.interface.exchange.in_body(&parts) {
+    if shell.interface.exchange.needs_body(&parts) {
         handle_by_body(shell, parts, body, limits, arrival).await
     } else {
         handle_by_head(shell, parts, body, limits, arrival).await
@@ -111,7 +111,7 @@
     let (limits, body, reservation) = match hold::until_configured(shell, &parts, body).await {
         Ok(taken) => taken,
         Err(refusal) => {
-            let id = shell.interface.exchange.id(&parts);
+            let id = shell.interface.exchange.request_id(&parts);
             return refuse(shell, RefusalInfo::unrouted(id), refusal);
         }
     };
@@ -134,7 +134,7 @@
         return None;
     }
     shell.log("head_refused", json!({ "bytes": size }));
-    let response = shell.interface.exchange.fail(Code::HeadTooLarge);
+    let response = shell.interface.exchange.error_response(Code::HeadTooLarge);
     Some(response::from_buffered(response))
 }
 
@@ -217,7 +217,7 @@
     body: &[u8],
     arrival: Arrival,
 ) -> Result<(Option<String>, RoutedRequest), Box<Response<ResponseBody>>> {
-    let head = match shell.interface.exchange.decode(parts, body) {
+    let head = match shell.interface.exchange.decode_request(parts, body) {
         Ok(head) => head,
         Err(err) => return Err(Box::new(reject_malformed(shell, &err))),
     };
@@ -225,17 +225,19 @@
         host: head.host,
         path: &head.path,
         hold_time: shell.now().since(arrival.at),
-        key: head.key.as_deref(),
-        timeout: head.deadline,
-        tokens: head.tokens,
-        output_estimate: head.estimate,
+        key: head.api_key.as_deref(),
+        timeout: head.timeout,
+        tokens: head.token_counts,
+        output_estimate: head.output_estimate,
         draw: stable_hash(&head.id),
     };
     let refusal = match route(shell, incoming).await {
         Ok(routed) => return Ok((head.id.map(ToOwned::to_owned), routed)),
         Err(refusal) => refusal,
     };
-    let organisation = head.key.and_then(|key| organisation_by_key(shell, &key));
+    let organisation = head
+        .api_key
+        .and_then(|api_key| organisation_by_key(shell, &api_key));
     let request = RefusalInfo {
         id: head.id,
         organisation: organisation.as_ref().map(|it| &*it.name),
@@ -285,8 +287,8 @@
     EndpointRequest {
         fingerprint: stable_hash(&(parts.uri.path(), organisation, &body[..])),
         method: parts.method,
-        target: exchange.target(&parts.uri),
-        headers: exchange.request(&parts.headers, organisation),
+        target: exchange.endpoint_uri(&parts.uri),
+        headers: exchange.request_headers(&parts.headers, organisation),
         body,
         reservation: Rc::new(reservation),
     }
@@ -344,7 +346,7 @@
             response
         }
         // The job ended without a response because of an internal error.
-        Err(_) => response::from_buffered(shell.interface.exchange.fail(Code::Broken)),
+        Err(_) => response::from_buffered(shell.interface.exchange.error_response(Code::Broken)),
     }
 }
 
@@ -386,12 +388,12 @@
     shell
         .metrics
         .record_answer(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
-    response::from_buffered(shell.interface.exchange.refuse(refusal))
+    response::from_buffered(shell.interface.exchange.refusal_response(refusal))
 }
 
 fn reject_malformed(shell: &Shell, err: &FormatError) -> Response<ResponseBody> {
     shell.log("request_unreadable", json!({ "error": err.to_string() }));
-    response::from_buffered(shell.interface.exchange.fail(Code::Malformed))
+    response::from_buffered(shell.interface.exchange.error_response(Code::Malformed))
 }
 
 fn reject_body(shell: &Shell, id: Option<&str>, error: &BodyError) -> Response<ResponseBody> {
@@ -408,5 +410,5 @@
         }
     };
     shell.log("body_refused", json!({ "id": id, "why": code.text() }));
-    response::from_buffered(shell.interface.exchange.fail(code))
+    response::from_buffered(shell.interface.exchange.error_response(code))
 }
--- a/crates/siskinyoke-gateway/src/callers/hold.rs
+++ b/crates/siskinyoke-gateway/src/callers/hold.rs
@@ -58,7 +58,7 @@
         return Err(not_ready(shell));
     };
     let fields = json!({
-        "id": shell.interface.exchange.id(parts),
+        "id": shell.interface.exchange.request_id(parts),
         "held_ms": shell.now().since(arrived).0,
         "configuration": shell.core.borrow().configuration_version(),
     });
--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -1,4 +1,4 @@
-//! Takes what the store said into what this instance believes, from the store itself or from a peer.
+//! Applies updates from the store or from a peer to this instance's view of the cluster.
 
 use serde_json::json;
 
@@ -9,13 +9,13 @@
 use siskinyoke_dispatch::StoreUpdate;
 use siskinyoke_dispatch::rollout::Order;
 use siskinyoke_dispatch::rollout::Status;
-use siskinyoke_interface::Entry;
 use siskinyoke_interface::Item;
+use siskinyoke_interface::ItemKind;
 
-/// Organisations that are named in the log line of a new configuration.
+/// Maximum number of organisations listed in the log line of a new configuration.
 const MAX_LOGGED_ORGANISATIONS: usize = 8;
 
-/// Takes in changes, or the whole state; what is known already changes nothing.
+/// Applies changes or a full state; an update that is not newer than the replica has no effect.
 pub fn apply(shell: &Shell, update: Update, source: &str) {
     let before = shell.replica.borrow().revision();
     let full = update.full;
@@ -24,14 +24,15 @@
     if revision == before {
         return;
     }
-    // Before removals: what went while the store was away is given time to return.
+    // Must run before removals are applied: entries that expired during a store outage get a grace
+    // period to return.
     update_store_status(shell);
     let count = items.len();
     let updates: Vec<StoreUpdate> = items
         .into_iter()
         .filter_map(|item| decode(shell, item, source))
         .collect();
-    // A first reading names everything.
+    // The first read contains every endpoint.
     if before > 0 {
         for it in &updates {
             log_endpoint(shell, it);
@@ -50,56 +51,61 @@
     });
     shell.log("store_read", fields);
     rollouts::advance(shell);
-    // Other shards hear of it at once.
+    // Report the new state to other shards at once.
     shell.search_peers();
     shell.decide();
 }
 
-/// Takes note if the store went away for the whole shard, or came back.
+/// Updates whether any instance of the shard can reach the store, and logs a change.
 pub fn update_store_status(shell: &Shell) {
     let changed = shell
         .core
         .borrow_mut()
         .update_store_availability(shell.now());
-    let Some(away) = changed else { return };
-    let event = if away { "store_away" } else { "store_back" };
+    let Some(unavailable) = changed else { return };
+    let event = if unavailable {
+        "store_away"
+    } else {
+        "store_back"
+    };
     let peers = shell.core.borrow().peers().instance_count(shell.now()) - 1;
     shell.log(event, json!({ "peers": peers }));
 }
 
-// Reads an item, which may come from another writer; what cannot be understood names nothing.
+// Decodes an item, which may come from another writer; an invalid one is logged and skipped. A
+// configuration is applied directly.
 fn decode(shell: &Shell, item: Item, source: &str) -> Option<StoreUpdate> {
-    match shell.interface.documents.entry(&item.key) {
-        Entry::Endpoint(id) => match item.value {
+    match shell.interface.documents.item_kind(&item.key) {
+        ItemKind::Endpoint(id) => match item.value {
             Some(value) => decode_endpoint(shell, id, &value).map(StoreUpdate::Endpoint),
             None => Some(StoreUpdate::EndpointRemoved(id.to_owned())),
         },
-        Entry::Instance(name) => match item.value {
+        ItemKind::Instance(name) => match item.value {
             Some(value) => decode_instance(shell, name, &value),
             None => Some(StoreUpdate::InstanceRemoved(name.to_owned())),
         },
-        Entry::Configuration => {
+        ItemKind::Configuration => {
             if let Some(value) = item.value {
                 apply_configuration(shell, &value, source);
             }
             None
         }
-        Entry::Order(service) => {
+        ItemKind::RolloutOrder(service) => {
             let Some(value) = item.value else {
                 return Some(StoreUpdate::RolloutOrderRemoved(service.into()));
             };
             decode_order(shell, service, &value, item.revision).map(StoreUpdate::RolloutOrder)
         }
-        Entry::Status(service) => {
+        ItemKind::RolloutStatus(service) => {
             let status = decode_status(shell, service, &item.value?, item.revision)?;
             Some(StoreUpdate::RolloutStatus(service.into(), status))
         }
-        Entry::Other => None,
+        ItemKind::Other => None,
     }
 }
 
 fn decode_endpoint(shell: &Shell, id: &str, value: &[u8]) -> Option<Endpoint> {
-    match shell.interface.documents.endpoint(id, value) {
+    match shell.interface.documents.decode_endpoint(id, value) {
         Ok(endpoint) => Some(endpoint),
         Err(err) => {
             let fields = json!({ "endpoint": id, "error": err.to_string() });
@@ -110,19 +116,23 @@
 }
 
 fn decode_order(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Order> {
-    match shell.interface.documents.order(service, value) {
+    match shell
+        .interface
+        .documents
+        .decode_rollout_order(service, value)
+    {
         Ok(text) => {
             let fields = json!({
                 "service": service,
                 "version": &*text.version,
-                "span_ms": text.span.0,
+                "span_ms": text.duration.0,
                 "revision": revision,
             });
             shell.log("rollout_order", fields);
             Some(Order {
                 service: service.into(),
                 version: text.version.into(),
-                duration: text.span,
+                duration: text.duration,
                 revision,
             })
         }
@@ -135,7 +145,7 @@
 }
 
 fn decode_status(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Status> {
-    match shell.interface.documents.state(value) {
+    match shell.interface.documents.decode_rollout_state(value) {
         Ok((state, version)) => Some(Status {
             state,
             version: version.into(),
@@ -180,9 +190,9 @@
     }
 }
 
-// Puts a configuration in force, unless it is no newer than the one that is.
+// Applies a configuration if it is newer than the active one.
 fn apply_configuration(shell: &Shell, bytes: &[u8], source: &str) {
-    let configuration = match shell.interface.documents.configuration(bytes) {
+    let configuration = match shell.interface.documents.decode_configuration(bytes) {
         Ok(configuration) => configuration,
         Err(err) => {
             let fields = json!({ "source": source, "error": err.to_string() });
--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -33,7 +33,7 @@
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::core::RoutedRequest;
 use siskinyoke_dispatch::latency_model::LatencyModel;
-use siskinyoke_interface::Verdict;
+use siskinyoke_interface::ResponseClass;
 
 /// Channels for the response to the caller.
 #[derive(Debug)]
@@ -172,33 +172,33 @@
             }
             Reply::ConnectionLost => return AttemptEnd::Retry(Outcome::ConnectionLost),
         };
-        let verdict = shell.interface.exchange.verdict(
+        let class = shell.interface.exchange.classify_response(
             response.status(),
             response.headers(),
             self.id.as_deref(),
         );
-        // Other verdicts mean a response from another endpoint or to another request.
-        if matches!(verdict, Verdict::Answer | Verdict::Full) {
+        // Other classes mean a response from another endpoint or to another request.
+        if matches!(class, ResponseClass::Valid | ResponseClass::Rejected) {
             let rate_limit = shell.interface.exchange.rate_limit(response.headers());
-            rate_limits::record(&shell, endpoint, start, verdict, rate_limit);
+            rate_limits::record(&shell, endpoint, start, class, rate_limit);
         }
-        match verdict {
-            Verdict::Foreign => AttemptEnd::Retry(Outcome::ConnectionLost),
-            Verdict::Full | Verdict::Moved => {
+        match class {
+            ResponseClass::Mismatched => AttemptEnd::Retry(Outcome::ConnectionLost),
+            ResponseClass::Rejected | ResponseClass::Misdirected => {
                 self.maybe_executed = executed_before;
                 pool::drain(&self.shell, endpoint, response, connection);
-                let full = verdict == Verdict::Full;
-                AttemptEnd::Retry(if full {
+                let rejected = class == ResponseClass::Rejected;
+                AttemptEnd::Retry(if rejected {
                     Outcome::Full
                 } else {
                     Outcome::Misdirected
                 })
             }
-            Verdict::Answer if self.routed.is_stream() && response.status().is_success() => {
+            ResponseClass::Valid if self.routed.is_stream() && response.status().is_success() => {
                 self.stream_response(endpoint, permit, start, response, connection)
                     .await
             }
-            Verdict::Answer => {
+            ResponseClass::Valid => {
                 self.buffer_response(endpoint, start, response, connection)
                     .await
             }
@@ -208,16 +208,16 @@
     fn request_headers(&self, endpoint: &Endpoint, now: Millis) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
         let mut headers = self.outgoing.headers.clone();
-        exchange.address(&mut headers, endpoint, self.routed.deadline.since(now));
+        exchange.set_endpoint(&mut headers, endpoint, self.routed.deadline.since(now));
         if let Some(event) = self.events.last_id() {
-            exchange.resume(&mut headers, event);
+            exchange.set_last_event(&mut headers, event);
         }
         headers
     }
 
     fn response_headers(&self, parts: &http::response::Parts) -> HeaderMap {
         let exchange = &self.shell.interface.exchange;
-        exchange.answer(parts.status, &parts.headers)
+        exchange.response_headers(parts.status, &parts.headers)
     }
 
     fn latency_model(&self) -> LatencyModel {
--- a/crates/siskinyoke-gateway/src/job/completion.rs
+++ b/crates/siskinyoke-gateway/src/job/completion.rs
@@ -42,7 +42,7 @@
         };
         self.shell.log_refusal(request, refusal);
         self.send_response(response::from_buffered(
-            self.shell.interface.exchange.refuse(refusal),
+            self.shell.interface.exchange.refusal_response(refusal),
         ));
         refusal.reason.as_str()
     }
@@ -87,7 +87,7 @@
     }
 
     fn error_response(&self, code: Code) -> Response<ResponseBody> {
-        response::from_buffered(self.shell.interface.exchange.fail(code))
+        response::from_buffered(self.shell.interface.exchange.error_response(code))
     }
 
     pub(super) fn send_response(&mut self, response: Response<ResponseBody>) {
