--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -97,7 +97,7 @@
         let outcome = tokio::select! {
             biased;
             () = chunks.closed() => "caller_left",
-            done = timeout(remaining, self.serve(permit, decision)) => done.unwrap_or("late"),
+            result = timeout(remaining, self.serve(permit, decision)) => result.unwrap_or("late"),
         };
         if outcome == "late" {
             self.time_out();
@@ -106,6 +106,7 @@
         self.shell.decide();
     }
 
+    // Runs attempts until one completes or no retry is allowed; returns the outcome for the log.
     async fn serve(
         &mut self,
         permit: Permit,
@@ -171,23 +172,23 @@
             }
             Reply::ConnectionLost => return AttemptEnd::Retry(Outcome::ConnectionLost),
         };
-        let verdict = shell.interface.exchange.classify_response(
+        let class = shell.interface.exchange.classify_response(
             response.status(),
             response.headers(),
             self.id.as_deref(),
         );
-        // Other verdicts mean a response from another endpoint or to another request.
-        if matches!(verdict, ResponseClass::Valid | ResponseClass::Rejected) {
-            let named = shell.interface.exchange.rate_limit(response.headers());
-            rate_limits::record(&shell, endpoint, start, verdict, named);
+        // Other classes mean a response from another endpoint or to another request.
+        if matches!(class, ResponseClass::Valid | ResponseClass::Rejected) {
+            let rate_limit = shell.interface.exchange.rate_limit(response.headers());
+            rate_limits::record(&shell, endpoint, start, class, rate_limit);
         }
-        match verdict {
+        match class {
             ResponseClass::Mismatched => AttemptEnd::Retry(Outcome::ConnectionLost),
             ResponseClass::Rejected | ResponseClass::Misdirected => {
                 self.maybe_executed = executed_before;
                 pool::drain(&self.shell, endpoint, response, connection);
-                let full = verdict == ResponseClass::Rejected;
-                AttemptEnd::Retry(if full {
+                let rejected = class == ResponseClass::Rejected;
+                AttemptEnd::Retry(if rejected {
                     Outcome::Full
                 } else {
                     Outcome::Misdirected
