--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -111,8 +111,7 @@
     pub head: usize,
     /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Time within which a request head must arrive, as must a body that is needed to route the
-    /// request, in ms.
+    /// Time within which a body that is needed to find the route must arrive, in ms.
     pub arrival_ms: u64,
     /// How long a connection may stay idle between requests, in ms.
     pub idle_ms: u64,
