--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -73,7 +73,7 @@
     let listen = settings.listen.clone();
     let gossip = Rc::new(Gossip::default());
     let metrics = std::net::SocketAddr::new(settings.ip, settings.metrics);
-    let pages = [
+    let listeners = [
         (listen.callers, ListenerKind::Callers),
         (listen.health, ListenerKind::Health),
         (listen.directory, ListenerKind::Directory),
@@ -89,9 +89,9 @@
     )?);
     gossip::bind(&shell, listen.peers).await?;
     shell.log("start", json!({ "version": env!("CARGO_PKG_VERSION") }));
-    for (address, page) in pages {
+    for (address, kind) in listeners {
         let listener = listener::bind(address).await?;
-        spawn_local(listener::accept(shell.clone(), listener, page));
+        spawn_local(listener::accept(shell.clone(), listener, kind));
     }
     spawn_local(gossip.clone().send_reports(shell.clone()));
     spawn_local(gossip.receive_reports(shell.clone()));
--- a/crates/siskinyoke-gateway/src/log_writer.rs
+++ b/crates/siskinyoke-gateway/src/log_writer.rs
@@ -10,7 +10,7 @@
 
 use siskinyoke_base::Millis;
 
-/// Maximum number of log lines per second; the next line written has the number of those dropped.
+/// Maximum number of log lines per second; the next line written reports how many were dropped.
 ///
 /// A request logs about four lines, so this covers a hundred requests per second, twice the usual
 /// peak of an instance.
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the number of lines dropped since the last one that was accepted.
+    /// Returns the number of dropped lines that no line has reported yet.
     pub fn dropped_lines(&self) -> u64 {
         self.dropped_lines
     }
@@ -103,7 +103,7 @@
 
 fn write_chunks(mut out: impl Write, chunks: &Receiver<Vec<u8>>) {
     for chunk in chunks {
-        // There is nowhere to report that standard output is closed; the instance runs without logs.
+        // A closed output cannot be reported anywhere; the instance continues without logs.
         if out.write_all(&chunk).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/siskinyoke-gateway/src/metrics.rs
+++ b/crates/siskinyoke-gateway/src/metrics.rs
@@ -92,7 +92,7 @@
         self.queue_wait.record(wait.as_secs(), &[]);
     }
 
-    /// Sets the gauge `what` of the current state.
+    /// Sets the state gauge named `what`.
     pub fn set_state(&self, what: &'static str, value: f64) {
         self.state.record(value, &[KeyValue::new("what", what)]);
     }
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -51,7 +51,7 @@
 }
 
 impl<'a> RefusalInfo<'a> {
-    /// Creates the entry of a request that was refused before it was routed.
+    /// Describes a request that was refused before it was routed.
     pub fn unrouted(id: Option<&'a str>) -> Self {
         Self {
             id,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Creates the entry of a routed request.
+    /// Describes a routed request.
     pub fn routed(id: Option<&'a str>, route: &'a RoutedRequest) -> Self {
         Self {
             id,
@@ -270,7 +270,7 @@
 
     /// Sends the scheduling decision for a request to its waiter.
     pub fn notify_waiter(&self, ticket: Ticket, result: SchedulingResult) {
-        // If the waiter is gone, the drop of its `Permit` has cancelled the request.
+        // If the receiver is gone, the drop of the request's `Permit` cancels the request.
         if let Some(waiter) = self.waiters.borrow_mut().remove(&ticket)
             && waiter.send(result).is_err()
         {
--- a/crates/siskinyoke-gateway/src/signals.rs
+++ b/crates/siskinyoke-gateway/src/signals.rs
@@ -34,8 +34,8 @@
     Ok(())
 }
 
-/// Waits for `SIGTERM`, then until all connections of callers are closed or the grace period is
-/// nearly over.
+/// Waits for `SIGTERM`, then for the drain period and until all connections of callers are closed,
+/// but not beyond the grace period.
 ///
 /// # Errors
 ///
--- a/crates/siskinyoke-gateway/tests/whole/main.rs
+++ b/crates/siskinyoke-gateway/tests/whole/main.rs
@@ -122,7 +122,7 @@
             scope.spawn(move || instance.call(&format!("r{number}"), "/safe/limited", "", ""));
         }
     });
-    // Allows one and a half times the rate limit over at least four seconds, and five requests more.
+    // Allows one and a half times the rate limit for at least four seconds, plus five requests.
     let span = start.elapsed().as_secs_f64().max(4.0);
     let count = u32::try_from(arrival_count(&setup) - before).unwrap();
     assert!(
@@ -177,8 +177,8 @@
     }
 }
 
-// An endpoint responds before it has read the whole body and keeps the connection open. Guards against
-// sending the next request before the rest of the body: the endpoint would read it as a part of it.
+// An endpoint responds before it has read the body, and keeps the connection open. Guards against
+// sending the next request before the rest of the body, which the endpoint would read as body.
 #[test]
 fn an_endpoint_that_answers_early_still_gets_the_whole_body() {
     let setup = start_setup(&["e1"]);
@@ -234,8 +234,8 @@
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-// A caller reads slowly until the buffers on the way are full. Guards against dropping the final chunk
-// when there is no room for it, which makes a complete stream look interrupted.
+// A caller reads slowly until the buffers on the way are full. Guards against dropping the final
+// chunk when there is no room for it, which makes a complete stream look interrupted.
 #[test]
 fn a_slow_caller_gets_the_end_of_its_stream() {
     let setup = start_setup(&["e1"]);
@@ -281,8 +281,9 @@
     assert_eq!(arrival_count(&setup), 1);
 }
 
-// Guards against request heads of any length, as a faulty client's cookies produce. Thousands of them
-// exhaust the memory of a small instance, which then crashes and interrupts all its requests.
+// Guards against accepting request heads of any length, as a faulty client's cookies produce.
+// Thousands of them exhaust the memory of a small instance, which then crashes and interrupts all
+// its requests.
 #[test]
 fn a_head_over_the_operators_limit_is_refused() {
     let setup = start_setup(&["e1"]);
@@ -294,8 +295,8 @@
     assert_eq!(arrival_count(&setup), 1);
 }
 
-// The connection is lost after a non-idempotent request was sent. It may have run, so the caller must
-// not be told that it has not, and it must not be retried at another endpoint.
+// The connection is lost after a non-idempotent request was sent. The request may have run, so the
+// caller must not be told that it has not, and it must not be retried at another endpoint.
 #[test]
 fn a_request_that_may_have_run_is_not_retried_or_reported_as_not_run() {
     let setup = start_setup(&["e1", "e2"]);
@@ -339,8 +340,8 @@
     assert!(answer.ends_with("whole"), "{answer}");
 }
 
-// The connection to the only endpoint is lost while it runs a request, and no other endpoint can serve
-// it. The caller must not be told that the request has not run.
+// The connection to the only endpoint is lost while it runs a request, and no other endpoint can
+// serve it. The caller must not be told that the request has not run.
 #[test]
 fn a_request_that_ran_at_the_only_endpoint_is_not_reported_as_not_run() {
     let setup = start_setup(&["e1"]);
@@ -481,8 +482,8 @@
     assert_eq!(arrival_count(&setup), 1);
 }
 
-// The store does not answer for longer than a request is held. Guards against holding the request until
-// its caller has no time left for a retry.
+// The store does not answer for longer than a request is held. Guards against holding the request
+// until its caller has no time left for a retry.
 #[test]
 fn a_held_request_is_rejected_with_a_retry_after_while_its_caller_still_waits() {
     let setup = start_setup_with_stalled_store();
@@ -530,8 +531,8 @@
     assert_eq!(old_version_requests(), before);
 }
 
-// An instance receives `SIGTERM` while it serves a request. The request must complete, the instance must
-// stop being ready for new callers, and the log must show the shutdown.
+// An instance receives `SIGTERM` while it serves a request. The request must complete, the readiness
+// page must send new callers elsewhere, and the log must show the shutdown.
 #[test]
 fn an_instance_that_shuts_down_finishes_its_requests() {
     let setup = start_setup(&["e1"]);
