--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -76,8 +76,8 @@
     found.unwrap_or_else(|| panic!("no line contains {words:?}:\n{report}"))
 }
 
-// A caller gets 429 while endpoints are idle, because its organisation has exhausted a quota that an
-// operator lowered. Only the log shows this.
+// A caller gets 429 while endpoints are idle, because its organisation has exhausted a quota that
+// an operator lowered. Only the log shows this.
 #[test]
 fn refused_while_slots_were_free() {
     let rate = "\"ApiKeys\":[\"k1\"],\"RatePerS\":0.5,\"Burst\":1";
--- a/crates/siskinyoke-gateway/tests/whole/main.rs
+++ b/crates/siskinyoke-gateway/tests/whole/main.rs
@@ -224,7 +224,7 @@
     assert_eq!(resumed, ["2"]);
 }
 
-// A stream is interrupted, and the endpoint that should resume it responds that it does not know it.
+// A stream is interrupted, and the endpoint that should resume it does not know the request.
 // Guards against ending the stream with a final chunk, as if it were complete.
 #[test]
 fn a_stream_whose_resumption_fails_does_not_look_complete() {
@@ -428,8 +428,8 @@
     assert!(page.contains("siskinyoke_state"), "{page}");
 }
 
-// An instance starts while the store is unavailable. It must get the configuration and the endpoints
-// from a seed peer in its settings, and serve requests.
+// An instance starts while the store is unavailable. It must get the configuration and the
+// endpoints from a seed peer in its settings, and serve requests.
 #[test]
 fn an_instance_that_starts_without_the_store_learns_from_a_peer() {
     let setup = start_setup(&["e1"]);
@@ -531,8 +531,8 @@
     assert_eq!(old_version_requests(), before);
 }
 
-// An instance receives `SIGTERM` while it serves a request. The request must complete, the readiness
-// page must send new callers elsewhere, and the log must show the shutdown.
+// An instance receives `SIGTERM` while it serves a request. The request must complete, the
+// readiness page must send new callers elsewhere, and the log must show the shutdown.
 #[test]
 fn an_instance_that_shuts_down_finishes_its_requests() {
     let setup = start_setup(&["e1"]);
