--- a/crates/siskinyoke-cli/src/caller.rs
+++ b/crates/siskinyoke-cli/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers' commands: `locate` and `send`.
+//! The callers' commands `locate` and `send`.
 
 use std::io;
 use std::io::Read;
@@ -13,70 +13,70 @@
 use siskinyoke_client::Outcome;
 use siskinyoke_client::Request;
 
-/// Sends a request and prints its answer as it arrives.
+/// Sends a request and prints the response as it arrives.
 #[derive(Debug, Args)]
 pub struct Send {
-    /// The model.
+    /// The model to use.
     #[arg(long, default_value = "qalam-small", conflicts_with = "service")]
     model: String,
-    /// A plain service instead of a model.
+    /// Call a plain service instead of a model.
     #[arg(long)]
     service: Option<String>,
-    /// The HTTP method, for a service.
+    /// The HTTP method of a service call.
     #[arg(long, default_value = "GET", requires = "service")]
     method: String,
-    /// The path, for a service.
+    /// The path of a service call.
     #[arg(long, default_value = "/", requires = "service")]
     path: String,
-    /// The most tokens of the answer.
+    /// The maximum number of output tokens.
     #[arg(long, default_value_t = 64)]
     max_tokens: u32,
-    /// Ask for the whole answer at once.
+    /// Request the complete response at once instead of a stream.
     #[arg(long)]
     no_stream: bool,
-    /// Its identity in logs; one is drawn if none is given.
+    /// The request ID used in logs; generated if absent.
     #[arg(long)]
     id: Option<String>,
-    /// It may run more than once: send it again where its outcome is not known.
+    /// The request may run more than once: retry it if its outcome is unknown.
     #[arg(long)]
     idempotent: bool,
-    /// A shorter need than the route's, in milliseconds.
+    /// How long to wait, in milliseconds, if shorter than the default of the route.
     #[arg(long, value_name = "MS")]
     need: Option<u64>,
-    /// The most sendings.
+    /// The maximum number of attempts.
     #[arg(long, default_value_t = 5)]
     sendings: u32,
-    /// The text, or `-` for standard input.
+    /// The prompt or request body, or `-` for standard input.
     #[arg(default_value = "-")]
     text: String,
 }
 
-/// Prints which address to use.
+/// Prints the addresses to use.
 ///
 /// # Errors
 ///
-/// [`ClientError`] if no address answers.
+/// [`ClientError`] if no address responds.
 pub fn locate(context: &Context) -> Result<(), ClientError> {
     let location = context.client(1, Millis::from_secs(10)).locate()?;
     if context.json {
-        let keep = location.ttl.0;
+        let ttl = location.ttl.0;
         println!(
             "{}",
-            serde_json::json!({ "addresses": location.addresses, "keep_ms": keep })
+            serde_json::json!({ "addresses": location.addresses, "keep_ms": ttl })
         );
         return Ok(());
     }
     let addresses = location.addresses.join(", ");
-    println!("use {addresses} (keep for {})", location.ttl);
+    println!("use {addresses} (valid for {})", location.ttl);
     Ok(())
 }
 
 impl Send {
-    /// Sends the request and prints the answer; returns what became of it.
+    /// Sends the request, prints the response and returns the outcome.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if no address answers.
+    /// [`ClientError`] if standard input cannot be read or no address responds.
     pub fn run(&self, context: &Context) -> Result<Outcome, ClientError> {
         let text = self.read_text()?;
         let mut request = match &self.service {
@@ -109,14 +109,14 @@
     }
 }
 
-/// Prints the text of one event of a streamed answer.
+/// Prints the text of one event of a stream.
 fn print_event(data: &str) {
     let event: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
     let text = event["choices"][0]["delta"]["content"]
         .as_str()
         .unwrap_or_default();
     print!("{text}");
-    // A terminal that cannot be written to has no reader left.
+    // A write fails only if standard output is closed, so there is nobody to report it to.
     let _ = io::stdout().flush();
 }
 
@@ -126,17 +126,17 @@
         return;
     }
     match outcome.body.as_slice() {
-        [whole] if outcome.code != siskinyoke_base::Code::Streaming.number() => println!("{whole}"),
+        [body] if outcome.code != siskinyoke_base::Code::Streaming.number() => println!("{body}"),
         _ => println!(),
     }
-    let note = format!(
-        "{}: code {} ({}), sent {} times",
+    let summary = format!(
+        "{}: code {} ({}), attempts: {}",
         outcome.id, outcome.code, outcome.kind, outcome.attempts
     );
-    eprintln!("{note}");
+    eprintln!("{summary}");
     if outcome.kind != Kind::Done
         && let Some(after) = outcome.retry_after
     {
-        eprintln!("come back in {after}");
+        eprintln!("retry after {after}");
     }
 }
--- a/crates/siskinyoke-cli/src/context.rs
+++ b/crates/siskinyoke-cli/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command works with.
+//! Options and helpers shared by all commands.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use siskinyoke_client::ClientSettings;
 use siskinyoke_interface::Call;
 
-/// How long another process may take to answer.
+/// The timeout of a request to an instance's metrics page or to the store.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Options that every command takes.
+/// Options shared by all commands.
 #[derive(Debug, Clone, Args)]
 pub struct Context {
-    /// Addresses that say which instances to use, tried in turn.
+    /// Addresses that tell which instances to use, tried in order.
     #[arg(
         long = "address",
         global = true,
@@ -26,7 +26,7 @@
         default_value = "127.0.0.1:7110"
     )]
     pub addresses: Vec<String>,
-    /// The store's gateway, for operators' commands.
+    /// The address of the store's HTTP gateway, for operators' commands.
     #[arg(
         long,
         global = true,
@@ -35,63 +35,64 @@
         default_value = "127.0.0.1:7001"
     )]
     pub store: String,
-    /// The bearer key.
+    /// The API key, sent as bearer token.
     #[arg(long, global = true, env = "SISKINYOKE_KEY", hide_env_values = true)]
     pub key: Option<String>,
-    /// Print JSON.
+    /// Print the output as JSON.
     #[arg(long, global = true)]
     pub json: bool,
 }
 
 impl Context {
-    /// Reads a page of an instance.
+    /// Fetches a page of an instance and returns its body.
     ///
     /// # Errors
     ///
-    /// A sentence if it does not answer.
+    /// A message if the instance does not respond.
     pub fn fetch_page(&self, address: &str, path: &str) -> Result<String, String> {
-        let answer = http_agent().get(format!("http://{address}{path}")).call();
-        let mut answer = answer.map_err(|err| err.to_string())?;
-        answer
+        let response = http_agent().get(format!("http://{address}{path}")).call();
+        let mut response = response.map_err(|err| err.to_string())?;
+        response
             .body_mut()
             .read_to_string()
             .map_err(|err| err.to_string())
     }
 
-    /// Makes a call of the store and returns the body of its answer.
+    /// Sends a call to the store and returns the body of the response.
     ///
     /// # Errors
     ///
-    /// A sentence if it does not answer or refuses; a write may have taken effect then.
+    /// A message if the store does not respond or reports an error; a write may have taken effect
+    /// nevertheless.
     pub fn call_store(&self, call: &Call) -> Result<Vec<u8>, String> {
         let url = format!("http://{}{}", self.store, call.path);
-        let answer = http_agent().post(url).send(&call.body);
-        let mut answer = answer.map_err(|err| {
+        let response = http_agent().post(url).send(&call.body);
+        let mut response = response.map_err(|err| {
             format!(
-                "the store at {}: {err}; hint: give its address with --store",
+                "store at {}: {err}; hint: pass its address with --store",
                 self.store
             )
         })?;
-        let status = answer.status();
-        let body = answer.body_mut().read_to_vec();
+        let status = response.status();
+        let body = response.body_mut().read_to_vec();
         let body = body.map_err(|err| err.to_string())?;
         if status.is_success() {
             return Ok(body);
         }
         Err(format!(
-            "the store answered {status}: {}",
+            "the store responded with {status}: {}",
             String::from_utf8_lossy(&body)
         ))
     }
 
-    /// Makes a caller's client that sends a request at most `sendings` times.
-    pub fn client(&self, sendings: u32, limit: Millis) -> Client {
+    /// Creates a client that makes at most `max_attempts` attempts of `attempt_timeout` each.
+    pub fn client(&self, max_attempts: u32, attempt_timeout: Millis) -> Client {
         Client::new(ClientSettings {
             addresses: self.addresses.clone(),
             key: self.key.clone().unwrap_or_default(),
-            max_attempts: sendings,
+            max_attempts,
             max_delay: Millis::from_secs(10),
-            attempt_timeout: limit,
+            attempt_timeout,
         })
     }
 }
--- a/crates/siskinyoke-cli/src/explain.rs
+++ b/crates/siskinyoke-cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `siskinyoke explain`: puts the story of one request together from the logs of all instances.
+//! The command `explain`: reconstructs the history of a request from the logs of all instances.
 
 use std::io;
 use std::io::Write;
@@ -13,16 +13,16 @@
 use crate::logs::read_all;
 use crate::summary;
 
-/// How long before and after a request's own lines the lines of its surroundings are told, in ms.
+/// How long before and after a request its related events are shown.
 ///
-/// An endpoint rests for two seconds at most, and leases run out within five.
+/// An endpoint is in backoff for two seconds at most, and leases expire within five.
 const CONTEXT_SPAN_MS: u64 = 5_000;
 
-/// Events that say what an instance believed.
+/// Events that record a change of an instance's cluster view.
 const CLUSTER_EVENTS: [&str; 4] = ["store_lost", "store_regained", "peer", "leaving"];
 
 quick_error! {
-    /// Why no story can be told.
+    /// An error of the command `explain`.
     #[derive(Debug)]
     pub enum ExplainError {
         /// A log cannot be read.
@@ -31,92 +31,95 @@
             source(err)
             from()
         }
-        /// The story cannot be written.
+        /// The report cannot be written.
         Write(err: io::Error) {
-            display("cannot write: {err}")
+            display("cannot write the report: {err}")
             source(err)
             from()
         }
-        /// No line names the request.
-        Unknown(id: String, lines: usize, damaged: usize) {
-            display("no line names {id} ({lines} lines read, {damaged} of them damaged): \
-                     are these the logs of all instances, and of its time?")
+        /// No log line contains the request ID.
+        NotFound(id: String, lines: usize, malformed: usize) {
+            display("no log line contains request ID {id} ({lines} lines read, {malformed} of them \
+                     malformed); hint: pass the logs of all instances from the time of the request")
         }
     }
 }
 
-/// Tells what became of a request, and what the instances believed then.
+/// Explains the outcome of a request and the cluster view of the instances at its time.
 #[derive(Debug, Args)]
 pub struct Explain {
-    /// The request's identity.
+    /// The request ID.
     id: String,
-    /// Log files, one an instance; standard input if there are none.
+    /// Log files, one per instance; standard input if none are given.
     logs: Vec<PathBuf>,
-    /// Tell the changes of the configuration around it too, not only what was in force.
+    /// Also show changes of the configuration around the request, not only the version in force.
     #[arg(long)]
     changes: bool,
 }
 
 impl Explain {
-    /// Reads the logs and writes the story.
+    /// Reads the logs and writes the report.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// [`ExplainError`] if a log cannot be read, the report cannot be written, or no line contains
+    /// the request ID.
     pub fn run(&self, out: &mut dyn Write) -> Result<(), ExplainError> {
         let logs = read_all(&self.logs)?;
         write_report(&self.id, &logs, self.changes, out)
     }
 }
 
-/// Writes the story of a request from logs, each with its name: first in a sentence, then line by
-/// line.
+/// Writes a report on a request from named logs: for each log a summary in one sentence, followed
+/// by the related log lines.
 ///
-/// `changes` adds the configurations that came in force around it to the one that was.
-///
-/// Lines that are damaged are counted and passed over.
+/// `changes` adds the configurations that came in force around the request to the one that was in
+/// force when it arrived. Malformed lines are counted and skipped.
 ///
 /// # Errors
 ///
-/// Why there is no story.
+/// [`ExplainError`] if the report cannot be written or no line contains the request ID.
 pub fn write_report(
     id: &str,
     logs: &[(String, Log)],
     changes: bool,
     out: &mut dyn Write,
 ) -> Result<(), ExplainError> {
-    let (mut lines, mut damaged, mut told) = (0, 0, false);
+    let (mut lines, mut malformed, mut found) = (0, 0, false);
     for (name, log) in logs {
         lines += log.records.len() + log.malformed;
-        damaged += log.malformed;
-        let story = relevant_records(log, id, changes);
-        if story.is_empty() {
+        malformed += log.malformed;
+        let records = relevant_records(log, id, changes);
+        if records.is_empty() {
             continue;
         }
-        told = true;
+        found = true;
         writeln!(out, "{name}")?;
-        let own = story.iter().filter(|row| row.str_field("id") == Some(id));
+        let own = records
+            .iter()
+            .filter(|record| record.str_field("id") == Some(id));
         let own: Vec<&LogRecord> = own.copied().collect();
-        if let Some(sentence) = summary::summarize(&own) {
-            writeln!(out, "  {sentence}")?;
+        if let Some(summary) = summary::summarize(&own) {
+            writeln!(out, "  {summary}")?;
         }
-        for row in story {
-            writeln!(out, "  {}", row.text())?;
+        for record in records {
+            writeln!(out, "  {}", record.to_text())?;
         }
     }
-    if !told {
-        return Err(ExplainError::Unknown(id.to_owned(), lines, damaged));
+    if !found {
+        return Err(ExplainError::NotFound(id.to_owned(), lines, malformed));
     }
-    if damaged > 0 {
+    if malformed > 0 {
         writeln!(
             out,
-            "{damaged} of {lines} lines are damaged and were passed over"
+            "{malformed} of {lines} lines are malformed and were skipped"
         )?;
     }
     Ok(())
 }
 
-// The request's own lines, and those around them that tell what decided it.
+// Returns the records of the request, the configuration in force when it arrived, and records of
+// its endpoints and of the cluster view from around its time.
 fn relevant_records<'a>(log: &'a Log, id: &str, changes: bool) -> Vec<&'a LogRecord> {
     let own: Vec<&LogRecord> = log
         .records
@@ -126,29 +129,30 @@
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
         return Vec::new();
     };
-    let span = first.at.saturating_sub(CONTEXT_SPAN_MS)..=last.at + CONTEXT_SPAN_MS;
+    let span = first.time_ms.saturating_sub(CONTEXT_SPAN_MS)..=last.time_ms + CONTEXT_SPAN_MS;
     let endpoints: Vec<&str> = own
         .iter()
         .filter_map(|it| it.str_field("endpoint"))
         .collect();
-    let version = log
+    let configuration = log
         .records
         .iter()
-        .rfind(|it| it.str_field("event") == Some("configuration") && it.at <= first.at);
-    let around = |row: &&LogRecord| {
-        let event = row.str_field("event").unwrap_or("");
-        let touched = row
+        .rfind(|it| it.str_field("event") == Some("configuration") && it.time_ms <= first.time_ms);
+    let is_relevant = |record: &&LogRecord| {
+        let event = record.str_field("event").unwrap_or("");
+        let same_endpoint = record
             .str_field("endpoint")
             .is_some_and(|it| endpoints.contains(&it));
-        let change = changes && event == "configuration";
-        let belief = change
+        let is_change = changes && event == "configuration";
+        let is_related = is_change
             || CLUSTER_EVENTS.contains(&event)
-            || (touched && !row.fields.contains_key("id"));
-        row.str_field("id") == Some(id) || (belief && span.contains(&row.at))
+            || (same_endpoint && !record.fields.contains_key("id"));
+        record.str_field("id") == Some(id) || (is_related && span.contains(&record.time_ms))
     };
-    let mut story: Vec<&LogRecord> = log.records.iter().filter(around).collect();
-    if let Some(version) = version.filter(|it| !changes || !span.contains(&it.at)) {
-        story.insert(0, version);
+    let mut records: Vec<&LogRecord> = log.records.iter().filter(is_relevant).collect();
+    if let Some(configuration) = configuration.filter(|it| !changes || !span.contains(&it.time_ms))
+    {
+        records.insert(0, configuration);
     }
-    story
+    records
 }
--- a/crates/siskinyoke-cli/src/lib.rs
+++ b/crates/siskinyoke-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The parts of the command-line tool.
+//! The commands of the command-line tool `siskinyoke`.
 
 pub mod caller;
 pub mod check;
--- a/crates/siskinyoke-cli/src/logs.rs
+++ b/crates/siskinyoke-cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines of instances, read back.
+//! Parses the JSON log lines of instances.
 
 use std::fs;
 use std::io;
@@ -9,33 +9,33 @@
 use serde_json::Value;
 
 quick_error! {
-    /// A log that cannot be read.
+    /// An error reading a log.
     #[derive(Debug)]
     pub enum LogError {
-        /// The system's reason.
+        /// The file or standard input cannot be read.
         Read(path: PathBuf, err: io::Error) {
-            display("{}: {err} (give log files, or lines on standard input)", path.display())
+            display("cannot read {}: {err}; hint: pass log files, or log lines on standard input", path.display())
             source(err)
         }
     }
 }
 
-/// Reads log files, each with its name; standard input if there are none.
+/// Reads log files and returns each with its name. Reads standard input if `paths` is empty.
 ///
 /// # Errors
 ///
-/// Which one cannot be read.
+/// [`LogError`] for the first file that cannot be read.
 pub fn read_all(paths: &[PathBuf]) -> Result<Vec<(String, Log)>, LogError> {
     let mut logs = Vec::new();
     for path in paths {
         let bytes = fs::read(path).map_err(|err| LogError::Read(path.clone(), err))?;
-        logs.push((path.display().to_string(), Log::read(&bytes)));
+        logs.push((path.display().to_string(), Log::parse(&bytes)));
     }
     if paths.is_empty() {
         let mut bytes = Vec::new();
         let read = io::stdin().read_to_end(&mut bytes);
         read.map_err(|err| LogError::Read("standard input".into(), err))?;
-        logs.push(("standard input".to_owned(), Log::read(&bytes)));
+        logs.push(("standard input".to_owned(), Log::parse(&bytes)));
     }
     Ok(logs)
 }
@@ -43,67 +43,67 @@
 /// One log line.
 #[derive(Debug)]
 pub struct LogRecord {
-    /// When it was written, in ms of its machine.
-    pub at: u64,
-    /// What it says.
+    /// When it was written, in milliseconds of its instance's clock.
+    pub time_ms: u64,
+    /// All fields of the line.
     pub fields: serde_json::Map<String, Value>,
 }
 
 impl LogRecord {
-    // A line may have something before its JSON, as a collector's time or machine.
-    fn read(line: &str) -> Option<Self> {
+    // Skips text before the JSON, such as the time or host that a log collector prepends.
+    fn parse(line: &str) -> Option<Self> {
         let Value::Object(fields) = serde_json::from_str(line.get(line.find('{')?..)?).ok()? else {
             return None;
         };
         Some(Self {
-            at: fields.get("at_ms")?.as_u64()?,
+            time_ms: fields.get("at_ms")?.as_u64()?,
             fields,
         })
     }
 
-    /// Returns a field that is text.
+    /// Returns the value of a string field.
     pub fn str_field(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// Returns a field that is a number.
+    /// Returns the value of an unsigned integer field.
     pub fn u64_field(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
-    /// Writes it for people.
-    pub fn text(&self) -> String {
+    /// Formats the record for terminal output.
+    pub fn to_text(&self) -> String {
         let event = self.str_field("event").unwrap_or("?");
-        let rest = self
+        let others = self
             .fields
             .iter()
-            .filter(|row| !matches!(&**row.0, "at_ms" | "event"));
-        let rest: Vec<String> = rest
+            .filter(|field| !matches!(&**field.0, "at_ms" | "event"));
+        let others: Vec<String> = others
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
-        format!("{:>10} ms  {event:<20} {}", self.at, rest.join(" "))
+        format!("{:>10} ms  {event:<20} {}", self.time_ms, others.join(" "))
     }
 }
 
-/// The lines of one instance.
+/// The log of one instance.
 #[derive(Debug, Default)]
 pub struct Log {
-    /// Those that can be read, in their order.
+    /// The well-formed lines, in the order of the log.
     pub records: Vec<LogRecord>,
-    /// How many cannot.
+    /// The number of malformed lines.
     pub malformed: usize,
 }
 
 impl Log {
-    /// Reads lines; damaged ones are counted and passed over.
-    pub fn read(bytes: &[u8]) -> Self {
+    /// Parses log lines. Malformed lines are counted and skipped.
+    pub fn parse(bytes: &[u8]) -> Self {
         let mut log = Self::default();
         for line in String::from_utf8_lossy(bytes)
             .lines()
             .filter(|it| !it.trim().is_empty())
         {
-            match LogRecord::read(line) {
-                Some(row) => log.records.push(row),
+            match LogRecord::parse(line) {
+                Some(record) => log.records.push(record),
                 None => log.malformed += 1,
             }
         }
--- a/crates/siskinyoke-cli/src/main.rs
+++ b/crates/siskinyoke-cli/src/main.rs
@@ -16,16 +16,16 @@
 use siskinyoke_cli::report;
 use siskinyoke_cli::status;
 
-/// Exit code for what was refused or not run.
+/// Exit code for failed commands and for requests that were refused without running.
 const EXIT_REFUSED: u8 = 1;
 
-/// Exit code for a file that cannot be used.
+/// Exit code for an invalid file.
 const EXIT_INVALID: u8 = 2;
 
-/// Exit code for an outcome that is not known.
+/// Exit code for an unknown outcome.
 const EXIT_UNKNOWN: u8 = 3;
 
-/// Sends work through siskinyoke, and operates it.
+/// Sends requests through siskinyoke and operates it.
 #[derive(Debug, Parser)]
 #[command(name = "siskinyoke", version, about)]
 struct Cli {
@@ -37,19 +37,19 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Say which addresses to use.
+    /// Print the addresses to use.
     Locate,
-    /// Send a request and print its answer as it arrives.
+    /// Send a request and print the response as it arrives.
     Send(caller::Send),
-    /// Check a settings file or a configuration without starting or sending anything.
+    /// Validate a settings file or a configuration without starting or sending anything.
     Check(check::Check),
-    /// Say what instances tell of themselves.
+    /// Print the state of instances from their metrics pages.
     Status(status::Status),
-    /// Tell the story of one request from the instances' logs.
+    /// Explain the outcome of a request from the instances' logs.
     Explain(explain::Explain),
-    /// Report from logs what each organisation used.
+    /// Report the usage of each organisation from logs.
     Usage(report::UsageArgs),
-    /// Report from logs how fast the tiers' error budgets burn.
+    /// Report the error budget burn rate of each tier from logs.
     Burn(report::BurnArgs),
     #[command(flatten)]
     Operate(operate::Operate),
@@ -70,7 +70,7 @@
         Command::Usage(args) => exit_code(args.run(context.json, out).map(|()| Kind::Done)),
         Command::Burn(args) => exit_code(args.run(context.json, out).map(|()| Kind::Done)),
         Command::Operate(command) => exit_code(command.run(context).map(|text| {
-            // A reader that has seen enough closes the pipe, which is no fault.
+            // A closed pipe is not an error: its reader needs no further output.
             let _ = writeln!(out, "{text}");
             Kind::Done
         })),
--- a/crates/siskinyoke-cli/src/operate/endpoint.rs
+++ b/crates/siskinyoke-cli/src/operate/endpoint.rs
@@ -1,4 +1,4 @@
-//! Commands about endpoints.
+//! Operators' commands for endpoints.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -20,29 +20,29 @@
 use siskinyoke_native::etcd;
 use siskinyoke_native::names;
 
-/// What can be done with endpoints.
+/// Subcommands of `endpoint`.
 #[derive(Debug, Subcommand)]
 pub enum Endpoint {
-    /// Print all.
+    /// Print all endpoints with their entries.
     List,
-    /// Write each endpoint of a file: names with entries.
+    /// Write the endpoints of a file, an object of entries by name.
     Apply {
-        /// JSON with comments.
+        /// The file, in JSON with comments.
         file: PathBuf,
     },
-    /// Give one no new work; what it runs goes on.
+    /// Send an endpoint no new requests; its running requests continue.
     Drain {
-        /// Its name.
+        /// The name of the endpoint.
         name: String,
     },
-    /// Give one work again.
+    /// Send a drained endpoint requests again.
     Undrain {
-        /// Its name.
+        /// The name of the endpoint.
         name: String,
     },
-    /// Remove one.
+    /// Remove an endpoint.
     Remove {
-        /// Its name.
+        /// The name of the endpoint.
         name: String,
     },
 }
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// Why it changed nothing, or that a write may have taken effect.
+    /// [`OperateError`] if nothing was changed, or if a write may have taken effect.
     pub fn run(&self, context: &Context) -> Result<String, OperateError> {
         match self {
             Self::List => list_endpoints(context),
@@ -82,18 +82,19 @@
     Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
+// Writes all endpoints of a file once every entry is valid.
 fn apply_endpoints(context: &Context, file: &Path) -> Result<String, OperateError> {
     let bytes = read_file(file)?;
-    let fault = |err| OperateError::InvalidDocument(file.display().to_string(), err);
+    let invalid = |err| OperateError::InvalidDocument(file.display().to_string(), err);
     let text = String::from_utf8_lossy(&bytes);
     let value: serde_json::Value = parse_to_serde_value(&text, &ParseOptions::default())
-        .map_err(|err| fault(FormatError::Syntax(err.to_string())))?;
+        .map_err(|err| invalid(FormatError::Syntax(err.to_string())))?;
     let entries: BTreeMap<String, EndpointEntry> =
-        serde_json::from_value(value).map_err(|err| fault(err.into()))?;
+        serde_json::from_value(value).map_err(|err| invalid(err.into()))?;
     for (name, entry) in &entries {
         if entry.slots == 0 {
             let field = format!("{name}.slots");
-            return Err(fault(FormatError::Value(field, "give 1 or more")));
+            return Err(invalid(FormatError::Value(field, "give 1 or more")));
         }
     }
     for (name, entry) in &entries {
@@ -102,6 +103,7 @@
     Ok(format!("{} endpoints are written", entries.len()))
 }
 
+// Sets whether an endpoint drains and leaves the rest of its entry as it is.
 fn set_draining(context: &Context, name: &str, draining: bool) -> Result<String, OperateError> {
     let key = endpoint_key(name);
     let item = get_item(context, &key, "see `siskinyoke endpoint list`")?;
@@ -110,10 +112,15 @@
         .map_err(|err| OperateError::InvalidDocument(name.to_owned(), err.into()))?;
     let entry = EndpointEntry { draining, ..entry };
     write_if_unchanged(context, &key, to_json(&entry).as_bytes(), item.revision, 0)?;
-    let word = if draining { "drains" } else { "takes work" };
-    Ok(format!("{name} {word}"))
+    let state = if draining {
+        "draining"
+    } else {
+        "accepting requests"
+    };
+    Ok(format!("{name} is {state}"))
 }
 
+// Writes an endpoint unless another operator changes it meanwhile.
 fn put_endpoint(context: &Context, name: &str, entry: &EndpointEntry) -> Result<(), OperateError> {
     let key = endpoint_key(name);
     let revision = match get_item(context, &key, "") {
--- a/crates/siskinyoke-cli/src/operate/error.rs
+++ b/crates/siskinyoke-cli/src/operate/error.rs
@@ -1,4 +1,4 @@
-//! Why an operator's command changed nothing.
+//! Errors of the operators' commands.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 use siskinyoke_interface::FormatError;
 
 quick_error! {
-    /// Why a command of an operator changed nothing, unless it says otherwise.
+    /// An error of an operator's command. Unless noted, the command changed nothing.
     #[derive(Debug)]
     pub enum OperateError {
         /// A file cannot be read.
@@ -15,23 +15,24 @@
             display("{}: {err}", path.display())
             source(err)
         }
-        /// A document cannot be used.
-        InvalidDocument(what: String, err: FormatError) {
-            display("{what}: {err}")
+        /// A document is invalid.
+        InvalidDocument(name: String, err: FormatError) {
+            display("{name}: {err}")
             source(err)
         }
-        /// Something is not there.
-        NotFound(what: String, hint: &'static str) {
-            display("{what} is not known; {hint}")
+        /// A configuration, preset, endpoint or rollout does not exist.
+        NotFound(name: String, hint: &'static str) {
+            display("{name} does not exist; hint: {hint}")
         }
-        /// Another operator changed it meanwhile.
+        /// Another operator changed the value meanwhile.
         Conflict(revision: u64) {
-            display("another change came first (revision {revision} is in force): \
-                     show the configuration and make the change again")
+            display("another change was made first (revision {revision} is in force); \
+                     hint: show the configuration and repeat the change")
         }
-        /// The store did not answer; a write may have taken effect.
+        /// The store did not respond; a write may have taken effect.
         Store(detail: String) {
-            display("{detail}; show what is in force before sending it again")
+            display("{detail}; a write may have taken effect: show what is in force before \
+                     repeating the command")
             from()
         }
     }
--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -1,6 +1,6 @@
-//! Operators' commands: the configuration, its presets, the endpoints, rollouts and keys.
+//! Operators' commands for the configuration, its presets, endpoints, rollouts and API keys.
 //!
-//! They speak with the store itself; whoever may reach it may change what it holds.
+//! The commands access the store directly. Anyone with access to the store can change its contents.
 
 mod endpoint;
 mod error;
@@ -29,48 +29,48 @@
 use siskinyoke_native::etcd::Etcd;
 use siskinyoke_native::names;
 
-/// Characters of a drawn key: 190 bits.
+/// Length of a generated API key in alphanumeric characters: 190 bits.
 const KEY_LENGTH: usize = 32;
 
 /// Operators' commands.
 #[derive(Debug, Subcommand)]
 pub enum Operate {
-    /// Show the configuration in force or put another in force.
+    /// Show the configuration in force or replace it.
     #[command(subcommand)]
     Configuration(Configuration),
-    /// List presets or switch to one.
+    /// List the presets or switch to another.
     #[command(subcommand)]
     Preset(Preset),
-    /// Show and change endpoints.
+    /// List, change and drain endpoints.
     #[command(subcommand)]
     Endpoint(Endpoint),
     /// Move a service's traffic to another version of its endpoints.
     #[command(subcommand)]
     Rollout(Rollout),
-    /// Draw a bearer key and print it with its digest.
+    /// Generate an API key and print it with its digest.
     Key,
 }
 
-/// What can be done with the configuration.
+/// Subcommands of `configuration`.
 #[derive(Debug, Subcommand)]
 pub enum Configuration {
-    /// Print it as it stands in the store.
+    /// Print the configuration as stored.
     Show,
-    /// Check a file and put it in force; its revision must follow the one in force.
+    /// Validate a file and put it in force. Its revision must be one above the revision in force.
     Apply {
-        /// JSON with comments.
+        /// The file, in JSON with comments.
         file: PathBuf,
     },
 }
 
-/// What can be done with presets.
+/// Subcommands of `preset`.
 #[derive(Debug, Subcommand)]
 pub enum Preset {
-    /// Print their names; a star marks the one in force.
+    /// Print the names of the presets; an asterisk marks the one in force.
     List,
-    /// Put one in force.
+    /// Put a preset in force.
     Switch {
-        /// Its name.
+        /// The name of the preset.
         name: String,
     },
 }
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// Why it changed nothing, or that a write may have taken effect.
+    /// [`OperateError`] if nothing was changed, or if a write may have taken effect.
     pub fn run(&self, context: &Context) -> Result<String, OperateError> {
         match self {
             Self::Configuration(Configuration::Show) => show_configuration(context),
@@ -103,35 +103,42 @@
 
 fn apply_configuration(context: &Context, file: &Path) -> Result<String, OperateError> {
     let bytes = read_file(file)?;
-    let fault = |err| OperateError::InvalidDocument(file.display().to_string(), err);
-    let document = Document::parse(&bytes).map_err(fault)?;
-    document.resolve().map_err(fault)?;
-    let (before, revision) = match current_configuration(context) {
+    let invalid = |err| OperateError::InvalidDocument(file.display().to_string(), err);
+    let document = Document::parse(&bytes).map_err(invalid)?;
+    document.resolve().map_err(invalid)?;
+    let (document_revision, store_revision) = match current_configuration(context) {
         Ok(item) => (parse_configuration(&item)?.revision, item.revision),
         Err(OperateError::NotFound(..)) => (0, 0),
         Err(err) => return Err(err),
     };
-    // Instances never go back to a lower revision: such a change would be in force nowhere.
-    if document.revision != before + 1 {
-        return Err(OperateError::Conflict(before));
+    // Instances ignore a revision below the one they use, so such a change would never take effect.
+    if document.revision != document_revision + 1 {
+        return Err(OperateError::Conflict(document_revision));
     }
-    // The text is stored as it is, so that its comments last.
-    write_if_unchanged(context, names::CONFIGURATION_KEY, &bytes, revision, before)?;
+    // The text is stored unchanged to preserve its comments.
+    write_if_unchanged(
+        context,
+        names::CONFIGURATION_KEY,
+        &bytes,
+        store_revision,
+        document_revision,
+    )?;
     Ok(format!("revision {} is in force", document.revision))
 }
 
 fn list_presets(context: &Context) -> Result<String, OperateError> {
     let document = parse_configuration(&current_configuration(context)?)?;
-    let mark = |name: &String| if *name == document.preset { "*" } else { " " };
+    let marker = |name: &String| if *name == document.preset { "*" } else { " " };
     let lines: Vec<String> = document
         .presets
         .keys()
-        .map(|name| format!("{} {name}", mark(name)))
+        .map(|name| format!("{} {name}", marker(name)))
         .collect();
     Ok(lines.join("\n"))
 }
 
-// Only the two values are replaced in the text, so that its comments last.
+// Puts a preset in force. Only the preset and the revision are replaced in the text, to preserve its
+// comments.
 fn switch_preset(context: &Context, name: &str) -> Result<String, OperateError> {
     let item = current_configuration(context)?;
     let document = parse_configuration(&item)?;
@@ -155,8 +162,8 @@
         &document.revision.to_string(),
         &next.revision.to_string(),
     );
-    let fault = |err| OperateError::InvalidDocument("the changed configuration".to_owned(), err);
-    let changed = Document::parse(text.as_bytes()).map_err(fault)?;
+    let invalid = |err| OperateError::InvalidDocument("the changed configuration".to_owned(), err);
+    let changed = Document::parse(text.as_bytes()).map_err(invalid)?;
     let bytes = if changed == next {
         text.into_bytes()
     } else {
@@ -176,20 +183,20 @@
 }
 
 fn generate_key(context: &Context) -> String {
-    let drawn = rand::rng().sample_iter(&Alphanumeric).take(KEY_LENGTH);
-    let key: String = drawn.map(char::from).collect();
+    let characters = rand::rng().sample_iter(&Alphanumeric).take(KEY_LENGTH);
+    let key: String = characters.map(char::from).collect();
     let digest = names::digest(&key);
     if context.json {
         return serde_json::json!({ "key": key, "digest": digest }).to_string();
     }
     format!(
         "key     {key}\ndigest  {digest}\n\
-         Give the key to its holder and keep only the digest, in the configuration."
+         Give the key to its user and store only the digest, in the configuration."
     )
 }
 
 fn current_configuration(context: &Context) -> Result<Item, OperateError> {
-    let hint = "put one in force with `siskinyoke configuration apply FILE`";
+    let hint = "put a configuration in force with `siskinyoke configuration apply FILE`";
     get_item(context, names::CONFIGURATION_KEY, hint)
 }
 
@@ -200,7 +207,7 @@
     item.ok_or_else(|| OperateError::NotFound(key.to_owned(), hint))
 }
 
-// Reads everything under a prefix.
+// Returns all items whose keys start with a prefix.
 fn list_items(context: &Context, prefix: &str) -> Result<Vec<Item>, OperateError> {
     let mut items = Vec::new();
     let mut after = String::new();
@@ -209,26 +216,28 @@
         let page = Etcd.decode_range(&body).map_err(invalid_response)?;
         let last = page.items.last();
         after = last.map(|it| it.key.clone()).unwrap_or_default();
-        let wanted = |it: &Item| it.key.starts_with(prefix);
-        items.extend(page.items.into_iter().filter(wanted));
+        let matches = |it: &Item| it.key.starts_with(prefix);
+        items.extend(page.items.into_iter().filter(matches));
         if !page.more || after.is_empty() {
             return Ok(items);
         }
     }
 }
 
+// Writes a value if its key still has `store_revision`; otherwise reports a conflict with
+// `reported_revision`.
 fn write_if_unchanged(
     context: &Context,
     key: &str,
     value: &[u8],
-    revision: u64,
-    before: u64,
+    store_revision: u64,
+    reported_revision: u64,
 ) -> Result<(), OperateError> {
-    let body = context.call_store(&etcd::swap(key, value, revision))?;
+    let body = context.call_store(&etcd::swap(key, value, store_revision))?;
     if etcd::decode_swap(&body).map_err(invalid_response)? {
         return Ok(());
     }
-    Err(OperateError::Conflict(before))
+    Err(OperateError::Conflict(reported_revision))
 }
 
 fn read_file(path: &Path) -> Result<Vec<u8>, OperateError> {
@@ -241,13 +250,13 @@
         .map_err(|err| OperateError::InvalidDocument("the configuration in force".to_owned(), err))
 }
 
-// Replaces the value of a field where it stands first.
+// Replaces the first occurrence of `from` after the first occurrence of the field's name.
 fn replace_field(text: &str, field: &str, from: &str, to: &str) -> String {
     let name = format!("\"{field}\"");
-    let Some(at) = text.find(&name) else {
+    let Some(position) = text.find(&name) else {
         return text.to_owned();
     };
-    let (head, rest) = text.split_at(at);
+    let (head, rest) = text.split_at(position);
     head.to_owned() + &rest.replacen(from, to, 1)
 }
 
@@ -256,5 +265,5 @@
 }
 
 fn invalid_response(err: FormatError) -> OperateError {
-    OperateError::InvalidDocument("the store's answer".to_owned(), err)
+    OperateError::InvalidDocument("the store's response".to_owned(), err)
 }
--- a/crates/siskinyoke-cli/src/operate/rollout.rs
+++ b/crates/siskinyoke-cli/src/operate/rollout.rs
@@ -1,4 +1,4 @@
-//! Commands that move a service's traffic to another version.
+//! Operators' commands for rollouts, which move a service's traffic to another version.
 
 use std::collections::BTreeMap;
 
@@ -18,35 +18,35 @@
 use siskinyoke_native::rollout::RolloutOrder;
 use siskinyoke_native::rollout::RolloutStatus;
 
-/// What to do where no order stands.
+/// The hint shown if a service has no rollout order.
 const START_HINT: &str = "start a rollout with `siskinyoke rollout start SERVICE VERSION`";
 
-/// What can be done with rollouts.
+/// Subcommands of `rollout`.
 #[derive(Debug, Subcommand)]
 pub enum Rollout {
-    /// Move a service's traffic to a version whose endpoints run beside the others.
+    /// Move a service's traffic to a version whose endpoints run beside the current ones.
     Start {
-        /// The service's name.
+        /// The name of the service.
         service: String,
-        /// The version that its new endpoints have in their entries.
+        /// The version in the entries of the new endpoints.
         version: String,
-        /// How long the move may take, in seconds.
+        /// The time limit of the rollout, in seconds.
         #[arg(long, default_value_t = 600)]
         seconds: u64,
     },
-    /// Print orders with their states, of one service or of all.
+    /// Print the orders and their states, for one service or all.
     Status {
-        /// The service's name.
+        /// The name of the service.
         service: Option<String>,
     },
-    /// Move the traffic back by taking the order away.
+    /// Move the traffic back by removing the order.
     Abort {
-        /// The service's name.
+        /// The name of the service.
         service: String,
     },
 }
 
-/// An order with its state, as it is printed.
+/// The order of a service with its state, as printed.
 #[derive(Debug, Default, Serialize)]
 struct RolloutRow {
     order: Option<RolloutOrder>,
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Why it changed nothing, or that a write may have taken effect.
+    /// [`OperateError`] if nothing was changed, or if a write may have taken effect.
     pub fn run(&self, context: &Context) -> Result<String, OperateError> {
         match self {
             Self::Start {
@@ -83,7 +83,7 @@
         seconds,
     };
     let bytes = to_json(&order).into_bytes();
-    // Instances would pass over an order that they cannot read.
+    // Instances ignore an order that they cannot decode.
     rollout::decode(&bytes)
         .map_err(|err| OperateError::InvalidDocument("the order".to_owned(), err))?;
     let key = order_key(service);
@@ -94,7 +94,7 @@
     };
     write_if_unchanged(context, &key, &bytes, revision, revision)?;
     Ok(format!(
-        "{service} is to move to {version} within {seconds} s; see `siskinyoke rollout status`"
+        "{service} moves to {version} within {seconds} s; see `siskinyoke rollout status`"
     ))
 }
 
@@ -128,7 +128,7 @@
     let key = order_key(service);
     get_item(context, &key, START_HINT)?;
     context.call_store(&etcd::remove(&key))?;
-    Ok(format!("the order for {service} is taken away"))
+    Ok(format!("the order for {service} is removed"))
 }
 
 fn format_row(service: &str, row: &RolloutRow) -> String {
@@ -136,12 +136,12 @@
         || "no order".to_owned(),
         |it| format!("to {} within {} s", it.version, it.seconds),
     );
-    // The state of an earlier order says nothing of this one.
-    let same = |it: &&RolloutStatus| {
+    // The state may belong to an earlier order, which is not shown.
+    let matches_order = |it: &&RolloutStatus| {
         let order = row.order.as_ref();
         order.is_none_or(|order| order.version == it.version)
     };
-    let state = row.status.as_ref().filter(same).map_or_else(
+    let state = row.status.as_ref().filter(matches_order).map_or_else(
         || "no state yet".to_owned(),
         |it| format!("{} {}", it.version, to_json(&it.state).trim_matches('"')),
     );
--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -18,7 +18,7 @@
 use super::table;
 use crate::logs::read_all;
 
-/// Heads of the columns.
+/// Headings of the table's columns.
 const COLUMN_HEADINGS: [&str; 8] = [
     "TIER",
     "ORGANISATION",
@@ -30,32 +30,32 @@
     "REFUSED/LATE/BROKEN",
 ];
 
-/// The short window, which tells whether it goes on, in ms.
+/// The short window, which shows whether the burn continues.
 const SHORT_WINDOW_MS: u64 = 10 * 60 * 1_000;
 
-/// The long window, which tells whether it matters, in ms.
+/// The long window, which shows whether the burn is significant.
 const LONG_WINDOW_MS: u64 = 60 * 60 * 1_000;
 
-/// The burn rate at which a budget for 30 days is gone in two.
+/// The burn rate at which an error budget for 30 days is used up in two.
 const FAST_BURN_RATE: f64 = 14.4;
 
-/// The width of one point of the plots, in ms.
+/// The time span of one point of the plots.
 const PLOT_STEP_MS: u64 = 60 * 1_000;
 
-/// Shows which tiers and organisations miss their objective, how fast, and why.
+/// Reports which tiers and organisations miss their objective, at which burn rate, and why.
 #[derive(Debug, Args)]
 pub struct BurnArgs {
-    /// The part of requests that is to be answered within its route's objective.
+    /// The ratio of requests to be answered within the latency target of their route.
     #[arg(long, default_value_t = 0.99)]
     pub objective: f64,
-    /// Write a page with plots to this file.
+    /// Write an HTML page with plots to this file.
     #[arg(long, value_name = "FILE")]
     pub html: Option<PathBuf>,
-    /// Log files, one an instance; standard input if there are none.
+    /// Log files, one per instance; standard input if none are given.
     pub logs: Vec<PathBuf>,
 }
 
-/// Counts of a window.
+/// Counts of requests in a window by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 struct OutcomeCounts {
     within: u64,
@@ -65,8 +65,8 @@
 }
 
 impl OutcomeCounts {
-    fn add(&mut self, fate: RequestOutcome) {
-        let count = match fate {
+    fn add(&mut self, outcome: RequestOutcome) {
+        let count = match outcome {
             RequestOutcome::Within => &mut self.within,
             RequestOutcome::Late => &mut self.late,
             RequestOutcome::Refused => &mut self.refused,
@@ -79,7 +79,7 @@
         self.within + self.late + self.refused + self.broken
     }
 
-    // The part that was answered within its objective; all of it if nothing was asked.
+    // Returns the ratio of requests answered within the latency target, or 1 without requests.
     fn within_ratio(&self) -> f64 {
         if self.total() == 0 {
             return 1.0;
@@ -87,7 +87,7 @@
         u64_to_f64(self.within) / u64_to_f64(self.total())
     }
 
-    // 1 just uses up the error budget.
+    // Returns the burn rate; a rate of 1 uses up the error budget exactly.
     fn burn_rate(&self, objective: f64) -> f64 {
         (1.0 - self.within_ratio()) / (1.0 - objective)
     }
@@ -102,8 +102,8 @@
 }
 
 impl BurnRow {
-    // Both windows have to agree: a long one alone rings on for an hour after the end, a short one
-    // at each moment of refusals.
+    // Both windows have to exceed the rate: the long one alone would raise the alarm for an hour
+    // after the end of an incident, the short one alone at every brief burst of refusals.
     fn state(&self, objective: f64) -> &'static str {
         let (short, long) = (
             self.short.burn_rate(objective),
@@ -120,6 +120,7 @@
         }
     }
 
+    // Returns the cells of the row in the table.
     fn cells(&self, objective: f64) -> Vec<String> {
         let long = &self.long;
         vec![
@@ -136,105 +137,111 @@
 }
 
 impl BurnArgs {
-    /// Makes the report from the logs of all instances.
+    /// Reads the logs of all instances and writes the report.
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if a log cannot be read, tells of no answer, or the report cannot be written.
+    /// [`ReportError`] if the objective is out of range, a log cannot be read, no log line records
+    /// the end of a request, or the report cannot be written.
     pub fn run(&self, json: bool, out: &mut dyn Write) -> Result<(), ReportError> {
         if !(0.0..1.0).contains(&self.objective) {
             return Err(ReportError::Objective);
         }
         let logs = read_all(&self.logs)?;
-        let (answers, missing) = requests::read_requests(&logs)?;
-        let lines = count_outcomes(&answers);
+        let (requests, missing) = requests::read_requests(&logs)?;
+        let rows = count_outcomes(&requests);
         if let Some(path) = &self.html {
-            fs::write(path, self.page(&answers, &lines, missing)?)?;
+            fs::write(path, self.html_page(&requests, &rows, missing)?)?;
         }
         if json {
             let report = serde_json::json!({
-                "objective": self.objective, "missing": missing, "lines": lines,
+                "objective": self.objective, "missing": missing, "lines": rows,
             });
             writeln!(out, "{report}")?;
             return Ok(());
         }
-        if let Some(note) = incomplete_notice(missing) {
-            writeln!(out, "{note}")?;
+        if let Some(notice) = incomplete_notice(missing) {
+            writeln!(out, "{notice}")?;
         }
-        let rows: Vec<_> = lines
-            .iter()
-            .map(|line| line.cells(self.objective))
-            .collect();
-        write!(out, "{}", table::format_table(&COLUMN_HEADINGS, &rows))?;
+        let cells: Vec<_> = rows.iter().map(|row| row.cells(self.objective)).collect();
+        write!(out, "{}", table::format_table(&COLUMN_HEADINGS, &cells))?;
         Ok(())
     }
 
-    fn page(
+    fn html_page(
         &self,
-        answers: &[FinishedRequest<'_>],
-        lines: &[BurnRow],
+        requests: &[FinishedRequest<'_>],
+        rows: &[BurnRow],
         missing: u64,
     ) -> Result<String, ReportError> {
-        let mut page = Page::new("Service-level burn");
-        if let Some(incomplete_notice) = incomplete_notice(missing) {
-            page.paragraph(&incomplete_notice);
+        let mut page = Page::new("Error budget burn");
+        if let Some(notice) = incomplete_notice(missing) {
+            page.paragraph(&notice);
         }
         page.heading("By tier and organisation over the last hour");
-        let row = |line: &BurnRow| (line.state(self.objective), line.cells(self.objective));
-        let rows: Vec<_> = lines.iter().map(row).collect();
-        page.table(&COLUMN_HEADINGS, &rows);
+        let cells = |row: &BurnRow| (row.state(self.objective), row.cells(self.objective));
+        let cells: Vec<_> = rows.iter().map(cells).collect();
+        page.table(&COLUMN_HEADINGS, &cells);
         page.heading("By tier");
-        let share = |tally: &OutcomeCounts| tally.within_ratio() * 100.0;
-        let caption = "answered within the objective, %";
+        let percentage = |counts: &OutcomeCounts| counts.within_ratio() * 100.0;
+        let caption = "answered within the latency target, %";
         page.svg(&plot::curves(
             caption,
-            &tier_curves(answers, share),
+            &tier_curves(requests, percentage),
             self.objective * 100.0,
         )?);
-        let burn = |tally: &OutcomeCounts| tally.burn_rate(self.objective);
-        let caption = "burn rate; 1 just uses up the budget";
-        page.svg(&plot::curves(caption, &tier_curves(answers, burn), 1.0)?);
+        let burn_rate = |counts: &OutcomeCounts| counts.burn_rate(self.objective);
+        let caption = "burn rate; 1 uses up the error budget exactly";
+        page.svg(&plot::curves(
+            caption,
+            &tier_curves(requests, burn_rate),
+            1.0,
+        )?);
         Ok(page.finish())
     }
 }
 
-/// Says how much the logs lack, if anything.
+/// Returns a notice that the logs are incomplete, if any lines are missing.
 pub fn incomplete_notice(missing: u64) -> Option<String> {
-    (missing > 0).then(|| format!("INCOMPLETE: {missing} lines are left out or damaged"))
+    (missing > 0).then(|| format!("INCOMPLETE: {missing} log lines were dropped or are malformed"))
 }
 
-fn count_outcomes(answers: &[FinishedRequest<'_>]) -> Vec<BurnRow> {
-    let mut lines: BTreeMap<(u64, &str), BurnRow> = BTreeMap::new();
-    for answer in answers.iter().filter(|it| it.age <= LONG_WINDOW_MS) {
-        let line = lines.entry((answer.tier, answer.organisation)).or_default();
-        line.tier = answer.tier;
-        answer.organisation.clone_into(&mut line.organisation);
-        line.long.add(answer.outcome);
-        if answer.age <= SHORT_WINDOW_MS {
-            line.short.add(answer.outcome);
+// Counts the outcomes in both windows by tier and organisation.
+fn count_outcomes(requests: &[FinishedRequest<'_>]) -> Vec<BurnRow> {
+    let mut rows: BTreeMap<(u64, &str), BurnRow> = BTreeMap::new();
+    for request in requests.iter().filter(|it| it.age_ms <= LONG_WINDOW_MS) {
+        let row = rows
+            .entry((request.tier, request.organisation))
+            .or_default();
+        row.tier = request.tier;
+        request.organisation.clone_into(&mut row.organisation);
+        row.long.add(request.outcome);
+        if request.age_ms <= SHORT_WINDOW_MS {
+            row.short.add(request.outcome);
         }
     }
-    lines.into_values().collect()
+    rows.into_values().collect()
 }
 
+// Returns one curve per tier of a value computed from the counts of each plot step.
 fn tier_curves(
-    answers: &[FinishedRequest<'_>],
+    requests: &[FinishedRequest<'_>],
     value: impl Fn(&OutcomeCounts) -> f64,
 ) -> Vec<Curve> {
     let mut tiers: BTreeMap<u64, BTreeMap<u64, OutcomeCounts>> = BTreeMap::new();
-    for answer in answers.iter().filter(|it| it.age <= LONG_WINDOW_MS) {
-        let steps = tiers.entry(answer.tier).or_default();
+    for request in requests.iter().filter(|it| it.age_ms <= LONG_WINDOW_MS) {
+        let steps = tiers.entry(request.tier).or_default();
         steps
-            .entry(answer.age / PLOT_STEP_MS)
+            .entry(request.age_ms / PLOT_STEP_MS)
             .or_default()
-            .add(answer.outcome);
+            .add(request.outcome);
     }
     let curve = |(tier, steps): (u64, BTreeMap<u64, OutcomeCounts>)| {
         let points = steps.iter().rev();
         Curve {
             name: format!("tier {tier}"),
             points: points
-                .map(|(step, tally)| (-u64_to_f64(*step), value(tally)))
+                .map(|(step, counts)| (-u64_to_f64(*step), value(counts)))
                 .collect(),
         }
     };
--- a/crates/siskinyoke-cli/src/report/error.rs
+++ b/crates/siskinyoke-cli/src/report/error.rs
@@ -1,4 +1,4 @@
-//! Why a report could not be made.
+//! Errors of the report commands.
 
 use std::io;
 
@@ -7,7 +7,7 @@
 use crate::logs::LogError;
 
 quick_error! {
-    /// A report that could not be made.
+    /// An error of a report command.
     #[derive(Debug)]
     pub enum ReportError {
         /// A log cannot be read.
@@ -15,22 +15,22 @@
             from()
             display("{err}")
         }
-        /// No line tells of an answer.
+        /// No log line records the end of a request.
         Empty {
-            display("no line tells of an answer: are these the logs of siskinyoke-gateway?")
+            display("no log line records the end of a request; hint: pass the logs of siskinyoke-gateway")
         }
-        /// The objective leaves no budget.
+        /// The objective is out of range and leaves no error budget.
         Objective {
-            display("an objective lies between 0 and 1, for instance 0.99")
+            display("the objective must be at least 0 and less than 1, such as 0.99")
         }
-        /// The page cannot be drawn.
+        /// The plots cannot be drawn.
         Plot(detail: String) {
-            display("the plots cannot be drawn: {detail}; hint: leave --html out")
+            display("cannot draw the plots: {detail}; hint: omit --html")
         }
         /// The report cannot be written.
         Output(err: io::Error) {
             from()
-            display("the report cannot be written: {err}; hint: check the file's directory")
+            display("cannot write the report: {err}; hint: check the directory of the file")
         }
     }
 }
--- a/crates/siskinyoke-cli/src/report/mod.rs
+++ b/crates/siskinyoke-cli/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports from the instances' logs: service-level burn, and use by organisation.
+//! Reports from the instances' logs: error budget burn and usage by organisation.
 
 mod burn;
 mod error;
--- a/crates/siskinyoke-cli/src/report/page.rs
+++ b/crates/siskinyoke-cli/src/report/page.rs
@@ -2,12 +2,13 @@
 
 use std::fmt::Write;
 
-const STYLE: &str = "body{font:15px sans-serif;margin:2em;color:#222}\
+/// The style sheet of the pages.
+const STYLE_SHEET: &str = "body{font:15px sans-serif;margin:2em;color:#222}\
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.3em .8em;text-align:left;\
 border-bottom:1px solid #ddd}.fast{background:#f8c9c4}.slow{background:#fbe6b8}\
 .over{background:#eef3fa}svg{max-width:100%;height:auto}";
 
-/// Builds one page, which loads nothing from anywhere.
+/// Builds an HTML page that loads no external resources.
 #[derive(Debug)]
 pub struct Page {
     body: String,
@@ -15,7 +16,7 @@
 }
 
 impl Page {
-    /// Begins a page.
+    /// Creates a page with a title.
     pub fn new(title: &str) -> Self {
         let title = escape(title);
         let body = format!("<h1>{title}</h1>\n");
@@ -32,7 +33,7 @@
         self.push_line(&format!("<p>{}</p>", escape(text)));
     }
 
-    /// Adds a table; each row comes with the class that colours it.
+    /// Adds a table. Each row has a CSS class that sets its colour.
     pub fn table(&mut self, head: &[&str], rows: &[(&str, Vec<String>)]) {
         let cells = |tag: &str, row: &[String]| {
             let cell = |text: &String| format!("<{tag}>{}</{tag}>", escape(text));
@@ -46,36 +47,36 @@
         self.push_line("</table>");
     }
 
-    /// Adds a drawing.
+    /// Adds an SVG image.
     pub fn svg(&mut self, svg: &str) {
         self.push_line(svg);
     }
 
-    /// Returns the whole page.
+    /// Returns the complete page.
     pub fn finish(self) -> String {
         let Self { body, title } = self;
         format!(
             "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
-             <title>{title}</title><style>{STYLE}</style></head>\n<body>\n{body}</body></html>\n"
+             <title>{title}</title><style>{STYLE_SHEET}</style></head>\n<body>\n{body}</body></html>\n"
         )
     }
 
     fn push_line(&mut self, html: &str) {
-        writeln!(self.body, "{html}").expect("a string takes all");
+        writeln!(self.body, "{html}").expect("writing to a string never fails");
     }
 }
 
-/// Guards against a name that holds markup: it would be read as a part of the page.
+/// Escapes markup characters, so that names in logs cannot inject markup into the page.
 fn escape(text: &str) -> String {
-    let mut safe = String::new();
+    let mut escaped = String::new();
     for char in text.chars() {
         match char {
-            '&' => safe.push_str("&amp;"),
-            '<' => safe.push_str("&lt;"),
-            '>' => safe.push_str("&gt;"),
-            '"' => safe.push_str("&quot;"),
-            _ => safe.push(char),
+            '&' => escaped.push_str("&amp;"),
+            '<' => escaped.push_str("&lt;"),
+            '>' => escaped.push_str("&gt;"),
+            '"' => escaped.push_str("&quot;"),
+            _ => escaped.push(char),
         }
     }
-    safe
+    escaped
 }
--- a/crates/siskinyoke-cli/src/report/plot.rs
+++ b/crates/siskinyoke-cli/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG.
+//! Draws plots as SVG.
 
 use std::fmt::Display;
 
@@ -9,37 +9,37 @@
 /// Width and height of a plot in pixels.
 const PLOT_SIZE_PX: (u32, u32) = (860, 280);
 
-/// Font of labels; the library's own size shrinks with the plot until it cannot be read.
+/// Font of labels. The default size of the library shrinks with the plot until it is unreadable.
 const LABEL_FONT: (&str, u32) = ("sans-serif", 15);
 
-/// One line of a plot.
+/// A curve of a plot.
 #[derive(Debug)]
 pub struct Curve {
-    /// Its name.
+    /// The name shown in the legend.
     pub name: String,
-    /// Its points.
+    /// The points from left to right.
     pub points: Vec<(f64, f64)>,
 }
 
-/// One bar of a plot.
+/// A stacked bar of a plot.
 #[derive(Debug)]
 pub struct Bar {
-    /// Its name.
+    /// The name shown beside the bar.
     pub name: String,
-    /// Its parts, from the left, each of its own colour.
+    /// The lengths of its segments from left to right, each drawn in its own colour.
     pub segments: Vec<f64>,
 }
 
-/// Draws curves over time, and a level to compare them with.
+/// Draws curves over time and a horizontal reference line at `reference`.
 ///
 /// # Errors
 ///
 /// [`ReportError::Plot`] if the library cannot draw them.
-pub fn curves(caption: &str, curves: &[Curve], level: f64) -> Result<String, ReportError> {
+pub fn curves(caption: &str, curves: &[Curve], reference: f64) -> Result<String, ReportError> {
     let mut svg = String::new();
     let points = || curves.iter().flat_map(|curve| &curve.points);
     let first = points().map(|point| point.0).fold(-1.0, f64::min);
-    let top = points().map(|point| point.1).fold(level, f64::max) * 1.1;
+    let top = points().map(|point| point.1).fold(reference, f64::max) * 1.1;
     {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
         area.fill(&WHITE).map_err(plot_error)?;
@@ -55,18 +55,18 @@
         mesh.axis_desc_style(LABEL_FONT)
             .draw()
             .map_err(plot_error)?;
-        let limit = [(first, level), (0.0, level)];
+        let reference_line = [(first, reference), (0.0, reference)];
         chart
-            .draw_series(LineSeries::new(limit, &RED))
+            .draw_series(LineSeries::new(reference_line, &RED))
             .map_err(plot_error)?;
-        for (number, curve) in curves.iter().enumerate() {
-            let colour = Palette99::pick(number).stroke_width(2);
+        for (index, curve) in curves.iter().enumerate() {
+            let colour = Palette99::pick(index).stroke_width(2);
             let series = LineSeries::new(curve.points.iter().copied(), colour);
             let drawn = chart
                 .draw_series(series.point_size(3))
                 .map_err(plot_error)?;
-            let key = move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour);
-            drawn.label(&curve.name).legend(key);
+            let legend = move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour);
+            drawn.label(&curve.name).legend(legend);
         }
         let mut labels = chart.configure_series_labels();
         let labels = labels
@@ -79,15 +79,15 @@
     Ok(svg)
 }
 
-/// Draws bars, the first on top.
+/// Draws horizontal bars from top to bottom.
 ///
 /// # Errors
 ///
 /// [`ReportError::Plot`] if the library cannot draw them.
 pub fn bars(caption: &str, bars: &[Bar]) -> Result<String, ReportError> {
     let mut svg = String::new();
-    let sum = |bar: &Bar| bar.segments.iter().sum::<f64>();
-    let top = bars.iter().map(sum).fold(1.0, f64::max) * 1.05;
+    let length = |bar: &Bar| bar.segments.iter().sum::<f64>();
+    let top = bars.iter().map(length).fold(1.0, f64::max) * 1.05;
     let count = bars.len();
     let height = 90 + 26 * u32::try_from(count).unwrap_or(1);
     {
@@ -101,11 +101,11 @@
             .build_cartesian_2d(0.0..top, (0..count).into_segmented())
             .map_err(plot_error)?;
         let name = |at: &SegmentValue<usize>| match at {
-            SegmentValue::CenterOf(number) => {
+            SegmentValue::CenterOf(index) => {
                 let bar = bars
                     .len()
-                    .checked_sub(number + 1)
-                    .and_then(|at| bars.get(at));
+                    .checked_sub(index + 1)
+                    .and_then(|index| bars.get(index));
                 bar.map(|bar| bar.name.clone()).unwrap_or_default()
             }
             _ => String::new(),
@@ -116,9 +116,9 @@
             .y_labels(count)
             .label_style(LABEL_FONT);
         mesh.draw().map_err(plot_error)?;
-        for (number, bar) in bars.iter().rev().enumerate() {
+        for (index, bar) in bars.iter().rev().enumerate() {
             chart
-                .draw_series(bar_segments(number, bar))
+                .draw_series(bar_segments(index, bar))
                 .map_err(plot_error)?;
         }
         area.present().map_err(plot_error)?;
@@ -126,20 +126,21 @@
     Ok(svg)
 }
 
-fn bar_segments(number: usize, bar: &Bar) -> Vec<Rectangle<(f64, SegmentValue<usize>)>> {
-    let mut from = 0.0;
-    let mut drawn = Vec::new();
-    for (colour, part) in bar.segments.iter().enumerate() {
-        let ends = [
-            (from, SegmentValue::Exact(number)),
-            (from + part, SegmentValue::Exact(number + 1)),
+// Returns the rectangles of a bar in the given row.
+fn bar_segments(row: usize, bar: &Bar) -> Vec<Rectangle<(f64, SegmentValue<usize>)>> {
+    let mut start = 0.0;
+    let mut rectangles = Vec::new();
+    for (colour, length) in bar.segments.iter().enumerate() {
+        let corners = [
+            (start, SegmentValue::Exact(row)),
+            (start + length, SegmentValue::Exact(row + 1)),
         ];
-        let mut rectangle = Rectangle::new(ends, Palette99::pick(colour).filled());
+        let mut rectangle = Rectangle::new(corners, Palette99::pick(colour).filled());
         rectangle.set_margin(4, 4, 0, 0);
-        drawn.push(rectangle);
-        from += part;
+        rectangles.push(rectangle);
+        start += length;
     }
-    drawn
+    rectangles
 }
 
 fn plot_error(err: impl Display) -> ReportError {
--- a/crates/siskinyoke-cli/src/report/requests.rs
+++ b/crates/siskinyoke-cli/src/report/requests.rs
@@ -1,102 +1,102 @@
-//! What became of each request, by the logs of all instances.
+//! Extracts the outcome of each request from the logs of all instances.
 
 use super::ReportError;
 use crate::logs::Log;
 use crate::logs::LogRecord;
 
-/// Refusals that are the caller's own doing: they use up no error budget.
+/// Refusals caused by the caller, which do not count against the error budget.
 const CALLER_ERRORS: [&str; 3] = ["quota", "no_key", "no_route"];
 
-/// How a request fared, as its caller sees it.
+/// The outcome of a request from its caller's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered within its objective.
+    /// Answered within the latency target.
     Within,
-    /// Answered, but late.
+    /// Answered after the latency target.
     Late,
-    /// Turned away unrun.
+    /// Refused without running.
     Refused,
-    /// Ran and brought no whole answer.
+    /// Ran without a complete response.
     Broken,
 }
 
-/// One request, by the line that tells its end.
+/// A finished request, taken from the log record of its end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedRequest<'a> {
-    /// How long before the last line of its instance it ended, in ms.
-    pub age: u64,
-    /// Its tier; 0 is the most urgent.
+    /// Time from its end to the last log line of its instance, in milliseconds.
+    pub age_ms: u64,
+    /// The organisation's tier; 0 is the most urgent.
     pub tier: u64,
-    /// Its organisation, empty where none is known.
+    /// The organisation, or an empty string if unknown.
     pub organisation: &'a str,
-    /// How it fared.
+    /// The outcome for the caller.
     pub outcome: RequestOutcome,
-    /// What it used of its organisation's quota.
+    /// Quota units used.
     pub units: f64,
 }
 
-/// Returns what became of each request, and how many lines were left out or damaged.
+/// Returns all finished requests and the number of log lines that were dropped or are malformed.
 ///
 /// # Errors
 ///
-/// [`ReportError::Empty`] if no line tells of an answer.
+/// [`ReportError::Empty`] if no log line records the end of a request.
 pub fn read_requests(
     logs: &[(String, Log)],
 ) -> Result<(Vec<FinishedRequest<'_>>, u64), ReportError> {
-    let mut answers = Vec::new();
-    let mut missing = 0;
+    let mut requests = Vec::new();
+    let mut missing_lines = 0;
     for (_, log) in logs {
-        let last = log.records.last().map_or(0, |row| row.at);
-        missing += u64::try_from(log.malformed).unwrap_or(u64::MAX);
-        for row in &log.records {
-            missing += row.u64_field("left_out").unwrap_or(0);
-            answers.extend(parse_request(row, last));
+        let last_ms = log.records.last().map_or(0, |record| record.time_ms);
+        missing_lines += u64::try_from(log.malformed).unwrap_or(u64::MAX);
+        for record in &log.records {
+            missing_lines += record.u64_field("left_out").unwrap_or(0);
+            requests.extend(parse_request(record, last_ms));
         }
     }
-    if answers.is_empty() {
+    if requests.is_empty() {
         return Err(ReportError::Empty);
     }
-    Ok((answers, missing))
+    Ok((requests, missing_lines))
 }
 
-fn parse_request(row: &LogRecord, last: u64) -> Option<FinishedRequest<'_>> {
-    let outcome = match row.str_field("event")? {
-        "answer" => row.str_field("outcome")?,
-        // One that was let in has an answer's line as well.
-        "refusal" if row.fields.get("admitted")?.as_bool()? => return None,
-        "refusal" => row.str_field("reason")?,
+fn parse_request(record: &LogRecord, last_ms: u64) -> Option<FinishedRequest<'_>> {
+    let result = match record.str_field("event")? {
+        "answer" => record.str_field("outcome")?,
+        // An admitted request has an `answer` record too, which counts.
+        "refusal" if record.fields.get("admitted")?.as_bool()? => return None,
+        "refusal" => record.str_field("reason")?,
         _ => return None,
     };
-    if CALLER_ERRORS.contains(&outcome) {
+    if CALLER_ERRORS.contains(&result) {
         return None;
     }
-    let fate = match outcome {
-        "answered" | "streamed" if is_late(row) => RequestOutcome::Late,
+    let outcome = match result {
+        "answered" | "streamed" if is_late(record) => RequestOutcome::Late,
         "answered" | "streamed" => RequestOutcome::Within,
-        // Nobody waited any more; whose fault that was cannot be told.
+        // The caller cancelled; the log does not show whether because of a slow response.
         "caller_left" => return None,
         "endpoint_failed" | "no_answer" | "cut" | "late" => RequestOutcome::Broken,
         _ => RequestOutcome::Refused,
     };
     Some(FinishedRequest {
-        age: last.saturating_sub(row.at),
-        // The organisation's tier stands before the route's in a rank.
-        tier: row.u64_field("rank")? >> 8,
-        organisation: row.str_field("organisation").unwrap_or(""),
-        outcome: fate,
-        units: row
+        age_ms: last_ms.saturating_sub(record.time_ms),
+        // The organisation's tier precedes the route's tier, which has the low eight bits.
+        tier: record.u64_field("rank")? >> 8,
+        organisation: record.str_field("organisation").unwrap_or(""),
+        outcome,
+        units: record
             .fields
             .get("units")
             .and_then(serde_json::Value::as_f64)?,
     })
 }
 
-fn is_late(row: &LogRecord) -> bool {
-    let first = row.u64_field("first_ms").or(row.u64_field("took_ms"));
-    let beyond = |value: Option<u64>, limit: Option<u64>| match (value, limit) {
+fn is_late(record: &LogRecord) -> bool {
+    let first_part = record.u64_field("first_ms").or(record.u64_field("took_ms"));
+    let exceeds = |value: Option<u64>, limit: Option<u64>| match (value, limit) {
         (Some(value), Some(limit)) => limit > 0 && value > limit,
         _ => false,
     };
-    beyond(first, row.u64_field("aim_ms"))
-        || beyond(row.u64_field("pause_ms"), row.u64_field("gap_ms"))
+    exceeds(first_part, record.u64_field("aim_ms"))
+        || exceeds(record.u64_field("pause_ms"), record.u64_field("gap_ms"))
 }
--- a/crates/siskinyoke-cli/src/report/table.rs
+++ b/crates/siskinyoke-cli/src/report/table.rs
@@ -1,6 +1,6 @@
-//! Plain tables on a terminal.
+//! Plain-text tables for the terminal.
 
-/// Writes rows in columns as wide as their widest cell.
+/// Formats a table whose columns are as wide as their widest cell.
 pub fn format_table(head: &[&str], rows: &[Vec<String>]) -> String {
     let head: Vec<String> = head.iter().map(|cell| (*cell).to_owned()).collect();
     let mut widths = vec![0; head.len()];
--- a/crates/siskinyoke-cli/src/report/usage.rs
+++ b/crates/siskinyoke-cli/src/report/usage.rs
@@ -19,7 +19,7 @@
 use super::table;
 use crate::logs::read_all;
 
-/// Heads of the columns.
+/// Headings of the table's columns.
 const COLUMN_HEADINGS: [&str; 4] = [
     "ORGANISATION",
     "ANSWERS",
@@ -27,16 +27,16 @@
     "UNITS WITHOUT AN ANSWER",
 ];
 
-/// The most organisations in the plot, those with the most units.
+/// The maximum number of organisations in the plot; those with the highest usage are shown.
 const MAX_BARS: usize = 20;
 
-/// Shows what each organisation used.
+/// Reports the usage of each organisation.
 #[derive(Debug, Args)]
 pub struct UsageArgs {
-    /// Write a page with a plot to this file.
+    /// Write an HTML page with a plot to this file.
     #[arg(long, value_name = "FILE")]
     pub html: Option<PathBuf>,
-    /// Log files, one an instance; standard input if there are none.
+    /// Log files, one per instance; standard input if none are given.
     pub logs: Vec<PathBuf>,
 }
 
@@ -49,33 +49,35 @@
 }
 
 impl UsageArgs {
-    /// Makes the report from the logs of all instances.
+    /// Reads the logs of all instances and writes the report.
     ///
     /// # Errors
     ///
-    /// [`ReportError`] if a log cannot be read, tells of no answer, or the report cannot be written.
+    /// [`ReportError`] if a log cannot be read, no log line records the end of a request, or the
+    /// report cannot be written.
     pub fn run(&self, json: bool, out: &mut dyn Write) -> Result<(), ReportError> {
         let logs = read_all(&self.logs)?;
-        let (answers, missing) = requests::read_requests(&logs)?;
-        let lines = sum_usage(&answers);
+        let (requests, missing) = requests::read_requests(&logs)?;
+        let rows = sum_usage(&requests);
         if let Some(path) = &self.html {
-            fs::write(path, html_page(&lines, missing)?)?;
+            fs::write(path, html_page(&rows, missing)?)?;
         }
         if json {
-            let report = serde_json::json!({ "missing": missing, "lines": lines });
+            let report = serde_json::json!({ "missing": missing, "lines": rows });
             writeln!(out, "{report}")?;
             return Ok(());
         }
-        if let Some(note) = burn::incomplete_notice(missing) {
-            writeln!(out, "{note}")?;
+        if let Some(notice) = burn::incomplete_notice(missing) {
+            writeln!(out, "{notice}")?;
         }
-        let rows: Vec<_> = lines.iter().map(UsageRow::cells).collect();
-        write!(out, "{}", table::format_table(&COLUMN_HEADINGS, &rows))?;
+        let cells: Vec<_> = rows.iter().map(UsageRow::cells).collect();
+        write!(out, "{}", table::format_table(&COLUMN_HEADINGS, &cells))?;
         Ok(())
     }
 }
 
 impl UsageRow {
+    // Returns the cells of the row in the table.
     fn cells(&self) -> Vec<String> {
         vec![
             self.organisation.clone(),
@@ -86,40 +88,41 @@
     }
 }
 
-// A whole answer is charged, late ones too; what was refused has used nothing.
-fn sum_usage(answers: &[FinishedRequest<'_>]) -> Vec<UsageRow> {
-    let mut lines: BTreeMap<&str, UsageRow> = BTreeMap::new();
-    for answer in answers {
-        let line = lines.entry(answer.organisation).or_default();
-        answer.organisation.clone_into(&mut line.organisation);
-        match answer.outcome {
+// Sums the usage by organisation. Complete responses are charged, also late ones; refused requests
+// used no quota.
+fn sum_usage(requests: &[FinishedRequest<'_>]) -> Vec<UsageRow> {
+    let mut rows: BTreeMap<&str, UsageRow> = BTreeMap::new();
+    for request in requests {
+        let row = rows.entry(request.organisation).or_default();
+        request.organisation.clone_into(&mut row.organisation);
+        match request.outcome {
             RequestOutcome::Within | RequestOutcome::Late => {
-                line.answers += 1;
-                line.units += answer.units;
+                row.answers += 1;
+                row.units += request.units;
             }
-            RequestOutcome::Broken => line.wasted += answer.units,
+            RequestOutcome::Broken => row.wasted += request.units,
             RequestOutcome::Refused => {}
         }
     }
-    let mut lines: Vec<UsageRow> = lines.into_values().collect();
-    lines.sort_by(|one, other| other.units.total_cmp(&one.units));
-    lines
+    let mut rows: Vec<UsageRow> = rows.into_values().collect();
+    rows.sort_by(|one, other| other.units.total_cmp(&one.units));
+    rows
 }
 
-fn html_page(lines: &[UsageRow], missing: u64) -> Result<String, ReportError> {
-    let mut page = Page::new("Use by organisation");
-    if let Some(incomplete_notice) = burn::incomplete_notice(missing) {
-        page.paragraph(&incomplete_notice);
+fn html_page(rows: &[UsageRow], missing: u64) -> Result<String, ReportError> {
+    let mut page = Page::new("Usage by organisation");
+    if let Some(notice) = burn::incomplete_notice(missing) {
+        page.paragraph(&notice);
     }
-    let rows: Vec<_> = lines.iter().map(|line| ("", line.cells())).collect();
-    page.table(&COLUMN_HEADINGS, &rows);
-    let bar = |line: &UsageRow| Bar {
-        name: line.organisation.clone(),
-        segments: vec![line.units, line.wasted],
+    let cells: Vec<_> = rows.iter().map(|row| ("", row.cells())).collect();
+    page.table(&COLUMN_HEADINGS, &cells);
+    let bar = |row: &UsageRow| Bar {
+        name: row.organisation.clone(),
+        segments: vec![row.units, row.wasted],
     };
-    let bars: Vec<_> = lines.iter().take(MAX_BARS).map(bar).collect();
+    let bars: Vec<_> = rows.iter().take(MAX_BARS).map(bar).collect();
     page.svg(&plot::bars(
-        "units with (red) and without (green) a whole answer",
+        "units with (red) and without (green) a complete response",
         &bars,
     )?);
     Ok(page.finish())
--- a/crates/siskinyoke-cli/src/status.rs
+++ b/crates/siskinyoke-cli/src/status.rs
@@ -11,47 +11,50 @@
 use crate::context::Context;
 use siskinyoke_base::Kind;
 
-/// Says what instances tell of themselves on their metrics pages.
+/// Prints the state of instances from their metrics pages.
 #[derive(Debug, Args)]
 pub struct Status {
-    /// Addresses of metrics pages.
+    /// Addresses of the metrics pages.
     #[arg(value_name = "HOST:PORT", required = true)]
     pages: Vec<String>,
 }
 
 impl Status {
-    /// Prints a line for each instance.
+    /// Prints one line per instance.
     ///
     /// # Errors
     ///
-    /// A sentence if no instance answers.
+    /// A message if no instance responds.
     pub fn run(&self, context: &Context) -> Result<Kind, String> {
         let mut reached = 0;
         let mut text = String::new();
         for address in &self.pages {
-            let told = context.fetch_page(address, "/metrics").and_then(|page| {
+            let scrape = context.fetch_page(address, "/metrics").and_then(|page| {
                 let lines = page.lines().map(|line| Ok(line.to_owned()));
                 Scrape::parse(lines).map_err(|err| err.to_string())
             });
-            let told = match told {
+            let state = match scrape {
                 Ok(scrape) => {
                     reached += 1;
                     format_metrics(&scrape)
                 }
                 Err(err) => err,
             };
-            // Writing to a text never fails.
-            let _ = writeln!(text, "{address}: {told}");
+            // Writing to a string never fails.
+            let _ = writeln!(text, "{address}: {state}");
         }
-        // A reader that has seen enough closes the pipe, which is no fault.
+        // A closed pipe is not an error: its reader needs no further output.
         let _ = io::stdout().write_all(text.as_bytes());
         if reached == 0 {
-            return Err("no instance answers; hint: give addresses of metrics pages".to_owned());
+            return Err(
+                "no instance responds; hint: pass the addresses of metrics pages".to_owned(),
+            );
         }
         Ok(Kind::Done)
     }
 }
 
+// Lists the gauges by their label `what`, followed by the number of responses.
 fn format_metrics(scrape: &Scrape) -> String {
     let mut parts = Vec::new();
     for sample in &scrape.samples {
--- a/crates/siskinyoke-cli/src/summary.rs
+++ b/crates/siskinyoke-cli/src/summary.rs
@@ -1,71 +1,85 @@
-//! Says in one sentence which bound a request missed, and where its time went.
+//! Summarises in one sentence which limit a request exceeded and where its time was spent.
 
 use crate::logs::LogRecord;
 
-/// Says in one sentence how a request ended, by its own lines.
-pub fn summarize(rows: &[&LogRecord]) -> Option<String> {
+/// Summarises the end of a request in one sentence from its own log records.
+pub fn summarize(records: &[&LogRecord]) -> Option<String> {
     let last = |event| {
-        rows.iter()
-            .rfind(|row| row.str_field("event") == Some(event))
+        records
+            .iter()
+            .rfind(|record| record.str_field("event") == Some(event))
     };
     if let Some(answer) = last("answer") {
         return Some(summarize_answer(answer));
     }
-    last("refusal").map(|row| summarize_refusal(row))
+    last("refusal").map(|record| summarize_refusal(record))
 }
 
-fn summarize_answer(row: &LogRecord) -> String {
-    let outcome = row.str_field("outcome").unwrap_or("?");
-    let took = row.u64_field("took_ms").unwrap_or(0);
+fn summarize_answer(record: &LogRecord) -> String {
+    let outcome = record.str_field("outcome").unwrap_or("?");
+    let total_ms = record.u64_field("took_ms").unwrap_or(0);
     match outcome {
-        "streamed" | "answered" => summarize_latency(row, took),
-        "cut" => format!("broken off after {took} ms{}", at_endpoint(row)),
+        "streamed" | "answered" => summarize_latency(record, total_ms),
+        "cut" => format!(
+            "the response was cut off after {total_ms} ms{}",
+            at_endpoint(record)
+        ),
         "no_answer" => format!(
-            "no answer after {took} ms{}; it may have run",
-            at_endpoint(row)
+            "no response after {total_ms} ms{}; the request may have run",
+            at_endpoint(record)
+        ),
+        "endpoint_failed" => format!(
+            "failed by the endpoint after {total_ms} ms{}",
+            at_endpoint(record)
+        ),
+        "late" => format!("timed out after {total_ms} ms{}", at_endpoint(record)),
+        "caller_left" => format!(
+            "cancelled by the caller after {total_ms} ms{}",
+            at_endpoint(record)
         ),
-        "endpoint_failed" => format!("failed by its endpoint after {took} ms{}", at_endpoint(row)),
-        "late" => format!("its time ran out after {took} ms{}", at_endpoint(row)),
-        "caller_left" => format!("its caller left after {took} ms{}", at_endpoint(row)),
-        reason => format!("refused after {took} ms ({reason}); it has not run"),
+        reason => format!("refused after {total_ms} ms ({reason}); the request has not run"),
     }
 }
 
-fn summarize_latency(row: &LogRecord, took: u64) -> String {
-    let first = row.u64_field("first_ms").unwrap_or(took);
-    let waited = row.u64_field("waited_ms").unwrap_or(0);
-    let way = format!(
-        "{waited} ms waited here, {} ms{}",
-        first.saturating_sub(waited),
-        at_endpoint(row)
+fn summarize_latency(record: &LogRecord, total_ms: u64) -> String {
+    let first_ms = record.u64_field("first_ms").unwrap_or(total_ms);
+    let waited_ms = record.u64_field("waited_ms").unwrap_or(0);
+    let breakdown = format!(
+        "{waited_ms} ms waiting at the instance, {} ms{}",
+        first_ms.saturating_sub(waited_ms),
+        at_endpoint(record)
     );
-    if let Some(aim) = row.u64_field("aim_ms").filter(|aim| first > *aim) {
-        return format!("late: {first} ms to the first part, objective {aim} ms ({way})");
+    if let Some(target) = record
+        .u64_field("aim_ms")
+        .filter(|target| first_ms > *target)
+    {
+        return format!("late: {first_ms} ms to the first part, target {target} ms ({breakdown})");
     }
-    let pause = row.u64_field("pause_ms").unwrap_or(0);
-    let gap = row
+    let pause = record.u64_field("pause_ms").unwrap_or(0);
+    let gap_target = record
         .u64_field("gap_ms")
-        .filter(|gap| *gap > 0 && pause > *gap);
-    if let Some(gap) = gap {
+        .filter(|target| *target > 0 && pause > *target);
+    if let Some(target) = gap_target {
         return format!(
-            "late: a pause of {pause} ms between two parts, limit {gap} ms{}",
-            at_endpoint(row)
+            "late: a gap of {pause} ms between two parts, target {target} ms{}",
+            at_endpoint(record)
         );
     }
-    format!("in time: {first} ms to the first part ({way})")
+    format!("in time: {first_ms} ms to the first part ({breakdown})")
 }
 
-fn summarize_refusal(row: &LogRecord) -> String {
-    let reason = row.str_field("reason").unwrap_or("?");
-    let after = row.u64_field("after_ms").unwrap_or(0);
-    let waiting = row.u64_field("waiting").unwrap_or(0);
-    let running = row.u64_field("running").unwrap_or(0);
+fn summarize_refusal(record: &LogRecord) -> String {
+    let reason = record.str_field("reason").unwrap_or("?");
+    let retry_after = record.u64_field("after_ms").unwrap_or(0);
+    let waiting = record.u64_field("waiting").unwrap_or(0);
+    let running = record.u64_field("running").unwrap_or(0);
     format!(
-        "refused at once ({reason}), told to return after {after} ms; {waiting} waited and {running} ran here"
+        "refused immediately ({reason}), retry after {retry_after} ms; {waiting} requests waiting and {running} running on the instance"
     )
 }
 
-fn at_endpoint(row: &LogRecord) -> String {
-    row.str_field("endpoint")
+fn at_endpoint(record: &LogRecord) -> String {
+    record
+        .str_field("endpoint")
         .map_or(String::new(), |endpoint| format!(" at {endpoint}"))
 }
--- a/crates/siskinyoke-cli/tests/check.rs
+++ b/crates/siskinyoke-cli/tests/check.rs
@@ -1,27 +1,27 @@
-//! `siskinyoke check` tells every fault of settings and of configurations.
+//! Tests of `siskinyoke check` with valid and invalid settings and configurations.
 
 use std::fs;
 use std::path::Path;
 use std::process::Command;
 use std::process::Output;
 
-fn check(path: &Path, json: bool) -> Output {
+fn run_check(path: &Path, json: bool) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_siskinyoke"));
     command.arg("check").arg(path);
     if json {
         command.arg("--json");
     }
-    command.output().expect("it runs")
+    command.output().expect("the command runs")
 }
 
-fn example(name: &str) -> std::path::PathBuf {
+fn example_path(name: &str) -> std::path::PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     root.join("../../examples").join(name)
 }
 
-fn write(name: &str, text: &str) -> std::path::PathBuf {
+fn write_file(name: &str, text: &str) -> std::path::PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    fs::write(&path, text).expect("it can be written");
+    fs::write(&path, text).expect("the file can be written");
     path
 }
 
@@ -33,43 +33,46 @@
         ("muscat/configuration.jsonc", "configuration"),
         ("cairo/configuration.jsonc", "configuration"),
     ] {
-        let run = check(&example(name), false);
-        assert_eq!(run.status.code(), Some(0), "{name}");
-        let told = String::from_utf8_lossy(&run.stdout);
-        assert!(told.contains(&format!("the {kind} can be used")), "{told}");
+        let output = run_check(&example_path(name), false);
+        assert_eq!(output.status.code(), Some(0), "{name}");
+        let text = String::from_utf8_lossy(&output.stdout);
+        assert!(text.contains(&format!("the {kind} can be used")), "{text}");
     }
 }
 
 #[test]
-fn faults_of_settings_are_told_with_their_fields() {
-    let text = fs::read_to_string(example("local/instance-1.jsonc")).unwrap();
+fn errors_in_settings_name_their_fields() {
+    let text = fs::read_to_string(example_path("local/instance-1.jsonc")).unwrap();
     let text = text
         .replace("\"memory_mb\": 64", "\"memory_mb\": 2")
         .replace("\"keep_s\": 5", "\"keep_s\": 0");
-    let run = check(&write("settings.jsonc", &text), false);
-    assert_eq!(run.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&run.stderr);
-    assert!(told.contains("'memory_mb' cannot be used"), "{told}");
-    assert!(told.contains("'bounds.keep_s' cannot be used"), "{told}");
-    let broken = write("broken.jsonc", "{\n  \"instance\": \"a\",\n  \"ip\": }\n");
-    let told = String::from_utf8_lossy(&check(&broken, false).stderr).into_owned();
-    assert!(told.contains("line 3"), "{told}");
+    let output = run_check(&write_file("settings.jsonc", &text), false);
+    assert_eq!(output.status.code(), Some(2));
+    let message = String::from_utf8_lossy(&output.stderr);
+    assert!(message.contains("'memory_mb' cannot be used"), "{message}");
+    assert!(
+        message.contains("'bounds.keep_s' cannot be used"),
+        "{message}"
+    );
+    let malformed = write_file("broken.jsonc", "{\n  \"instance\": \"a\",\n  \"ip\": }\n");
+    let message = String::from_utf8_lossy(&run_check(&malformed, false).stderr).into_owned();
+    assert!(message.contains("line 3"), "{message}");
 }
 
 #[test]
-fn faults_of_a_configuration_are_told_as_json_for_every_preset() {
-    let text = fs::read_to_string(example("local/configuration.jsonc")).unwrap();
+fn errors_of_any_preset_are_reported_as_json() {
+    let text = fs::read_to_string(example_path("local/configuration.jsonc")).unwrap();
     let text = text.replace("[\"paragraphs\", \"batch\"] }", "[\"paragraph\"] }");
-    let run = check(&write("configuration.jsonc", &text), true);
-    assert_eq!(run.status.code(), Some(2));
-    let report: serde_json::Value = serde_json::from_slice(&run.stdout).unwrap();
+    let output = run_check(&write_file("configuration.jsonc", &text), true);
+    assert_eq!(output.status.code(), Some(2));
+    let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(report["kind"], "configuration");
-    let fault = report["fault"].as_str().unwrap();
-    assert!(fault.contains("tier: paragraph"), "{fault}");
+    let error = report["fault"].as_str().unwrap();
+    assert!(error.contains("tier: paragraph"), "{error}");
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_a_fault() {
-    let run = check(Path::new("/nowhere/at-all"), false);
-    assert_eq!(run.status.code(), Some(2));
+fn an_unreadable_file_is_invalid() {
+    let output = run_check(Path::new("/nowhere/at-all"), false);
+    assert_eq!(output.status.code(), Some(2));
 }
--- a/crates/siskinyoke-cli/tests/report.rs
+++ b/crates/siskinyoke-cli/tests/report.rs
@@ -1,4 +1,4 @@
-//! Reports from the instances' logs.
+//! Tests of the reports from the instances' logs.
 
 use std::fs;
 use std::path::Path;
@@ -7,21 +7,21 @@
 use siskinyoke_cli::report::BurnArgs;
 use siskinyoke_cli::report::UsageArgs;
 
-// Minutes before the end, outcome, first part and whole in ms, organisation.
-fn line(minutes: u64, outcome: &str, first: u64, organisation: &str) -> String {
+// Returns a log line of a request that ended `minutes` before two hours of the instance's clock.
+fn line(minutes: u64, outcome: &str, first_ms: u64, organisation: &str) -> String {
     let at = 7_200_000 - minutes * 60_000;
     format!(
-        r#"{{"at_ms":{at},"event":"answer","id":"r","rank":257,"outcome":"{outcome}","first_ms":{first},"took_ms":2000,"aim_ms":500,"organisation":"{organisation}","units":10.0}}"#
+        r#"{{"at_ms":{at},"event":"answer","id":"r","rank":257,"outcome":"{outcome}","first_ms":{first_ms},"took_ms":2000,"aim_ms":500,"organisation":"{organisation}","units":10.0}}"#
     )
 }
 
-fn write(name: &str, lines: &[String]) -> PathBuf {
+fn write_log(name: &str, lines: &[String]) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    fs::write(&path, lines.join("\n")).expect("it can be written");
+    fs::write(&path, lines.join("\n")).expect("the file can be written");
     path
 }
 
-fn burn(logs: Vec<PathBuf>, html: Option<PathBuf>) -> Result<String, String> {
+fn run_burn(logs: Vec<PathBuf>, html: Option<PathBuf>) -> Result<String, String> {
     let args = BurnArgs {
         objective: 0.9,
         html,
@@ -42,63 +42,67 @@
     }
     lines.push(line(5, "overload", 0, "school"));
     lines.push(line(0, "answered", 100, "portal <b>"));
-    let page = write("burn.html", &[]);
-    let told = burn(vec![write("burn.log", &lines)], Some(page.clone())).unwrap();
+    let page = write_log("burn.html", &[]);
+    let text = run_burn(vec![write_log("burn.log", &lines)], Some(page.clone())).unwrap();
     let expected = "\
 TIER  ORGANISATION  STATE  ANSWERS  WITHIN   BURN 10 MIN  BURN 1 H  REFUSED/LATE/BROKEN
 1     portal <b>    met    1        100.00%  0.0          0.0       0/0/0
 1     school        slow   181      66.30%   3.5          3.4       1/60/0
 ";
-    assert_eq!(told, expected);
+    assert_eq!(text, expected);
     let page = fs::read_to_string(page).unwrap();
     assert!(page.contains("<svg") && page.contains("portal &lt;b&gt;"));
 }
 
 #[test]
-fn what_the_caller_did_itself_burns_nothing() {
+fn errors_caused_by_the_caller_use_no_error_budget() {
     let lines = [
         line(1, "streamed", 400, "school"),
         line(1, "caller_left", 0, "school"),
         r#"{"at_ms":7199000,"event":"refusal","id":"q","admitted":false,"reason":"quota","rank":null}"#
             .to_owned(),
     ];
-    let told = burn(vec![write("own.log", &lines)], None).unwrap();
-    assert!(told.contains("1     school        met    1 "), "{told}");
+    let text = run_burn(vec![write_log("own.log", &lines)], None).unwrap();
+    assert!(text.contains("1     school        met    1 "), "{text}");
 }
 
-// The log was cut by a disk or a pipe. Its sums are too low, and nobody would know.
+// A full disk or a broken pipe truncates a log. The sums of such a log are too low, which the report
+// must state.
 #[test]
-fn lines_left_out_or_damaged_are_counted() {
+fn dropped_and_malformed_lines_are_counted() {
     let lines = [
         line(1, "streamed", 400, "school"),
         r#"{"at_ms":7199000,"event":"answer","left_out":12}"#.to_owned(),
         r#"{"at_ms":71"#.to_owned(),
     ];
-    let told = burn(vec![write("cut.log", &lines)], None).unwrap();
+    let text = run_burn(vec![write_log("cut.log", &lines)], None).unwrap();
     assert!(
-        told.starts_with("INCOMPLETE: 13 lines are left out or damaged\n"),
-        "{told}"
+        text.starts_with("INCOMPLETE: 13 log lines were dropped or are malformed\n"),
+        "{text}"
     );
 }
 
 #[test]
-fn logs_without_answers_and_files_that_are_not_there_are_told() {
-    let empty = burn(vec![write("none.log", &[])], None).unwrap_err();
-    assert!(empty.contains("no line tells of an answer"), "{empty}");
-    let gone = burn(vec!["/nowhere/at-all".into()], None).unwrap_err();
-    assert!(gone.contains("/nowhere/at-all"), "{gone}");
+fn logs_without_requests_and_missing_files_are_errors() {
+    let empty = run_burn(vec![write_log("none.log", &[])], None).unwrap_err();
+    assert!(
+        empty.contains("no log line records the end of a request"),
+        "{empty}"
+    );
+    let missing = run_burn(vec!["/nowhere/at-all".into()], None).unwrap_err();
+    assert!(missing.contains("/nowhere/at-all"), "{missing}");
 }
 
 #[test]
-fn use_is_summed_over_the_logs_of_all_instances() {
-    let first = write(
+fn usage_is_summed_over_the_logs_of_all_instances() {
+    let first = write_log(
         "first.log",
         &[
             line(1, "streamed", 400, "school"),
             line(1, "cut", 400, "school"),
         ],
     );
-    let second = write(
+    let second = write_log(
         "second.log",
         &[
             line(1, "answered", 900, "school"),
@@ -120,9 +124,9 @@
 }
 
 #[test]
-fn an_answer_whose_parts_paused_for_too_long_is_late() {
-    let paused = line(1, "streamed", 400, "school")
+fn a_response_with_a_gap_above_its_target_is_late() {
+    let with_gap = line(1, "streamed", 400, "school")
         .replace("\"aim_ms\"", "\"pause_ms\":480,\"gap_ms\":300,\"aim_ms\"");
-    let told = burn(vec![write("paused.log", &[paused])], None).unwrap();
-    assert!(told.contains("0/1/0"), "{told}");
+    let text = run_burn(vec![write_log("paused.log", &[with_gap])], None).unwrap();
+    assert!(text.contains("0/1/0"), "{text}");
 }
