--- a/crates/siskinyoke-cli/src/check.rs
+++ b/crates/siskinyoke-cli/src/check.rs
@@ -14,7 +14,7 @@
 /// Validates a settings file or a configuration without starting or sending anything.
 #[derive(Debug, Args)]
 pub struct Check {
-    /// The file, or `-` for standard input. Its fields tell which of the two it is.
+    /// The file, or `-` for standard input. Its kind is recognised by its fields.
     file: String,
 }
 
@@ -24,10 +24,8 @@
         let (kind, error) = match self.read_text() {
             Err(err) => ("file", Some(err.to_string())),
             // Only a configuration has the field `routes`.
-            Ok(text) if text.contains("\"routes\"") => {
-                ("configuration", check_configuration(&text))
-            }
-            Ok(text) => ("settings", check_settings(&text)),
+            Ok(text) if text.contains("\"routes\"") => ("configuration", config_error(&text)),
+            Ok(text) => ("settings", settings_error(&text)),
         };
         if context.json {
             let report = json!({ "file": self.file, "kind": kind, "fault": error });
@@ -50,12 +48,12 @@
     }
 }
 
-fn check_settings(text: &str) -> Option<String> {
+fn settings_error(text: &str) -> Option<String> {
     Settings::parse(text).err().map(|err| err.to_string())
 }
 
 // Validates every preset, as any of them may be put in force later.
-fn check_configuration(text: &str) -> Option<String> {
+fn config_error(text: &str) -> Option<String> {
     let document = match Document::parse(text.as_bytes()) {
         Ok(document) => document,
         Err(err) => return Some(err.to_string()),
--- a/crates/siskinyoke-cli/src/context.rs
+++ b/crates/siskinyoke-cli/src/context.rs
@@ -16,7 +16,7 @@
 /// Options shared by all commands.
 #[derive(Debug, Clone, Args)]
 pub struct Context {
-    /// Addresses that tell which instances to use, tried in order.
+    /// Addresses to ask which instances to use, tried in order.
     #[arg(
         long = "address",
         global = true,
--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -84,9 +84,7 @@
     pub fn run(&self, context: &Context) -> Result<String, OperateError> {
         match self {
             Self::Configuration(Configuration::Show) => show_configuration(context),
-            Self::Configuration(Configuration::Apply { file }) => {
-                apply_configuration(context, file)
-            }
+            Self::Configuration(Configuration::Apply { file }) => apply_file(context, file),
             Self::Preset(Preset::List) => list_presets(context),
             Self::Preset(Preset::Switch { name }) => switch_preset(context, name),
             Self::Endpoint(command) => command.run(context),
@@ -101,7 +99,8 @@
     Ok(String::from_utf8_lossy(&item.value.unwrap_or_default()).into_owned())
 }
 
-fn apply_configuration(context: &Context, file: &Path) -> Result<String, OperateError> {
+// Puts the configuration of a file in force unless another one was put in force meanwhile.
+fn apply_file(context: &Context, file: &Path) -> Result<String, OperateError> {
     let bytes = read_file(file)?;
     let invalid = |err| OperateError::InvalidDocument(file.display().to_string(), err);
     let document = Document::parse(&bytes).map_err(invalid)?;
@@ -137,8 +136,8 @@
     Ok(lines.join("\n"))
 }
 
-// Puts a preset in force. Only the preset and the revision are replaced in the text, to preserve its
-// comments.
+// Puts a preset in force. Only the preset and the revision are replaced in the text, so that its
+// comments are preserved.
 fn switch_preset(context: &Context, name: &str) -> Result<String, OperateError> {
     let item = current_configuration(context)?;
     let document = parse_configuration(&item)?;
--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -57,14 +57,14 @@
 
 /// Counts of requests in a window by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-struct OutcomeCounts {
+struct Tally {
     within: u64,
     late: u64,
     refused: u64,
     broken: u64,
 }
 
-impl OutcomeCounts {
+impl Tally {
     fn add(&mut self, outcome: RequestOutcome) {
         let count = match outcome {
             RequestOutcome::Within => &mut self.within,
@@ -97,8 +97,8 @@
 struct BurnRow {
     tier: u64,
     organisation: String,
-    short: OutcomeCounts,
-    long: OutcomeCounts,
+    short: Tally,
+    long: Tally,
 }
 
 impl BurnRow {
@@ -183,14 +183,14 @@
         let cells: Vec<_> = rows.iter().map(cells).collect();
         page.table(&COLUMN_HEADINGS, &cells);
         page.heading("By tier");
-        let percentage = |counts: &OutcomeCounts| counts.within_ratio() * 100.0;
+        let percentage = |tally: &Tally| tally.within_ratio() * 100.0;
         let caption = "answered within the latency target, %";
         page.svg(&plot::curves(
             caption,
             &tier_curves(requests, percentage),
             self.objective * 100.0,
         )?);
-        let burn_rate = |counts: &OutcomeCounts| counts.burn_rate(self.objective);
+        let burn_rate = |tally: &Tally| tally.burn_rate(self.objective);
         let caption = "burn rate; 1 uses up the error budget exactly";
         page.svg(&plot::curves(
             caption,
@@ -224,11 +224,8 @@
 }
 
 // Returns one curve per tier of a value computed from the counts of each plot step.
-fn tier_curves(
-    requests: &[FinishedRequest<'_>],
-    value: impl Fn(&OutcomeCounts) -> f64,
-) -> Vec<Curve> {
-    let mut tiers: BTreeMap<u64, BTreeMap<u64, OutcomeCounts>> = BTreeMap::new();
+fn tier_curves(requests: &[FinishedRequest<'_>], value: impl Fn(&Tally) -> f64) -> Vec<Curve> {
+    let mut tiers: BTreeMap<u64, BTreeMap<u64, Tally>> = BTreeMap::new();
     for request in requests.iter().filter(|it| it.age_ms <= LONG_WINDOW_MS) {
         let steps = tiers.entry(request.tier).or_default();
         steps
@@ -236,12 +233,12 @@
             .or_default()
             .add(request.outcome);
     }
-    let curve = |(tier, steps): (u64, BTreeMap<u64, OutcomeCounts>)| {
+    let curve = |(tier, steps): (u64, BTreeMap<u64, Tally>)| {
         let points = steps.iter().rev();
         Curve {
             name: format!("tier {tier}"),
             points: points
-                .map(|(step, counts)| (-u64_to_f64(*step), value(counts)))
+                .map(|(step, tally)| (-u64_to_f64(*step), value(tally)))
                 .collect(),
         }
     };
--- a/crates/siskinyoke-cli/src/summary.rs
+++ b/crates/siskinyoke-cli/src/summary.rs
@@ -7,7 +7,7 @@
     let last = |event| {
         records
             .iter()
-            .rfind(|record| record.str_field("event") == Some(event))
+            .rfind(|it| it.str_field("event") == Some(event))
     };
     if let Some(answer) = last("answer") {
         return Some(summarize_answer(answer));
--- a/crates/siskinyoke-cli/tests/explain.rs
+++ b/crates/siskinyoke-cli/tests/explain.rs
@@ -61,8 +61,8 @@
     );
 }
 
-// A request is late because it waited at the instance, its endpoint was slow to respond, or there was
-// a long gap between two parts. Callers cannot tell these apart.
+// A request is late because it waited at the instance, its endpoint was slow to respond, or the gap
+// between two parts was long. Callers cannot tell these apart.
 #[test]
 fn the_report_begins_with_the_exceeded_limit() {
     let answer = |fields: &str| {
--- a/crates/siskinyoke-cli/tests/operate.rs
+++ b/crates/siskinyoke-cli/tests/operate.rs
@@ -73,8 +73,8 @@
     assert!(shown.contains("\"revision\": 2"));
 }
 
-// Two operators edit the same revision. If the second write succeeded, it would silently undo the change
-// of the first, which was reported as in force.
+// Two operators edit the same revision. If the second write succeeded, it would silently undo the
+// change of the first, which was reported as in force.
 #[test]
 fn a_change_that_was_overtaken_is_refused_and_changes_nothing() {
     let etcd = start_store();
@@ -175,8 +175,8 @@
     assert_eq!(etcd.get("siskinyoke/rollouts/lm"), None);
 }
 
-// A write takes effect, but its response is lost. If this were reported as a failure, the operator would
-// repeat the change; if as a success, a write that failed would go unnoticed.
+// A write takes effect, but its response is lost. If this were reported as a failure, the operator
+// would repeat the change; if as a success, a write that failed would go unnoticed.
 #[test]
 fn a_lost_response_is_reported_as_unknown_outcome() {
     let etcd = start_store();
--- a/crates/siskinyoke-cli/tests/report.rs
+++ b/crates/siskinyoke-cli/tests/report.rs
@@ -66,8 +66,8 @@
     assert!(text.contains("1     school        met    1 "), "{text}");
 }
 
-// A full disk or a broken pipe truncates a log. The sums of such a log are too low, which the report
-// must state.
+// A full disk or a broken pipe truncates a log. The sums are then too low, which the report has to
+// state.
 #[test]
 fn dropped_and_malformed_lines_are_counted() {
     let lines = [
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -216,7 +216,7 @@
     }
 }
 
-/// Reads a stream to its end. Events delivered by an earlier attempt are not passed to `sink` again.
+/// Reads a stream to its end. Events that an earlier attempt delivered are not passed to `sink`.
 fn read_stream(
     response: http::Response<Body>,
     outcome: &mut Outcome,
