--- a/crates/siskinyoke-cli/src/operate/endpoint.rs
+++ b/crates/siskinyoke-cli/src/operate/endpoint.rs
@@ -94,7 +94,7 @@
     for (name, entry) in &entries {
         if entry.slots == 0 {
             let field = format!("{name}.slots");
-            return Err(invalid(FormatError::Value(field, "give 1 or more")));
+            return Err(invalid(FormatError::InvalidValue(field, "give 1 or more")));
         }
     }
     for (name, entry) in &entries {
--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -184,7 +184,7 @@
 fn generate_key(context: &Context) -> String {
     let characters = rand::rng().sample_iter(&Alphanumeric).take(KEY_LENGTH);
     let key: String = characters.map(char::from).collect();
-    let digest = names::digest(&key);
+    let digest = names::key_digest(&key);
     if context.json {
         return serde_json::json!({ "key": key, "digest": digest }).to_string();
     }
@@ -217,7 +217,7 @@
         after = last.map(|it| it.key.clone()).unwrap_or_default();
         let matches = |it: &Item| it.key.starts_with(prefix);
         items.extend(page.items.into_iter().filter(matches));
-        if !page.more || after.is_empty() {
+        if !page.has_more || after.is_empty() {
             return Ok(items);
         }
     }
@@ -232,8 +232,8 @@
     store_revision: u64,
     reported_revision: u64,
 ) -> Result<(), OperateError> {
-    let body = context.call_store(&etcd::swap(key, value, store_revision))?;
-    if etcd::decode_swap(&body).map_err(invalid_response)? {
+    let body = context.call_store(&etcd::compare_and_swap(key, value, store_revision))?;
+    if etcd::decode_txn(&body).map_err(invalid_response)? {
         return Ok(());
     }
     Err(OperateError::Conflict(reported_revision))
--- a/crates/siskinyoke-cli/tests/operate.rs
+++ b/crates/siskinyoke-cli/tests/operate.rs
@@ -198,5 +198,5 @@
     let text = run_ok(&etcd, &["--json", "key"]);
     let output: serde_json::Value = serde_json::from_str(&text).unwrap();
     let key = output["key"].as_str().unwrap();
-    assert_eq!(output["digest"], siskinyoke_native::names::digest(key));
+    assert_eq!(output["digest"], siskinyoke_native::names::key_digest(key));
 }
--- a/crates/siskinyoke-gateway/src/admin.rs
+++ b/crates/siskinyoke-gateway/src/admin.rs
@@ -18,7 +18,7 @@
 
 /// Returns whether this instance accepts requests from callers.
 pub fn health(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
-    if request.uri().path() != shell.interface.pages.ready_path() {
+    if request.uri().path() != shell.interface.directory.readiness_path() {
         return response::text(StatusCode::NOT_FOUND, "no such page");
     }
     if shell.core.borrow().ready() {
@@ -30,19 +30,19 @@
 
 /// Returns the addresses of the instances that a caller should use.
 pub fn directory(shell: &Shell, request: &Request<Incoming>) -> Response<ResponseBody> {
-    if request.uri().path() != shell.interface.pages.directory_path() {
+    if request.uri().path() != shell.interface.directory.directory_path() {
         return response::text(StatusCode::NOT_FOUND, "no such page");
     }
     let centre = shell
         .interface
-        .pages
-        .centre(request.uri().query().unwrap_or(""));
+        .directory
+        .requested_centre(request.uri().query().unwrap_or(""));
     let addresses = shell.core.borrow().caller_addresses(shell.now(), centre);
     if addresses.is_empty() {
         return response::text(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
     let ttl = MAX_DIRECTORY_TTL.min(shell.settings().directory_ttl());
-    response::json(shell.interface.pages.directory(&addresses, ttl))
+    response::json(shell.interface.directory.encode_addresses(&addresses, ttl))
 }
 
 /// Returns the metrics page.
