--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -57,7 +57,7 @@
             instance.signal(Signal::TERM);
             logs.push((
                 format!("i{}.log", index + 1),
-                Log::read(instance.log().as_bytes()),
+                Log::parse(instance.log().as_bytes()),
             ));
         }
         drop(self.store);
