--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -167,7 +167,7 @@
     shell.notify_waiter(ticket, Ok(endpoint));
 }
 
-// Counts a denial; once all lenders have denied the slot, tells the scheduler.
+// Counts a denial, and notifies the scheduler once all lenders have denied the slot.
 fn slot_denied(shell: &Shell, id: u64) {
     let mut requests = shell.lending.slot_requests.borrow_mut();
     let Some(request) = requests.get_mut(&id) else {
