--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -94,7 +94,7 @@
         spawn_local(listener::accept(shell.clone(), listener, kind));
     }
     spawn_local(gossip.clone().send_reports(shell.clone()));
-    spawn_local(gossip.receive_reports(shell.clone()));
+    spawn_local(gossip.receive_messages(shell.clone()));
     spawn_local(watcher::follow(shell.clone()));
     spawn_local(registration::maintain(shell.clone()));
     spawn_local(reload::poll_file(shell.clone(), path.clone()));
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -103,7 +103,7 @@
     }
 
     /// Receives messages for as long as the process runs.
-    pub async fn receive_reports(self: Rc<Self>, shell: Rc<Shell>) {
+    pub async fn receive_messages(self: Rc<Self>, shell: Rc<Shell>) {
         let mut buffer = vec![0; MAX_MESSAGE_BYTES];
         while let Some(socket) = shell.socket.get() {
             match socket.recv_from(&mut buffer).await {
