--- a/crates/siskinyoke-base/src/code.rs
+++ b/crates/siskinyoke-base/src/code.rs
@@ -46,7 +46,7 @@
             /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Returns what a caller may conclude from the code.
+            /// Returns what a caller may conclude from the code. Kinds are assigned here only.
             pub const fn kind(self) -> Kind {
                 match self { $(Self::$name => Kind::$kind,)* }
             }
