--- a/crates/siskinyoke-gateway/src/callers/hold.rs
+++ b/crates/siskinyoke-gateway/src/callers/hold.rs
@@ -41,7 +41,8 @@
     body: Incoming,
 ) -> Result<(Limits, Bytes, MemoryReservation), Refusal> {
     let arrived = shell.now();
-    let deadline = arrived + cold_start::hold_timeout(shell.interface.exchange.deadline(parts));
+    let deadline =
+        arrived + cold_start::hold_timeout(shell.interface.exchange.caller_timeout(parts));
     let Some(overhead) = MemoryReservation::try_reserve(shell, HELD_REQUEST_OVERHEAD_BYTES) else {
         return Err(out_of_memory());
     };
--- a/crates/siskinyoke-interface/src/exchange.rs
+++ b/crates/siskinyoke-interface/src/exchange.rs
@@ -58,7 +58,7 @@
     fn request_id<'a>(&self, parts: &'a Parts) -> Option<&'a str>;
 
     /// Returns how long the caller waits for the response, if the request states it.
-    fn deadline(&self, parts: &Parts) -> Option<Millis>;
+    fn caller_timeout(&self, parts: &Parts) -> Option<Millis>;
 
     /// Decodes a caller's request; `body` is empty unless [`Self::needs_body`] returns true.
     ///
--- a/crates/siskinyoke-interface/src/store.rs
+++ b/crates/siskinyoke-interface/src/store.rs
@@ -82,8 +82,9 @@
     /// The response is malformed.
     fn decode_range(&self, bytes: &[u8]) -> Result<Batch, FormatError>;
 
-    /// Waits for changes to our items after a revision.
-    fn watch(&self, revision: u64, wait: Millis) -> Call;
+    /// Waits for changes to our items after a revision, for at most `timeout` if the store supports
+    /// a limit.
+    fn watch(&self, revision: u64, timeout: Millis) -> Call;
 
     /// Decodes the part of a watch response received so far; `ended` if it is complete.
     ///
--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -206,7 +206,7 @@
         row: &RouteRow,
         preset: &Preset,
     ) -> Result<(), FormatError> {
-        let priority = self.priority(&row.tier)?;
+        let tier_priority = self.priority(&row.tier)?;
         let closed = preset.closed.contains(&row.tier);
         if row.services.values().all(|weight| *weight == 0) {
             let field = format!("routes, tier {}", row.tier);
@@ -228,7 +228,7 @@
             timeout: Millis(row.timeout_ms),
             latency_target: Millis(row.objective_ms),
             gap_target: Millis(row.gap_ms),
-            priority,
+            priority: tier_priority,
             targets: if closed {
                 Vec::new()
             } else {
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -52,7 +52,7 @@
         let rows = page.kvs.into_iter();
         Ok(Batch {
             items: rows
-                .map(|row| row.decode_request(false))
+                .map(|row| row.decode(false))
                 .collect::<Result<_, _>>()?,
             revision: parse_number(&page.header.revision)?,
             has_more: page.more,
@@ -82,7 +82,7 @@
                 return Err(FormatError::Compacted);
             }
             for event in message.result.events {
-                let item = event.kv.decode_request(event.kind == "DELETE")?;
+                let item = event.kv.decode(event.kind == "DELETE")?;
                 batch.revision = batch.revision.max(item.revision);
                 batch.items.push(item);
             }
@@ -208,7 +208,7 @@
 }
 
 impl Row {
-    fn decode_request(self, removed: bool) -> Result<Item, FormatError> {
+    fn decode(self, removed: bool) -> Result<Item, FormatError> {
         let key = STANDARD.decode(self.key)?;
         let value = STANDARD.decode(self.value)?;
         Ok(Item {
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -67,7 +67,7 @@
         headers::header_text(&parts.headers, &names::REQUEST_ID)
     }
 
-    fn deadline(&self, parts: &Parts) -> Option<Millis> {
+    fn caller_timeout(&self, parts: &Parts) -> Option<Millis> {
         let value = headers::header_text(&parts.headers, &names::CALLER_TIMEOUT)?;
         value.trim().parse().ok().map(Millis)
     }
@@ -94,7 +94,7 @@
             host: ANY_HOST,
             path,
             api_key: headers::bearer_token(head).map(|key| Cow::Owned(names::key_digest(key))),
-            timeout: self.deadline(parts),
+            timeout: self.caller_timeout(parts),
             token_counts: tokens,
             output_estimate: headers::header_text(head, &names::OUTPUT_ESTIMATE)
                 .and_then(|it| it.trim().parse().ok()),
--- a/crates/siskinyoke-native/tests/documents.rs
+++ b/crates/siskinyoke-native/tests/documents.rs
@@ -103,8 +103,9 @@
     ];
     for (valid, invalid, hint) in cases {
         assert!(CONFIGURATION_TEXT.contains(valid), "{valid}");
-        let text = CONFIGURATION_TEXT.replace(valid, invalid);
-        let err = decode(&text).unwrap_err().to_string();
+        let err = decode(&CONFIGURATION_TEXT.replace(valid, invalid))
+            .unwrap_err()
+            .to_string();
         assert!(err.contains(hint), "{invalid}: {err}");
     }
 }
