--- a/crates/siskinyoke-cli/src/explain.rs
+++ b/crates/siskinyoke-cli/src/explain.rs
@@ -71,7 +71,7 @@
 }
 
 /// Writes a report on a request from named logs: for each log a summary in one sentence, followed
-/// by the related log lines.
+/// by the log lines of the request and those related to it.
 ///
 /// `changes` adds the configurations that came in force around the request to the one that was in
 /// force when it arrived. Malformed lines are counted and skipped.
--- a/crates/siskinyoke-cli/src/operate/rollout.rs
+++ b/crates/siskinyoke-cli/src/operate/rollout.rs
@@ -136,7 +136,7 @@
         || "no order".to_owned(),
         |it| format!("to {} within {} s", it.version, it.seconds),
     );
-    // The state may belong to an earlier order, which is not shown.
+    // A state left by an earlier order does not apply to this one and is not shown.
     let matches_order = |it: &&RolloutStatus| {
         let order = row.order.as_ref();
         order.is_none_or(|order| order.version == it.version)
