--- a/crates/siskinyoke-interface/src/exchange.rs
+++ b/crates/siskinyoke-interface/src/exchange.rs
@@ -94,8 +94,8 @@
         id: Option<&str>,
     ) -> ResponseClass;
 
-    /// Returns the rate limit stated in an endpoint's response, if any: requests per second from all
-    /// instances together.
+    /// Returns the rate limit stated in an endpoint's response, if any: requests per second from
+    /// all instances together.
     ///
     /// # Errors
     ///
