--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -13,6 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Identifies the sending process; drawn at random when it starts.
+    #[serde(rename = "source")]
     pub source: u64,
     /// How long the process has run, in ms.
     pub age: u64,
@@ -21,6 +22,7 @@
     /// Whether the instance accepts callers.
     pub ready: bool,
     /// Whether the instance is shutting down.
+    #[serde(rename = "leaving")]
     pub leaving: bool,
     /// The version of the active configuration.
     pub configuration: u64,
