--- a/crates/siskinyoke-gateway/tests/soak.rs
+++ b/crates/siskinyoke-gateway/tests/soak.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use siskinyoke_soak::run;
-use siskinyoke_soak::run::Size;
+use siskinyoke_soak::run::FleetSize;
 
 /// Regression seeds, each with the failure it guards against.
 ///
@@ -14,26 +14,26 @@
 
 #[test]
 fn guarantees_hold_under_overlapping_faults() {
-    check_seeds(&seeds(0..2), Size::ONE_SHARD);
+    check_seeds(&seeds(0..2), FleetSize::ONE_SHARD);
 }
 
 // As above, but most instances get the store's changes from a peer, which may freeze, die or lose
 // its connection to the store.
 #[test]
 fn guarantees_hold_where_one_instance_watches_for_others() {
-    check_seeds(&seeds(0..1), Size::TWO_SHARDS);
+    check_seeds(&seeds(0..1), FleetSize::TWO_SHARDS);
 }
 
-fn check_seeds(seeds: &[u64], size: Size) {
+fn check_seeds(seeds: &[u64], size: FleetSize) {
     let program = Path::new(env!("CARGO_BIN_EXE_siskinyoke-gateway"));
     let mut violations = Vec::new();
     for &seed in seeds {
-        let verdict = run::play(seed, program, size);
+        let verdict = run::run_seed(seed, program, size);
         println!(
             "seed {seed}: {} requests served, {} not served, {} rollout states",
-            verdict.good, verdict.other, verdict.states
+            verdict.served, verdict.unserved, verdict.rollout_states
         );
-        assert!(verdict.good > 0, "seed {seed}: no request was served");
+        assert!(verdict.served > 0, "seed {seed}: no request was served");
         violations.extend(verdict.broken.iter().map(|it| format!("seed {seed}: {it}")));
     }
     assert!(violations.is_empty(), "{}", violations.join("\n"));
--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -13,8 +13,8 @@
 use siskinyoke_soak::Instance;
 use siskinyoke_soak::Store;
 use siskinyoke_soak::configuration;
-use siskinyoke_soak::instance::get;
-use siskinyoke_soak::instance::until;
+use siskinyoke_soak::instance::http_get;
+use siskinyoke_soak::instance::wait_until;
 
 struct Fleet {
     store: Store,
@@ -33,12 +33,12 @@
             store.put(&key, &endpoint.entry("ready"));
         }
         let program = Path::new(env!("CARGO_BIN_EXE_siskinyoke-gateway"));
-        let start = |name| Instance::start(program, name, store.address).ready();
+        let start = |name| Instance::start(program, name, store.address).wait_until_ready();
         let instances: Vec<Instance> = ["i1", "i2"].map(start).into();
         // Until an instance knows its peer, it applies only its own share of the quotas.
         for instance in &instances {
-            until("the instances receive each other's reports", || {
-                let page = get(instance.metrics, "/metrics").unwrap_or_default();
+            wait_until("the instances receive each other's reports", || {
+                let page = http_get(instance.metrics_address, "/metrics").unwrap_or_default();
                 page.lines()
                     .any(|line| line.contains("what=\"peers\"") && line.ends_with(" 1"))
             });
@@ -54,10 +54,10 @@
     fn explain(self, id: &str) -> String {
         let mut logs = Vec::new();
         for (index, instance) in self.instances.into_iter().enumerate() {
-            instance.signal(Signal::TERM);
+            instance.send_signal(Signal::TERM);
             logs.push((
                 format!("i{}.log", index + 1),
-                Log::parse(instance.log().as_bytes()),
+                Log::parse(instance.into_log().as_bytes()),
             ));
         }
         drop(self.store);
--- a/crates/siskinyoke-gateway/tests/whole/main.rs
+++ b/crates/siskinyoke-gateway/tests/whole/main.rs
@@ -12,14 +12,14 @@
 use siskinyoke_soak::Instance;
 use siskinyoke_soak::Store;
 use siskinyoke_soak::configuration;
-use siskinyoke_soak::endpoint::LARGE;
-use siskinyoke_soak::endpoint::LIMIT;
-use siskinyoke_soak::endpoint::MANY;
-use siskinyoke_soak::instance::get;
-use siskinyoke_soak::instance::read_answer;
-use siskinyoke_soak::instance::send;
-use siskinyoke_soak::instance::until;
-use siskinyoke_soak::store::Mood;
+use siskinyoke_soak::endpoint::LARGE_BODY_BYTES;
+use siskinyoke_soak::endpoint::LONG_STREAM_EVENTS;
+use siskinyoke_soak::endpoint::RATE_LIMIT_PER_SECOND;
+use siskinyoke_soak::instance::http_get;
+use siskinyoke_soak::instance::read_response;
+use siskinyoke_soak::instance::send_request;
+use siskinyoke_soak::instance::wait_until;
+use siskinyoke_soak::store::Availability;
 
 struct Setup {
     store: Store,
@@ -44,7 +44,7 @@
             &endpoint.entry("ready"),
         );
     }
-    let instance = Instance::start(program(), "i1", store.address).ready();
+    let instance = Instance::start(program(), "i1", store.address).wait_until_ready();
     Setup {
         store,
         endpoints,
@@ -58,7 +58,7 @@
     store.put("op/config", &configuration::text(3, "k1"));
     let endpoint = Endpoint::start("e1");
     store.put("servers/e1", &endpoint.entry("ready"));
-    store.set_mood(Mood::Silent);
+    store.set_availability(Availability::Unresponsive);
     let instance = Instance::start(program(), "i1", store.address);
     Setup {
         store,
@@ -69,12 +69,12 @@
 
 // Sends a request with a deadline in ms, as soon as the instance listens.
 fn send_early(setup: &Setup, path: &str, deadline_ms: u32, body: &str) -> TcpStream {
-    until("the instance listens", || {
-        TcpStream::connect(setup.instance.callers).is_ok()
+    wait_until("the instance listens", || {
+        TcpStream::connect(setup.instance.caller_address).is_ok()
     });
-    let mut stream = setup.instance.open();
+    let mut stream = setup.instance.connect();
     let header = format!("siskinyoke-deadline-ms: {deadline_ms}\r\n");
-    send(&mut stream, "r1", path, &header, body);
+    send_request(&mut stream, "r1", path, &header, body);
     stream
 }
 
@@ -126,7 +126,7 @@
     let span = start.elapsed().as_secs_f64().max(4.0);
     let count = u32::try_from(arrival_count(&setup) - before).unwrap();
     assert!(
-        f64::from(count) <= 1.5 * LIMIT * span + 5.0,
+        f64::from(count) <= 1.5 * RATE_LIMIT_PER_SECOND * span + 5.0,
         "{count} requests in {span:.1} s"
     );
 }
@@ -138,7 +138,7 @@
     let setup = start_setup(&["e1"]);
     setup.instance.call("r1", "/safe/moved", "", "");
     assert_eq!(arrival_count(&setup), 1);
-    let page = get(setup.instance.metrics, "/metrics").unwrap();
+    let page = http_get(setup.instance.metrics_address, "/metrics").unwrap();
     let row = page.lines().find(|it| it.contains("limited_endpoints"));
     assert!(row.unwrap().ends_with(" 0"), "{row:?}");
 }
@@ -188,7 +188,7 @@
             .call("r", "/safe/early", "", "the whole body");
         assert!(answer.ends_with("early"), "{answer}");
     }
-    until("all requests arrived", || arrival_count(&setup) == 5);
+    wait_until("all requests arrived", || arrival_count(&setup) == 5);
     for arrival in setup.endpoints[0].arrivals() {
         assert_eq!(arrival.body, b"the whole body");
         assert!(
@@ -239,19 +239,19 @@
 #[test]
 fn a_slow_caller_gets_the_end_of_its_stream() {
     let setup = start_setup(&["e1"]);
-    let mut stream = setup.instance.open();
-    send(
+    let mut stream = setup.instance.connect();
+    send_request(
         &mut stream,
         "r1",
         "/single/many",
         "connection: close\r\n",
         "",
     );
-    until("the request arrived", || arrival_count(&setup) == 1);
+    wait_until("the request arrived", || arrival_count(&setup) == 1);
     std::thread::sleep(Duration::from_millis(500));
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
-    assert_eq!(answer.matches("id: ").count(), MANY + 1);
+    assert_eq!(answer.matches("id: ").count(), LONG_STREAM_EVENTS + 1);
     assert!(answer.ends_with("0\r\n\r\n"));
 }
 
@@ -266,7 +266,7 @@
         "{}",
         &answer[..100.min(answer.len())]
     );
-    assert!(answer.matches('x').count() >= LARGE);
+    assert!(answer.matches('x').count() >= LARGE_BODY_BYTES);
     assert_eq!(arrival_count(&setup), 1);
 }
 
@@ -327,11 +327,11 @@
 fn a_request_is_cancelled_when_its_caller_disconnects() {
     let setup = start_setup(&["e1"]);
     for number in 1..6 {
-        let mut stream = setup.instance.open();
-        send(&mut stream, "r1", "/safe/slow", "", "");
-        until("the request arrived", || arrival_count(&setup) == number);
+        let mut stream = setup.instance.connect();
+        send_request(&mut stream, "r1", "/safe/slow", "", "");
+        wait_until("the request arrived", || arrival_count(&setup) == number);
         drop(stream);
-        until("its endpoint is disconnected", || {
+        wait_until("its endpoint is disconnected", || {
             setup.endpoints[0].left() as usize == number
         });
     }
@@ -352,20 +352,20 @@
 #[test]
 fn a_revoked_key_is_refused_over_an_open_connection() {
     let setup = start_setup(&["e1"]);
-    let mut stream = setup.instance.open();
-    send(&mut stream, "r1", "/safe/a", "", "");
-    assert!(read_answer(&mut stream).starts_with("HTTP/1.1 200"));
+    let mut stream = setup.instance.connect();
+    send_request(&mut stream, "r1", "/safe/a", "", "");
+    assert!(read_response(&mut stream).starts_with("HTTP/1.1 200"));
     setup.store.put("op/config", &configuration::text(4, "k2"));
-    until("the key is refused", || {
-        send(&mut stream, "r2", "/safe/a", "", "");
-        read_answer(&mut stream).starts_with("HTTP/1.1 401")
+    wait_until("the key is refused", || {
+        send_request(&mut stream, "r2", "/safe/a", "", "");
+        read_response(&mut stream).starts_with("HTTP/1.1 401")
     });
     // An older version that arrives late must be ignored.
     setup.store.put("op/config", &configuration::text(3, "k1"));
     setup.store.put("servers/later", "x");
     std::thread::sleep(Duration::from_millis(100));
-    send(&mut stream, "r3", "/safe/a", "", "");
-    assert!(read_answer(&mut stream).starts_with("HTTP/1.1 401"));
+    send_request(&mut stream, "r3", "/safe/a", "", "");
+    assert!(read_response(&mut stream).starts_with("HTTP/1.1 401"));
 }
 
 #[test]
@@ -376,8 +376,8 @@
         .put("servers/e1", &setup.endpoints[0].entry("draining"));
     // Changes are applied in order, so an instance with this version has also seen the drain.
     setup.store.put("op/config", &configuration::text(4, "k1"));
-    until("the configuration is applied", || {
-        let page = get(setup.instance.metrics, "/metrics").unwrap_or_default();
+    wait_until("the configuration is applied", || {
+        let page = http_get(setup.instance.metrics_address, "/metrics").unwrap_or_default();
         let version = page
             .lines()
             .find(|it| it.contains("what=\"configuration\""));
@@ -395,15 +395,15 @@
 #[test]
 fn requests_are_served_during_a_store_outage() {
     let setup = start_setup(&["e1", "e2"]);
-    setup.store.set_mood(Mood::Busy);
+    setup.store.set_availability(Availability::Unavailable);
     for _ in 0..5 {
         let answer = setup.instance.call("r", "/safe/a", "", "");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
     setup.store.remove("servers/e1");
-    setup.store.forget_history();
-    setup.store.set_mood(Mood::Well);
-    until("only e2 receives requests", || {
+    setup.store.compact();
+    setup.store.set_availability(Availability::Available);
+    wait_until("only e2 receives requests", || {
         let before = setup.endpoints[0].arrivals().len();
         for _ in 0..8 {
             setup.instance.call("r", "/safe/a", "", "");
@@ -415,16 +415,20 @@
 #[test]
 fn instances_find_each_other_and_are_listed_for_callers() {
     let setup = start_setup(&["e1"]);
-    let other = Instance::start(program(), "i2", setup.store.address).ready();
-    until("the directory lists both instances", || {
-        let answer = get(setup.instance.directory, "/api/resolve?Name=h&Zone=a").unwrap();
-        answer.contains(&other.callers.to_string())
-            && answer.contains(&setup.instance.callers.to_string())
+    let other = Instance::start(program(), "i2", setup.store.address).wait_until_ready();
+    wait_until("the directory lists both instances", || {
+        let answer = http_get(
+            setup.instance.directory_address,
+            "/api/resolve?Name=h&Zone=a",
+        )
+        .unwrap();
+        answer.contains(&other.caller_address.to_string())
+            && answer.contains(&setup.instance.caller_address.to_string())
     });
-    until("both instances are registered", || {
+    wait_until("both instances are registered", || {
         setup.store.keys("instances/") == ["instances/i1", "instances/i2"]
     });
-    let page = get(other.metrics, "/metrics").unwrap();
+    let page = http_get(other.metrics_address, "/metrics").unwrap();
     assert!(page.contains("siskinyoke_state"), "{page}");
 }
 
@@ -433,9 +437,10 @@
 #[test]
 fn an_instance_that_starts_without_the_store_learns_from_a_peer() {
     let setup = start_setup(&["e1"]);
-    setup.store.set_mood(Mood::Busy);
-    let seeds = [setup.instance.peers];
-    let other = Instance::start_with(program(), "i2", setup.store.address, &seeds).ready();
+    setup.store.set_availability(Availability::Unavailable);
+    let seeds = [setup.instance.peer_address];
+    let other =
+        Instance::start_with_seeds(program(), "i2", setup.store.address, &seeds).wait_until_ready();
     let answer = other.call("r1", "/safe/a", "", "");
     assert!(answer.ends_with("whole"), "{answer}");
 }
@@ -446,8 +451,8 @@
 fn a_request_before_the_first_configuration_is_held_and_served_once() {
     let setup = start_setup_with_stalled_store();
     let mut stream = send_early(&setup, "/safe/a", 60_000, "body");
-    setup.store.set_mood(Mood::Well);
-    let answer = read_answer(&mut stream);
+    setup.store.set_availability(Availability::Available);
+    let answer = read_response(&mut stream);
     assert!(answer.ends_with("whole"), "{answer}");
     let arrivals = setup.endpoints[0].arrivals();
     assert_eq!(arrivals.len(), 1);
@@ -459,8 +464,8 @@
 fn a_held_request_is_checked_once_the_configuration_is_known() {
     let setup = start_setup_with_stalled_store();
     let mut stream = send_early(&setup, "/nowhere/", 60_000, "");
-    setup.store.set_mood(Mood::Well);
-    let answer = read_answer(&mut stream);
+    setup.store.set_availability(Availability::Available);
+    let answer = read_response(&mut stream);
     assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
     assert_eq!(arrival_count(&setup), 0);
 }
@@ -472,9 +477,9 @@
     let setup = start_setup_with_stalled_store();
     drop(send_early(&setup, "/safe/a", 60_000, ""));
     std::thread::sleep(Duration::from_millis(100));
-    setup.store.set_mood(Mood::Well);
+    setup.store.set_availability(Availability::Available);
     let setup = Setup {
-        instance: setup.instance.ready(),
+        instance: setup.instance.wait_until_ready(),
         ..setup
     };
     let answer = setup.instance.call("r2", "/safe/b", "", "");
@@ -488,7 +493,7 @@
 fn a_held_request_is_rejected_with_a_retry_after_while_its_caller_still_waits() {
     let setup = start_setup_with_stalled_store();
     let mut stream = send_early(&setup, "/safe/a", 400, "");
-    let answer = read_answer(&mut stream);
+    let answer = read_response(&mut stream);
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("retry-after: "), "{answer}");
     assert_eq!(arrival_count(&setup), 0);
@@ -514,8 +519,8 @@
     version(2, "v2");
     version(3, "v2");
     let state = || setup.store.value("status/rollout/lm").unwrap_or_default();
-    until("the rollout is running", || state().contains("running"));
-    until("the rollout is completed", || {
+    wait_until("the rollout is running", || state().contains("running"));
+    wait_until("the rollout is completed", || {
         setup.instance.call("r", "/safe/a", "", "");
         assert!(!state().contains("rolled_back"), "{}", state());
         state().contains("completed")
@@ -536,21 +541,21 @@
 #[test]
 fn an_instance_that_shuts_down_finishes_its_requests() {
     let setup = start_setup(&["e1"]);
-    let mut stream = setup.instance.open();
-    send(&mut stream, "r1", "/safe/nap", "", "");
-    until("the request arrived", || arrival_count(&setup) == 1);
-    setup.instance.signal(Signal::TERM);
-    let health = setup.instance.health;
-    until("the instance is not ready", || {
-        setup.instance.status(health, "/api/readyz") == Some(503)
+    let mut stream = setup.instance.connect();
+    send_request(&mut stream, "r1", "/safe/nap", "", "");
+    wait_until("the request arrived", || arrival_count(&setup) == 1);
+    setup.instance.send_signal(Signal::TERM);
+    let health = setup.instance.health_address;
+    wait_until("the instance is not ready", || {
+        setup.instance.http_status(health, "/api/readyz") == Some(503)
     });
-    let answer = read_answer(&mut stream);
+    let answer = read_response(&mut stream);
     assert!(answer.ends_with("whole"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     let mut rest = String::new();
     stream.read_to_string(&mut rest).unwrap();
     assert!(rest.is_empty(), "{rest}");
-    let log = setup.instance.log();
+    let log = setup.instance.into_log();
     for event in [
         "start",
         "store_regained",
@@ -569,7 +574,7 @@
 #[test]
 fn a_reload_signal_does_not_end_the_process() {
     let setup = start_setup(&["e1"]);
-    setup.instance.signal(Signal::HUP);
+    setup.instance.send_signal(Signal::HUP);
     std::thread::sleep(Duration::from_millis(50));
     let answer = setup.instance.call("r", "/safe/a", "", "");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -7,11 +7,11 @@
 
 /// What may be repeated of a request of the soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Care {
+pub enum RequestKind {
     /// It may run more than once.
     Safe,
     /// It runs once at most.
-    Once,
+    Unsafe,
     /// A stream that may go on elsewhere.
     Stream,
 }
@@ -22,15 +22,15 @@
     /// The request's identity.
     pub id: String,
     /// What may be repeated of it.
-    pub care: Care,
+    pub kind: RequestKind,
     /// All bytes that came back.
-    pub answer: String,
+    pub response: String,
 }
 
 impl Outcome {
     /// Returns the answer's status, if one came.
     pub fn status(&self) -> Option<u16> {
-        self.answer.get(9..12)?.parse().ok()
+        self.response.get(9..12)?.parse().ok()
     }
 }
 
@@ -55,7 +55,7 @@
     /// # Panics
     ///
     /// If a caller's thread panicked before.
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn result_counts(&self) -> (usize, usize) {
         let outcomes = self.outcomes.lock().unwrap();
         let good = outcomes
             .iter()
@@ -69,7 +69,7 @@
     /// # Panics
     ///
     /// If a caller's thread panicked before.
-    pub fn broken(&self, endpoints: &[Endpoint]) -> Vec<String> {
+    pub fn violations(&self, endpoints: &[Endpoint]) -> Vec<String> {
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for arrival in endpoints.iter().flat_map(Endpoint::arrivals) {
             if let Some(id) = arrival.header("siskinyoke-request-id") {
@@ -79,38 +79,38 @@
         let outcomes = self.outcomes.lock().unwrap();
         outcomes
             .iter()
-            .flat_map(|it| check(it, runs.get(&it.id).copied().unwrap_or(0)))
+            .flat_map(|it| check_outcome(it, runs.get(&it.id).copied().unwrap_or(0)))
             .collect()
     }
 }
 
-fn check(outcome: &Outcome, runs: usize) -> Vec<String> {
-    let Outcome { id, care, answer } = outcome;
+fn check_outcome(outcome: &Outcome, runs: usize) -> Vec<String> {
+    let Outcome { id, kind, response } = outcome;
     let mut broken = Vec::new();
-    if *care == Care::Once && runs > 1 {
+    if *kind == RequestKind::Unsafe && runs > 1 {
         broken.push(format!("{id} runs once at most and ran {runs} times"));
     }
     let status = outcome.status();
-    if runs > 0 && *care == Care::Once && matches!(status, Some(408 | 421 | 429 | 503)) {
+    if runs > 0 && *kind == RequestKind::Unsafe && matches!(status, Some(408 | 421 | 429 | 503)) {
         broken.push(format!(
-            "{id} was told that it had not run and ran: {answer:?}"
+            "{id} was told that it had not run and ran: {response:?}"
         ));
     }
     if matches!(status, Some(400..=407 | 409..=420)) {
         broken.push(format!(
-            "{id} was denied though all configurations allow it: {answer:?}"
+            "{id} was denied though all configurations allow it: {response:?}"
         ));
     }
     if status != Some(200) {
         return broken;
     }
-    if !answer.contains(&format!("siskinyoke-request-id: {id}\r\n")) {
+    if !response.contains(&format!("siskinyoke-request-id: {id}\r\n")) {
         broken.push(format!(
-            "{id} got the answer to another request: {answer:?}"
+            "{id} got the answer to another request: {response:?}"
         ));
     }
-    if *care == Care::Stream {
-        broken.extend(check_stream(id, answer));
+    if *kind == RequestKind::Stream {
+        broken.extend(check_stream(id, response));
     }
     broken
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -14,22 +14,22 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
-use crate::checker::Care;
 use crate::checker::Checker;
 use crate::checker::Outcome;
+use crate::checker::RequestKind;
 
 /// Requests of the soak: what may be repeated of them, and a path that says what endpoints do.
-const WORK: [(Care, &str); 6] = [
-    (Care::Safe, "/safe/a"),
-    (Care::Safe, "/safe/cut"),
-    (Care::Once, "/once/a"),
-    (Care::Once, "/once/cut"),
-    (Care::Once, "/once/extra"),
-    (Care::Stream, "/stream/events"),
+const REQUESTS: [(RequestKind, &str); 6] = [
+    (RequestKind::Safe, "/safe/a"),
+    (RequestKind::Safe, "/safe/cut"),
+    (RequestKind::Unsafe, "/once/a"),
+    (RequestKind::Unsafe, "/once/cut"),
+    (RequestKind::Unsafe, "/once/extra"),
+    (RequestKind::Stream, "/stream/events"),
 ];
 
 /// Sends one request after the other until `stop` is set.
-pub fn send_all(
+pub fn run_caller(
     seed: u64,
     number: u64,
     instances: &[SocketAddr],
@@ -41,9 +41,9 @@
     let mut count = 0;
     while !stop.load(Ordering::Relaxed) {
         count += 1;
-        let (care, path) = *WORK.choose(&mut rng).unwrap_or(&WORK[0]);
+        let (care, path) = *REQUESTS.choose(&mut rng).unwrap_or(&REQUESTS[0]);
         let id = format!("s{seed}c{number}n{count}");
-        let close = rng.random_bool(0.3) || care == Care::Stream;
+        let close = rng.random_bool(0.3) || care == RequestKind::Stream;
         let address = instances.choose(&mut rng).copied();
         let stream = kept.take().or_else(|| TcpStream::connect(address?).ok());
         let Some(mut stream) = stream else {
@@ -55,7 +55,11 @@
         if whole && !close {
             kept = Some(stream);
         }
-        checker.add(Outcome { id, care, answer });
+        checker.add(Outcome {
+            id,
+            kind: care,
+            response: answer,
+        });
     }
 }
 
@@ -73,22 +77,22 @@
     });
     let mut answer = Vec::new();
     if sent.is_ok() {
-        read(stream, &mut answer, close);
+        read_response(stream, &mut answer, close);
     }
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn read(stream: &mut TcpStream, answer: &mut Vec<u8>, to_end: bool) {
+fn read_response(stream: &mut TcpStream, answer: &mut Vec<u8>, to_end: bool) {
     let mut buffer = [0; 2048];
     while let Ok(length) = stream.read(&mut buffer) {
         answer.extend_from_slice(&buffer[..length]);
-        if length == 0 || (!to_end && complete(answer)) {
+        if length == 0 || (!to_end && is_complete(answer)) {
             return;
         }
     }
 }
 
-fn complete(answer: &[u8]) -> bool {
+fn is_complete(answer: &[u8]) -> bool {
     let text = String::from_utf8_lossy(answer);
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration of the tests and the soak.
 
-const TEXT: &str = r#"{"Version":VERSION,"Routes":[
+const CONFIGURATION_TEMPLATE: &str = r#"{"Version":VERSION,"Routes":[
  {"Name":"safe","Host":"h.example","Prefix":"/safe/","Kind":"safe","TimeoutMs":4000,
   "TargetLatencyMs":2000,"Priority":0,"Service":"lm","MaxAttempts":2},
  {"Name":"once","Host":"h.example","Prefix":"/once/","Kind":"unsafe","TimeoutMs":4000,
@@ -18,6 +18,7 @@
 
 /// Returns a version of the configuration in which one key is known.
 pub fn text(version: u64, key: &str) -> String {
-    TEXT.replace("VERSION", &version.to_string())
+    CONFIGURATION_TEMPLATE
+        .replace("VERSION", &version.to_string())
         .replace("KEY", key)
 }
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -13,17 +13,17 @@
 use std::time::Duration;
 
 /// The bytes of a large answer.
-pub const LARGE: usize = 3 * 1024 * 1024;
+pub const LARGE_BODY_BYTES: usize = 3 * 1024 * 1024;
 
 /// The events of a long stream.
-pub const MANY: usize = 1_000;
+pub const LONG_STREAM_EVENTS: usize = 1_000;
 
 /// The requests a second that an endpoint asks for whose requests' path says that it is limited.
-pub const LIMIT: f64 = 1.5;
+pub const RATE_LIMIT_PER_SECOND: f64 = 1.5;
 
 /// A request as it reached an endpoint.
 #[derive(Debug, Clone, Default)]
-pub struct Arrival {
+pub struct ReceivedRequest {
     /// The request line.
     pub line: String,
     /// Its headers, names in lower case.
@@ -32,7 +32,7 @@
     pub body: Vec<u8>,
 }
 
-impl Arrival {
+impl ReceivedRequest {
     /// Returns a header's value, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
@@ -41,7 +41,7 @@
             .map(|row| &*row.1)
     }
 
-    fn does(&self, what: &str) -> bool {
+    fn line_contains(&self, what: &str) -> bool {
         self.line.contains(what)
     }
 }
@@ -55,8 +55,8 @@
     pub version: Option<String>,
     /// Where it listens.
     pub address: SocketAddr,
-    arrivals: Arc<Mutex<Vec<Arrival>>>,
-    left: Arc<Mutex<u32>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    disconnects: Arc<Mutex<u32>>,
 }
 
 impl Endpoint {
@@ -66,7 +66,7 @@
     ///
     /// If no port is free.
     pub fn start(id: &str) -> Self {
-        Self::start_version(id, None)
+        Self::start_with_version(id, None)
     }
 
     /// Starts an endpoint whose entry names a version.
@@ -74,14 +74,14 @@
     /// # Panics
     ///
     /// If no port is free.
-    pub fn start_version(id: &str, version: Option<&str>) -> Self {
+    pub fn start_with_version(id: &str, version: Option<&str>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let endpoint = Self {
             id: id.to_owned(),
             version: version.map(str::to_owned),
             address: listener.local_addr().unwrap(),
-            arrivals: Arc::default(),
-            left: Arc::default(),
+            requests: Arc::default(),
+            disconnects: Arc::default(),
         };
         let serving = endpoint.clone();
         thread::spawn(move || {
@@ -113,8 +113,8 @@
     /// # Panics
     ///
     /// If one of its threads panicked before.
-    pub fn arrivals(&self) -> Vec<Arrival> {
-        self.arrivals.lock().unwrap().clone()
+    pub fn arrivals(&self) -> Vec<ReceivedRequest> {
+        self.requests.lock().unwrap().clone()
     }
 
     /// How often a connection was closed while a request was at work.
@@ -123,14 +123,14 @@
     ///
     /// If one of its threads panicked before.
     pub fn left(&self) -> u32 {
-        *self.left.lock().unwrap()
+        *self.disconnects.lock().unwrap()
     }
 
     fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut out = stream;
         while let Some(mut arrival) = read_head(&mut reader)? {
-            let early = arrival.does("early");
+            let early = arrival.line_contains("early");
             if early {
                 out.write_all(&self.answer(&arrival, "early"))?;
             }
@@ -139,8 +139,8 @@
                 .map_or(0, |it| it.parse().unwrap());
             arrival.body = vec![0; length];
             reader.read_exact(&mut arrival.body)?;
-            self.arrivals.lock().unwrap().push(arrival.clone());
-            if !early && !self.act(&arrival, &mut out)? {
+            self.requests.lock().unwrap().push(arrival.clone());
+            if !early && !self.respond(&arrival, &mut out)? {
                 return Ok(());
             }
         }
@@ -148,38 +148,38 @@
     }
 
     // Answers, and returns whether the connection is kept.
-    fn act(&self, arrival: &Arrival, out: &mut TcpStream) -> std::io::Result<bool> {
-        if arrival.does("cut") {
+    fn respond(&self, arrival: &ReceivedRequest, out: &mut TcpStream) -> std::io::Result<bool> {
+        if arrival.line_contains("cut") {
             return Ok(false);
         }
-        if arrival.does("full") && self.id == "e1" {
+        if arrival.line_contains("full") && self.id == "e1" {
             out.write_all(
                 b"HTTP/1.1 503 Full\r\nSiskinyoke-Not-Executed: 1\r\ncontent-length: 0\r\n\r\n",
             )?;
             return Ok(true);
         }
-        if arrival.does("moved") && self.id == "e1" {
-            let head = format!("HTTP/1.1 421 Moved\r\nServer-Limit: {LIMIT}\r\n");
+        if arrival.line_contains("moved") && self.id == "e1" {
+            let head = format!("HTTP/1.1 421 Moved\r\nServer-Limit: {RATE_LIMIT_PER_SECOND}\r\n");
             write!(out, "{head}content-length: 0\r\n\r\n")?;
             return Ok(true);
         }
-        if arrival.does("extra") {
+        if arrival.line_contains("extra") {
             out.write_all(&self.answer(arrival, "first"))?;
             out.write_all(&self.answer(arrival, "second"))?;
             return Ok(true);
         }
-        if arrival.does("slow") {
-            self.await_leave(out)?;
+        if arrival.line_contains("slow") {
+            self.wait_for_disconnect(out)?;
             return Ok(false);
         }
-        if arrival.does("nap") {
+        if arrival.line_contains("nap") {
             thread::sleep(Duration::from_millis(1_500));
         }
-        if arrival.does("large") {
-            out.write_all(&self.answer(arrival, &"x".repeat(LARGE)))?;
+        if arrival.line_contains("large") {
+            out.write_all(&self.answer(arrival, &"x".repeat(LARGE_BODY_BYTES)))?;
             return Ok(true);
         }
-        if arrival.does("lost") && arrival.header("last-event-id").is_some() {
+        if arrival.line_contains("lost") && arrival.header("last-event-id").is_some() {
             let id = arrival.header("siskinyoke-request-id").unwrap_or("");
             write!(
                 out,
@@ -187,21 +187,21 @@
             )?;
             return Ok(true);
         }
-        if arrival.does("many") {
-            return self.many(arrival, out);
+        if arrival.line_contains("many") {
+            return self.write_long_stream(arrival, out);
         }
-        if arrival.does("events") {
-            return self.stream(arrival, out);
+        if arrival.line_contains("events") {
+            return self.write_interrupted_stream(arrival, out);
         }
         out.write_all(&self.answer(arrival, "whole"))?;
         Ok(true)
     }
 
-    fn answer(&self, arrival: &Arrival, body: &str) -> Vec<u8> {
+    fn answer(&self, arrival: &ReceivedRequest, body: &str) -> Vec<u8> {
         let id = arrival.header("siskinyoke-request-id").unwrap_or("");
         let length = body.len();
-        let limit = if arrival.does("limited") {
-            format!("Server-Limit: {LIMIT}\r\n")
+        let limit = if arrival.line_contains("limited") {
+            format!("Server-Limit: {RATE_LIMIT_PER_SECOND}\r\n")
         } else {
             String::new()
         };
@@ -214,28 +214,36 @@
     }
 
     // Four events; the first sending breaks off in the middle of the third.
-    fn stream(&self, arrival: &Arrival, out: &mut TcpStream) -> std::io::Result<bool> {
+    fn write_interrupted_stream(
+        &self,
+        arrival: &ReceivedRequest,
+        out: &mut TcpStream,
+    ) -> std::io::Result<bool> {
         let after: u32 = arrival
             .header("last-event-id")
             .map_or(0, |it| it.parse().unwrap());
-        self.begin(arrival, out)?;
+        self.write_stream_head(arrival, out)?;
         for number in after + 1..=4 {
             let event = format!("id: {number}\ndata: {number}\n\n");
             if number == 3 && after == 0 {
-                chunk(out, &event[..8])?;
+                write_chunk(out, &event[..8])?;
                 return Ok(false);
             }
-            chunk(out, &event)?;
+            write_chunk(out, &event)?;
         }
         out.write_all(b"0\r\n\r\n")?;
         Ok(true)
     }
 
     // Many long events, more than the buffers on their way hold.
-    fn many(&self, arrival: &Arrival, out: &mut TcpStream) -> std::io::Result<bool> {
-        self.begin(arrival, out)?;
-        for number in 0..MANY {
-            chunk(
+    fn write_long_stream(
+        &self,
+        arrival: &ReceivedRequest,
+        out: &mut TcpStream,
+    ) -> std::io::Result<bool> {
+        self.write_stream_head(arrival, out)?;
+        for number in 0..LONG_STREAM_EVENTS {
+            write_chunk(
                 out,
                 &format!("id: {number}\ndata: {}\n\n", "x".repeat(16 * 1024)),
             )?;
@@ -245,7 +253,11 @@
     }
 
     // Sends the head of a stream.
-    fn begin(&self, arrival: &Arrival, out: &mut TcpStream) -> std::io::Result<()> {
+    fn write_stream_head(
+        &self,
+        arrival: &ReceivedRequest,
+        out: &mut TcpStream,
+    ) -> std::io::Result<()> {
         let id = arrival.header("siskinyoke-request-id").unwrap_or("");
         write!(
             out,
@@ -255,22 +267,22 @@
         )
     }
 
-    fn await_leave(&self, out: &mut TcpStream) -> std::io::Result<()> {
+    fn wait_for_disconnect(&self, out: &mut TcpStream) -> std::io::Result<()> {
         let mut byte = [0];
         if out.read(&mut byte)? == 0 {
-            *self.left.lock().unwrap() += 1;
+            *self.disconnects.lock().unwrap() += 1;
         }
         Ok(())
     }
 }
 
-fn chunk(out: &mut TcpStream, text: &str) -> std::io::Result<()> {
+fn write_chunk(out: &mut TcpStream, text: &str) -> std::io::Result<()> {
     write!(out, "{:x}\r\n{text}\r\n", text.len())?;
     out.flush()
 }
 
-fn read_head(reader: &mut BufReader<TcpStream>) -> std::io::Result<Option<Arrival>> {
-    let mut arrival = Arrival::default();
+fn read_head(reader: &mut BufReader<TcpStream>) -> std::io::Result<Option<ReceivedRequest>> {
+    let mut arrival = ReceivedRequest::default();
     if reader.read_line(&mut arrival.line)? == 0 {
         return Ok(None);
     }
--- a/soak/src/instance.rs
+++ b/soak/src/instance.rs
@@ -27,15 +27,15 @@
     program: PathBuf,
     settings: PathBuf,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where it says whether it is ready.
-    pub health: SocketAddr,
+    pub health_address: SocketAddr,
     /// Where it names instances.
-    pub directory: SocketAddr,
+    pub directory_address: SocketAddr,
     /// Where peers reach it.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where its metrics are.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
 }
 
 impl Instance {
@@ -45,7 +45,7 @@
     ///
     /// If it cannot be started.
     pub fn start(program: &Path, name: &str, store: SocketAddr) -> Self {
-        Self::start_with(program, name, store, &[])
+        Self::start_with_seeds(program, name, store, &[])
     }
 
     /// Starts a process that knows some peers from its settings.
@@ -53,8 +53,13 @@
     /// # Panics
     ///
     /// If it cannot be started.
-    pub fn start_with(program: &Path, name: &str, store: SocketAddr, seeds: &[SocketAddr]) -> Self {
-        let [callers, health, directory, peers, metrics] = own_addresses();
+    pub fn start_with_seeds(
+        program: &Path,
+        name: &str,
+        store: SocketAddr,
+        seeds: &[SocketAddr],
+    ) -> Self {
+        let [callers, health, directory, peers, metrics] = unique_addresses();
         let settings = std::env::temp_dir().join(format!("{name}-{}.jsonc", callers.ip()));
         let text = format!(
             r#"{{ "interface": "platform", "instance": "{name}", "ip": "{}", "centre": "a", "metrics": {},
@@ -75,11 +80,11 @@
             child,
             program,
             settings,
-            callers,
-            health,
-            directory,
-            peers,
-            metrics,
+            caller_address: callers,
+            health_address: health,
+            directory_address: directory,
+            peer_address: peers,
+            metrics_address: metrics,
         }
     }
 
@@ -96,7 +101,7 @@
     }
 
     /// Starts it again if it has ended, and returns whether it had.
-    pub fn restart_if_gone(&mut self) -> bool {
+    pub fn restart_if_exited(&mut self) -> bool {
         let gone = matches!(self.child.try_wait(), Ok(Some(_)));
         if gone {
             self.restart();
@@ -105,8 +110,8 @@
     }
 
     /// Returns whether it answers a request with a success.
-    pub fn serves(&self) -> bool {
-        let Ok(mut stream) = TcpStream::connect(self.callers) else {
+    pub fn serves_requests(&self) -> bool {
+        let Ok(mut stream) = TcpStream::connect(self.caller_address) else {
             return false;
         };
         let limit = Some(Duration::from_secs(2));
@@ -128,16 +133,16 @@
     ///
     /// If it does not within half a minute.
     #[must_use]
-    pub fn ready(self) -> Self {
-        until("ready", || {
-            self.status(self.health, "/api/readyz") == Some(200)
+    pub fn wait_until_ready(self) -> Self {
+        wait_until("ready", || {
+            self.http_status(self.health_address, "/api/readyz") == Some(200)
         });
         self
     }
 
     /// Returns the status of a page.
-    pub fn status(&self, address: SocketAddr, path: &str) -> Option<u16> {
-        let answer = get(address, path)?;
+    pub fn http_status(&self, address: SocketAddr, path: &str) -> Option<u16> {
+        let answer = http_get(address, path)?;
         answer.split(' ').nth(1)?.parse().ok()
     }
 
@@ -146,7 +151,7 @@
     /// # Panics
     ///
     /// If its number is no process number.
-    pub fn signal(&self, signal: Signal) {
+    pub fn send_signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).unwrap();
         // A child that ended stays a process of this number until it is waited for.
         if let Err(err) = kill_process(Pid::from_raw(pid).unwrap(), signal) {
@@ -159,7 +164,7 @@
     /// # Panics
     ///
     /// If it ended with a failure.
-    pub fn log(mut self) -> String {
+    pub fn into_log(mut self) -> String {
         let mut text = String::new();
         self.child
             .stdout
@@ -176,8 +181,8 @@
     /// # Panics
     ///
     /// If it takes none.
-    pub fn open(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.callers).unwrap();
+    pub fn connect(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.caller_address).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
@@ -186,8 +191,8 @@
 
     /// Sends a request over a connection of its own and returns all that comes back.
     pub fn call(&self, id: &str, path: &str, more: &str, body: &str) -> String {
-        let mut stream = self.open();
-        send(
+        let mut stream = self.connect();
+        send_request(
             &mut stream,
             id,
             path,
@@ -214,7 +219,7 @@
 /// # Panics
 ///
 /// If the connection is closed.
-pub fn send(stream: &mut TcpStream, id: &str, path: &str, more: &str, body: &str) {
+pub fn send_request(stream: &mut TcpStream, id: &str, path: &str, more: &str, body: &str) {
     let length = body.len();
     write!(
         stream,
@@ -230,7 +235,7 @@
 /// # Panics
 ///
 /// If none comes.
-pub fn read_answer(stream: &mut TcpStream) -> String {
+pub fn read_response(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
     loop {
@@ -252,7 +257,7 @@
 }
 
 /// Gets a page, if it is there.
-pub fn get(address: SocketAddr, path: &str) -> Option<String> {
+pub fn http_get(address: SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     write!(
         stream,
@@ -269,7 +274,7 @@
 /// # Panics
 ///
 /// If it does not within half a minute.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     for _ in 0..3_000 {
         if done() {
             return;
@@ -289,9 +294,9 @@
 }
 
 // Each instance has a loopback address of its own, so that no two ever want the same port.
-fn own_addresses() -> [SocketAddr; 5] {
-    static NEXT: AtomicU8 = AtomicU8::new(1);
+fn unique_addresses() -> [SocketAddr; 5] {
+    static NEXT_OCTET: AtomicU8 = AtomicU8::new(1);
     let process = u8::try_from(std::process::id() % 200).unwrap() + 20;
-    let ip = Ipv4Addr::new(127, process, NEXT.fetch_add(1, Ordering::Relaxed), 1);
+    let ip = Ipv4Addr::new(127, process, NEXT_OCTET.fetch_add(1, Ordering::Relaxed), 1);
     [8221, 8224, 8220, 8229, 9464].map(|port| SocketAddr::new(ip.into(), port))
 }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -13,15 +13,15 @@
 
 /// What a proxy does to the bytes it carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
+pub enum Fault {
     /// Nothing.
     None,
     /// It holds them back for some milliseconds.
-    Delay(u64),
+    DelayMs(u64),
     /// It swallows them, both ways.
-    Silence,
+    DropAll,
     /// It swallows what comes back.
-    OneWay,
+    DropResponses,
     /// It closes connections, and takes no new ones for long.
     Reset,
 }
@@ -31,7 +31,7 @@
 pub struct Proxy {
     /// Where it listens.
     pub address: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<Fault>>,
 }
 
 impl Proxy {
@@ -45,12 +45,12 @@
         let address = listener.local_addr().unwrap();
         let proxy = Self {
             address,
-            harm: Arc::new(Mutex::new(Harm::None)),
+            fault: Arc::new(Mutex::new(Fault::None)),
         };
         let carrying = proxy.clone();
         thread::spawn(move || {
             for near in listener.incoming().map_while(Result::ok) {
-                carrying.carry(near, target);
+                carrying.forward_connection(near, target);
             }
         });
         proxy
@@ -61,16 +61,16 @@
     /// # Panics
     ///
     /// If a thread of the proxy panicked before.
-    pub fn set(&self, harm: Harm) {
-        *self.harm.lock().unwrap() = harm;
+    pub fn set_fault(&self, harm: Fault) {
+        *self.fault.lock().unwrap() = harm;
     }
 
-    fn get(&self) -> Harm {
-        *self.harm.lock().unwrap()
+    fn get(&self) -> Fault {
+        *self.fault.lock().unwrap()
     }
 
-    fn carry(&self, near: TcpStream, target: SocketAddr) {
-        if self.get() == Harm::Reset {
+    fn forward_connection(&self, near: TcpStream, target: SocketAddr) {
+        if self.get() == Fault::Reset {
             return;
         }
         let Ok(far) = TcpStream::connect(target) else {
@@ -81,22 +81,22 @@
         };
         let there = self.clone();
         let back = self.clone();
-        thread::spawn(move || there.copy(near, far, false));
-        thread::spawn(move || back.copy(far2, near2, true));
+        thread::spawn(move || there.forward_bytes(near, far, false));
+        thread::spawn(move || back.forward_bytes(far2, near2, true));
     }
 
-    fn copy(&self, mut from: TcpStream, mut to: TcpStream, back: bool) {
+    fn forward_bytes(&self, mut from: TcpStream, mut to: TcpStream, back: bool) {
         let mut buffer = [0; 4096];
         while let Ok(length) = from.read(&mut buffer) {
             let swallow = match self.get() {
-                Harm::Reset => break,
-                Harm::Silence => true,
-                Harm::OneWay => back,
-                Harm::Delay(span) => {
+                Fault::Reset => break,
+                Fault::DropAll => true,
+                Fault::DropResponses => back,
+                Fault::DelayMs(span) => {
                     thread::sleep(Duration::from_millis(span));
                     false
                 }
-                Harm::None => false,
+                Fault::None => false,
             };
             if length == 0 || (!swallow && to.write_all(&buffer[..length]).is_err()) {
                 break;
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -18,13 +18,13 @@
 
 /// What the store does to the calls that reach it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mood {
+pub enum Availability {
     /// It serves them.
-    Well,
+    Available,
     /// It answers 503 to all.
-    Busy,
+    Unavailable,
     /// It takes calls and never answers them.
-    Silent,
+    Unresponsive,
 }
 
 #[derive(Debug)]
@@ -32,11 +32,11 @@
     items: BTreeMap<String, (u64, String)>,
     changes: Vec<Value>,
     revision: u64,
-    mood: Mood,
+    availability: Availability,
     // Changes up to this revision are forgotten.
-    forgotten: u64,
+    compacted: u64,
     // States of rollouts as they were written, each with the revision of the order that stood.
-    outcomes: Vec<(u64, String)>,
+    rollout_states: Vec<(u64, String)>,
 }
 
 /// A small stand-in of the platform's store, in memory.
@@ -60,9 +60,9 @@
             items: BTreeMap::new(),
             changes: Vec::new(),
             revision: 10,
-            mood: Mood::Well,
-            forgotten: 0,
-            outcomes: Vec::new(),
+            availability: Availability::Available,
+            compacted: 0,
+            rollout_states: Vec::new(),
         };
         let store = Self {
             shared: Arc::new((Mutex::new(state), Condvar::new())),
@@ -112,9 +112,9 @@
     /// # Panics
     ///
     /// If one of its threads panicked before.
-    pub fn set_mood(&self, mood: Mood) {
+    pub fn set_availability(&self, mood: Availability) {
         let (state, changed) = &*self.shared;
-        state.lock().unwrap().mood = mood;
+        state.lock().unwrap().availability = mood;
         changed.notify_all();
     }
 
@@ -123,9 +123,9 @@
     /// # Panics
     ///
     /// If one of its threads panicked before.
-    pub fn forget_history(&self) {
+    pub fn compact(&self) {
         let mut state = self.shared.0.lock().unwrap();
-        state.forgotten = state.revision;
+        state.compacted = state.revision;
         self.shared.1.notify_all();
     }
 
@@ -146,7 +146,7 @@
     ///
     /// If one of its threads panicked before.
     pub fn outcomes(&self) -> Vec<(u64, String)> {
-        self.shared.0.lock().unwrap().outcomes.clone()
+        self.shared.0.lock().unwrap().rollout_states.clone()
     }
 
     /// Returns the keys under a prefix.
@@ -165,15 +165,15 @@
     }
 
     fn serve(&self, mut request: Request) {
-        let (path, query) = split(request.url());
+        let (path, query) = split_url(request.url());
         let mut body = String::new();
         request.as_reader().read_to_string(&mut body).unwrap();
-        if self.mood() == Mood::Silent {
+        if self.mood() == Availability::Unresponsive {
             // A request that is dropped would be answered; without its writer nothing is.
             drop(request.into_writer());
             return;
         }
-        let (status, answer) = if self.mood() == Mood::Busy {
+        let (status, answer) = if self.mood() == Availability::Unavailable {
             (503, json!({}))
         } else {
             self.answer(&path, &query, &body)
@@ -188,7 +188,7 @@
             "/api/kv-range" => (200, self.range(&query["Prefix"])),
             "/api/kv-watch" => self.watch(query),
             "/api/kv-lease" => (200, json!({ "Lease": 7, "TtlMs": 6000 })),
-            "/api/kv-txn" => self.write(body),
+            "/api/kv-txn" => self.conditional_put(body),
             path if path.starts_with("/api/kv-keep/") => (200, json!({ "TtlMs": 6000 })),
             _ => (404, json!({})),
         }
@@ -200,7 +200,7 @@
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(prefix))
-            .map(|(key, (revision, value))| row(key, *revision, value))
+            .map(|(key, (revision, value))| item_json(key, *revision, value))
             .collect();
         json!({ "Items": items, "HasMore": false, "At": state.revision })
     }
@@ -211,15 +211,17 @@
         let (state, changed) = &*self.shared;
         let state = state.lock().unwrap();
         let quiet = |state: &mut State| {
-            state.revision <= after && state.mood == Mood::Well && state.forgotten <= after
+            state.revision <= after
+                && state.availability == Availability::Available
+                && state.compacted <= after
         };
         let (state, _) = changed
             .wait_timeout_while(state, Duration::from_millis(wait), quiet)
             .unwrap();
-        if state.mood == Mood::Busy {
+        if state.availability == Availability::Unavailable {
             return (503, json!({}));
         }
-        if state.forgotten > after {
+        if state.compacted > after {
             return (410, json!({}));
         }
         let later = |it: &&Value| it["Revision"].as_u64().unwrap() > after;
@@ -227,7 +229,7 @@
         (200, json!({ "events": events, "At": state.revision }))
     }
 
-    fn write(&self, body: &str) -> (u16, Value) {
+    fn conditional_put(&self, body: &str) -> (u16, Value) {
         let body: Value = serde_json::from_str(body).unwrap();
         let (state, changed) = &*self.shared;
         let mut state = state.lock().unwrap();
@@ -245,8 +247,8 @@
         (200, json!({ "Revision": state.revision }))
     }
 
-    fn mood(&self) -> Mood {
-        self.shared.0.lock().unwrap().mood
+    fn mood(&self) -> Availability {
+        self.shared.0.lock().unwrap().availability
     }
 }
 
@@ -257,19 +259,19 @@
             let order = self.items.get(&format!("op/rollout/{service}"));
             let text = STANDARD.decode(value).unwrap();
             let text = String::from_utf8(text).unwrap();
-            self.outcomes.push((order.map_or(0, |it| it.0), text));
+            self.rollout_states.push((order.map_or(0, |it| it.0), text));
         }
         self.items
             .insert(key.to_owned(), (self.revision, value.to_owned()));
-        self.changes.push(row(key, self.revision, value));
+        self.changes.push(item_json(key, self.revision, value));
     }
 }
 
-fn row(key: &str, revision: u64, value: &str) -> Value {
+fn item_json(key: &str, revision: u64, value: &str) -> Value {
     json!({ "Key": key, "Value": value, "Revision": revision, "Created": revision, "Lease": 0 })
 }
 
-fn split(url: &str) -> (String, BTreeMap<String, String>) {
+fn split_url(url: &str) -> (String, BTreeMap<String, String>) {
     let (path, query) = url.split_once('?').unwrap_or((url, ""));
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     (
