--- a/crates/siskinyoke-standin/src/engine/batch.rs
+++ b/crates/siskinyoke-standin/src/engine/batch.rs
@@ -13,10 +13,10 @@
 use siskinyoke_base::clock::SystemClock;
 
 /// How often a waiting request looks whether its caller is still there.
-const PACE: Duration = Duration::from_millis(10);
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Load samples kept for metrics that lag.
-const SAMPLES: usize = 65_536;
+const MAX_LOAD_SAMPLES: usize = 65_536;
 
 /// The requests inside an engine.
 #[derive(Debug)]
@@ -24,15 +24,15 @@
     clock: SystemClock,
     slots: u32,
     state: Mutex<State>,
-    freed: Condvar,
+    changed: Condvar,
 }
 
 #[derive(Debug, Default)]
 struct State {
     running: u32,
     queue: VecDeque<u64>,
-    drawn: u64,
-    prefill: Duration,
+    last_ticket: u64,
+    prefill_end: Duration,
     samples: VecDeque<(Millis, Load)>,
 }
 
@@ -56,61 +56,61 @@
             clock: SystemClock::start(),
             slots,
             state: Mutex::default(),
-            freed: Condvar::new(),
+            changed: Condvar::new(),
         }
     }
 
     /// Waits in the order of arrival for a slot; nothing if the caller went away.
-    pub fn enter(&self, alive: &dyn Fn() -> bool) -> Option<Slot<'_>> {
+    pub fn acquire_slot(&self, alive: &dyn Fn() -> bool) -> Option<Slot<'_>> {
         let mut state = self.lock();
-        state.drawn += 1;
-        let ticket = state.drawn;
+        state.last_ticket += 1;
+        let ticket = state.last_ticket;
         state.queue.push_back(ticket);
-        self.sample(&mut state);
+        self.record_sample(&mut state);
         while state.running >= self.slots || state.queue.front() != Some(&ticket) {
-            let waited = self.freed.wait_timeout(state, PACE);
+            let waited = self.changed.wait_timeout(state, LIVENESS_CHECK_INTERVAL);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
             if !alive() {
                 state.queue.retain(|other| *other != ticket);
-                self.sample(&mut state);
-                self.freed.notify_all();
+                self.record_sample(&mut state);
+                self.changed.notify_all();
                 return None;
             }
         }
         state.queue.pop_front();
         state.running += 1;
-        self.sample(&mut state);
-        self.freed.notify_all();
+        self.record_sample(&mut state);
+        self.changed.notify_all();
         Some(Slot(self))
     }
 
     /// Works a prompt through after those before it; false if the caller went away.
-    pub fn prefill(&self, work: Duration, alive: &dyn Fn() -> bool) -> bool {
+    pub fn prefill(&self, duration: Duration, alive: &dyn Fn() -> bool) -> bool {
         let now = Duration::from(self.clock.now());
         let end = {
             let mut state = self.lock();
-            state.prefill = state.prefill.max(now) + work;
-            state.prefill
+            state.prefill_end = state.prefill_end.max(now) + duration;
+            state.prefill_end
         };
-        rest(end.saturating_sub(now), alive)
+        sleep_while_alive(end.saturating_sub(now), alive)
     }
 
     /// Returns the load as it was a while ago.
-    pub fn load(&self, lag: Millis) -> Load {
+    pub fn lagged_load(&self, lag: Millis) -> Load {
         let now = self.clock.now();
         let state = self.lock();
         let mut past = state.samples.iter().rev();
-        let seen = past.find(|(at, _)| *at + lag <= now);
-        seen.map_or_else(Load::default, |(_, load)| *load)
+        let sample = past.find(|(at, _)| *at + lag <= now);
+        sample.map_or_else(Load::default, |(_, load)| *load)
     }
 
-    fn sample(&self, state: &mut State) {
+    fn record_sample(&self, state: &mut State) {
         let load = Load {
             running: state.running,
             waiting: u32::try_from(state.queue.len()).unwrap_or(u32::MAX),
         };
         state.samples.push_back((self.clock.now(), load));
-        if state.samples.len() > SAMPLES {
+        if state.samples.len() > MAX_LOAD_SAMPLES {
             state.samples.pop_front();
         }
     }
@@ -124,18 +124,18 @@
     fn drop(&mut self) {
         let mut state = self.0.lock();
         state.running -= 1;
-        self.0.sample(&mut state);
+        self.0.record_sample(&mut state);
         drop(state);
-        self.0.freed.notify_all();
+        self.0.changed.notify_all();
     }
 }
 
 /// Sleeps for a span in short steps; false as soon as the caller has gone away.
-pub fn rest(mut span: Duration, alive: &dyn Fn() -> bool) -> bool {
-    while !span.is_zero() {
-        let step = span.min(PACE);
+pub fn sleep_while_alive(mut duration: Duration, alive: &dyn Fn() -> bool) -> bool {
+    while !duration.is_zero() {
+        let step = duration.min(LIVENESS_CHECK_INTERVAL);
         thread::sleep(step);
-        span -= step;
+        duration -= step;
         if !alive() {
             return false;
         }
--- a/crates/siskinyoke-standin/src/engine/cache.rs
+++ b/crates/siskinyoke-standin/src/engine/cache.rs
@@ -13,46 +13,46 @@
 /// Holds the blocks last used, within a bound.
 #[derive(Debug)]
 pub struct PrefixCache {
-    limit: usize,
-    uses: u64,
-    blocks: Map<u64, u64>,
-    order: BTreeMap<u64, u64>,
+    max_blocks: usize,
+    use_count: u64,
+    last_uses: Map<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
 }
 
 /// How much of a prompt the cache held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hit {
+pub struct CacheLookup {
     /// Tokens of the prompt.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// Tokens of them that need no work.
-    pub cached: u32,
+    pub cached_tokens: u32,
 }
 
 impl PrefixCache {
     /// Makes a cache of so many blocks.
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_blocks: usize) -> Self {
         Self {
-            limit,
-            uses: 0,
-            blocks: Map::default(),
-            order: BTreeMap::new(),
+            max_blocks,
+            use_count: 0,
+            last_uses: Map::default(),
+            by_last_use: BTreeMap::new(),
         }
     }
 
     /// Looks a prompt up and takes its blocks in.
-    pub fn take(&mut self, prompt: &str) -> Hit {
-        let digests = digests(prompt);
-        let known = digests
+    pub fn lookup(&mut self, prompt: &str) -> CacheLookup {
+        let digests = prefix_digests(prompt);
+        let cached = digests
             .iter()
-            .take_while(|digest| self.blocks.contains_key(digest));
-        let held = known.count();
+            .take_while(|digest| self.last_uses.contains_key(digest));
+        let cached_blocks = cached.count();
         for digest in digests {
-            self.touch(digest);
+            self.record_use(digest);
         }
         let tokens = prompt.len().div_ceil(CHARS_PER_TOKEN);
-        Hit {
-            tokens: narrow(tokens),
-            cached: narrow((held * BLOCK_TOKENS).min(tokens)),
+        CacheLookup {
+            prompt_tokens: saturating_u32(tokens),
+            cached_tokens: saturating_u32((cached_blocks * BLOCK_TOKENS).min(tokens)),
         }
     }
 
@@ -62,43 +62,43 @@
         reason = "caches stay far below 2^52 blocks"
     )]
     pub fn usage(&self) -> f64 {
-        if self.limit == 0 {
+        if self.max_blocks == 0 {
             return 0.0;
         }
-        self.blocks.len() as f64 / self.limit as f64
+        self.last_uses.len() as f64 / self.max_blocks as f64
     }
 
-    fn touch(&mut self, digest: u64) {
-        self.uses += 1;
-        if let Some(before) = self.blocks.insert(digest, self.uses) {
-            self.order.remove(&before);
+    fn record_use(&mut self, digest: u64) {
+        self.use_count += 1;
+        if let Some(previous_use) = self.last_uses.insert(digest, self.use_count) {
+            self.by_last_use.remove(&previous_use);
         }
-        self.order.insert(self.uses, digest);
-        while self.blocks.len() > self.limit {
-            let Some((_, oldest)) = self.order.pop_first() else {
+        self.by_last_use.insert(self.use_count, digest);
+        while self.last_uses.len() > self.max_blocks {
+            let Some((_, least_recent)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.blocks.remove(&oldest);
+            self.last_uses.remove(&least_recent);
         }
     }
 }
 
 /// Chains a digest over each whole block, so that equal digests mean equal beginnings.
-fn digests(prompt: &str) -> Vec<u64> {
+fn prefix_digests(prompt: &str) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     let blocks = prompt
         .as_bytes()
         .chunks_exact(BLOCK_TOKENS * CHARS_PER_TOKEN);
-    let chain = blocks.map(|block| {
+    let digests = blocks.map(|block| {
         hasher.update(block);
         let digest = hasher.finalize();
-        let mut head = [0; 8];
-        head.copy_from_slice(&digest.as_bytes()[..8]);
-        u64::from_le_bytes(head)
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&digest.as_bytes()[..8]);
+        u64::from_le_bytes(prefix)
     });
-    chain.collect()
+    digests.collect()
 }
 
-fn narrow(count: usize) -> u32 {
+fn saturating_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/crates/siskinyoke-standin/src/engine/chat.rs
+++ b/crates/siskinyoke-standin/src/engine/chat.rs
@@ -4,14 +4,14 @@
 use serde_json::Value;
 use serde_json::json;
 
-use super::cache::Hit;
+use super::cache::CacheLookup;
 use crate::answer::Answer;
 
 /// The end of every whole stream.
-pub const TERMINATOR: &str = "data: [DONE]\n\n";
+pub const STREAM_TERMINATOR: &str = "data: [DONE]\n\n";
 
 /// The time that answers bear, in seconds; it is fixed, so that a resumed stream is the same.
-const CREATED: u64 = 1_767_225_600;
+const CREATED_AT_SECONDS: u64 = 1_767_225_600;
 
 /// `POST /v1/chat/completions`, as far as the stand-in looks at it.
 #[derive(Debug, Deserialize)]
@@ -75,43 +75,43 @@
     }
 
     /// Returns the last message of the user.
-    pub fn question(&self) -> String {
-        let mut spoken = self.messages.iter().rev();
-        let last = spoken.find(|message| message.role == "user");
+    pub fn last_user_message(&self) -> String {
+        let mut newest_first = self.messages.iter().rev();
+        let last = newest_first.find(|message| message.role == "user");
         last.map(Message::text).unwrap_or_default()
     }
 
     /// Draws the answer.
     pub fn answer(&self) -> Answer {
         let limit = self.max_completion_tokens.or(self.max_tokens);
-        Answer::of(&self.question(), limit)
+        Answer::of(&self.last_user_message(), limit)
     }
 }
 
 /// Writes the answer as one object.
-pub fn whole(request: &ChatRequest, answer: &Answer, hit: Hit) -> Value {
+pub fn completion(request: &ChatRequest, answer: &Answer, lookup: CacheLookup) -> Value {
     json!({
         "id": answer.id,
         "object": "chat.completion",
-        "created": CREATED,
+        "created": CREATED_AT_SECONDS,
         "model": request.model,
         "choices": [{
             "index": 0,
             "message": { "role": "assistant", "content": answer.text() },
-            "finish_reason": finish(answer),
+            "finish_reason": finish_reason(answer),
         }],
-        "usage": usage(answer, hit),
+        "usage": usage(answer, lookup),
     })
 }
 
 /// Writes the answer as server-sent events, the terminator last.
-pub fn events(request: &ChatRequest, answer: &Answer, hit: Hit) -> Vec<String> {
+pub fn stream_events(request: &ChatRequest, answer: &Answer, lookup: CacheLookup) -> Vec<String> {
     let chunk = |delta: Value, reason: Value| {
         let choice = json!({ "index": 0, "delta": delta, "finish_reason": reason });
         json!({
             "id": answer.id,
             "object": "chat.completion.chunk",
-            "created": CREATED,
+            "created": CREATED_AT_SECONDS,
             "model": request.model,
             "choices": [choice],
         })
@@ -121,32 +121,32 @@
     for word in &answer.words {
         chunks.push(chunk(json!({ "content": word }), Value::Null));
     }
-    chunks.push(chunk(json!({}), finish(answer).into()));
+    chunks.push(chunk(json!({}), finish_reason(answer).into()));
     if request.stream_options.include_usage {
-        let mut last = chunk(json!({}), Value::Null);
-        last["choices"] = json!([]);
-        last["usage"] = usage(answer, hit);
-        chunks.push(last);
+        let mut usage_chunk = chunk(json!({}), Value::Null);
+        usage_chunk["choices"] = json!([]);
+        usage_chunk["usage"] = usage(answer, lookup);
+        chunks.push(usage_chunk);
     }
     let mut events: Vec<String> = chunks
         .iter()
         .enumerate()
-        .map(|(number, chunk)| format!("id: {number}\ndata: {chunk}\n\n"))
+        .map(|(index, chunk)| format!("id: {index}\ndata: {chunk}\n\n"))
         .collect();
-    events.push(TERMINATOR.to_owned());
+    events.push(STREAM_TERMINATOR.to_owned());
     events
 }
 
-fn finish(answer: &Answer) -> &'static str {
+fn finish_reason(answer: &Answer) -> &'static str {
     if answer.cut { "length" } else { "stop" }
 }
 
-fn usage(answer: &Answer, hit: Hit) -> Value {
-    let completion = answer.words.len();
+fn usage(answer: &Answer, lookup: CacheLookup) -> Value {
+    let completion_tokens = answer.words.len();
     json!({
-        "prompt_tokens": hit.tokens,
-        "completion_tokens": completion,
-        "total_tokens": u64::from(hit.tokens) + completion as u64,
-        "prompt_tokens_details": { "cached_tokens": hit.cached },
+        "prompt_tokens": lookup.prompt_tokens,
+        "completion_tokens": completion_tokens,
+        "total_tokens": u64::from(lookup.prompt_tokens) + completion_tokens as u64,
+        "prompt_tokens_details": { "cached_tokens": lookup.cached_tokens },
     })
 }
--- /dev/null
+++ b/crates/siskinyoke-standin/src/engine/completion.rs
@@ -0,0 +1,153 @@
+//! The life of one chat completion inside the stand-in engine.
+
+use std::process;
+use std::time::Duration;
+
+use super::Shared;
+use super::cache::CacheLookup;
+use super::chat;
+use super::chat::ChatRequest;
+use crate::answer::Answer;
+use crate::web::Exchange;
+
+/// Names the request towards the engine.
+const REQUEST_ID_HEADER: &str = "X-Request-Id";
+
+/// Names the last event that the caller has of a broken stream.
+const LAST_EVENT_HEADER: &str = "Last-Event-ID";
+
+/// Exit code of a process that a marked request crashed.
+const CRASH_EXIT_CODE: i32 = 1;
+
+/// How an answer ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Outcome {
+    Completed,
+    Broken,
+    Cancelled,
+}
+
+impl Shared {
+    /// Answers a chat completion.
+    pub(super) fn chat(&self, mut exchange: Exchange) {
+        let request_id = exchange
+            .header(REQUEST_ID_HEADER)
+            .unwrap_or_default()
+            .to_owned();
+        self.lock().counts.record_dispatch(&request_id);
+        let request: ChatRequest = match exchange.json() {
+            Ok(request) => request,
+            Err(detail) => return exchange.reply_error(400, &detail),
+        };
+        if !self.config.models.contains(&request.model) {
+            return exchange.reply_error(404, "the model is not loaded here");
+        }
+        let Some(slot) = self.batch.acquire_slot(&|| exchange.alive()) else {
+            self.lock().counts.cancelled += 1;
+            return;
+        };
+        let prompt = request.prompt();
+        if self.has_crash_marker(&prompt) {
+            self.crash(exchange);
+            return;
+        }
+        let lookup = self.lock().cache.lookup(&prompt);
+        let outcome = self.respond(exchange, &request, lookup);
+        drop(slot);
+        self.record_outcome(&request_id, lookup, outcome);
+    }
+
+    fn respond(&self, exchange: Exchange, request: &ChatRequest, lookup: CacheLookup) -> Outcome {
+        let answer = request.answer();
+        let seconds = f64::from(lookup.prompt_tokens - lookup.cached_tokens) / self.config.prefill;
+        let duration = Duration::from_secs_f64(seconds * self.slowdown());
+        if !self.batch.prefill(duration, &|| exchange.alive()) {
+            return Outcome::Cancelled;
+        }
+        if request.stream {
+            return self.stream(exchange, request, &answer, lookup);
+        }
+        for _ in 1..answer.words.len() {
+            if !self.wait_for_token(&|| exchange.alive()) {
+                return Outcome::Cancelled;
+            }
+        }
+        exchange.reply_json(200, &chat::completion(request, &answer, lookup));
+        Outcome::Completed
+    }
+
+    fn stream(
+        &self,
+        exchange: Exchange,
+        request: &ChatRequest,
+        answer: &Answer,
+        lookup: CacheLookup,
+    ) -> Outcome {
+        let events = chat::stream_events(request, answer, lookup);
+        let last_event = exchange.header(LAST_EVENT_HEADER);
+        let last: Option<usize> = last_event.and_then(|id| id.parse().ok());
+        let skipped = last.map_or(0, |id| id + 1);
+        let break_after = self.lock().faults.next_break();
+        let Ok(mut pieces) = exchange.pieces("text/event-stream") else {
+            return Outcome::Cancelled;
+        };
+        for (sent, event) in events.iter().skip(skipped).enumerate() {
+            if Some(sent) == break_after {
+                pieces.cut();
+                return Outcome::Broken;
+            }
+            // The first word comes with the end of prefill, and what follows the last at once.
+            let index = skipped + sent;
+            let delayed = sent > 0 && index > 1 && index <= answer.words.len();
+            if delayed && !self.wait_for_token(&|| pieces.alive()) {
+                return Outcome::Cancelled;
+            }
+            if pieces.send(event).is_err() {
+                return Outcome::Cancelled;
+            }
+        }
+        // The caller has every event; it may close without waiting for the end of the body.
+        let _ = pieces.end();
+        Outcome::Completed
+    }
+
+    /// Waits for one token; false if the caller has gone away.
+    fn wait_for_token(&self, alive: &dyn Fn() -> bool) -> bool {
+        let interval = Duration::from_secs_f64(self.slowdown() / self.config.speed);
+        super::batch::sleep_while_alive(interval, alive)
+    }
+
+    fn slowdown(&self) -> f64 {
+        self.lock().faults.slowdown
+    }
+
+    fn has_crash_marker(&self, prompt: &str) -> bool {
+        let state = self.lock();
+        let crash_marker = state.faults.crash_marker.as_ref();
+        crash_marker.is_some_and(|crash_marker| prompt.contains(crash_marker.as_str()))
+    }
+
+    /// Goes down with everything in flight.
+    fn crash(&self, exchange: Exchange) {
+        if self.config.exit {
+            process::exit(CRASH_EXIT_CODE);
+        }
+        self.lock().counts.crashes += 1;
+        exchange.crash(self.config.crash_span);
+    }
+
+    fn record_outcome(&self, request_id: &str, lookup: CacheLookup, outcome: Outcome) {
+        let mut state = self.lock();
+        let prefilled = u64::from(lookup.prompt_tokens - lookup.cached_tokens);
+        state.counts.prefilled += prefilled;
+        state.counts.cached += u64::from(lookup.cached_tokens);
+        if outcome != Outcome::Completed {
+            state.counts.wasted += prefilled;
+        }
+        match outcome {
+            Outcome::Completed => state.counts.record_completion(request_id),
+            Outcome::Cancelled => state.counts.cancelled += 1,
+            Outcome::Broken => {}
+        }
+    }
+}
--- a/crates/siskinyoke-standin/src/engine/control.rs
+++ b/crates/siskinyoke-standin/src/engine/control.rs
@@ -35,30 +35,31 @@
 
 /// The settings in force.
 #[derive(Debug, Clone)]
-pub struct Knobs {
+pub struct FaultSettings {
     /// Times as long for everything.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Text that crashes it.
-    pub marker: Option<String>,
+    pub crash_marker: Option<String>,
     /// Streams still to break.
     pub breaks: Breaks,
     /// How late the metrics are.
-    pub lag: Millis,
+    pub metrics_lag: Millis,
 }
 
-impl Knobs {
+impl FaultSettings {
     /// Takes orders in.
-    pub fn apply(&mut self, orders: &EngineControl) {
-        self.slow = orders.slow.unwrap_or(self.slow).max(0.0);
-        self.breaks = orders.breaks.unwrap_or(self.breaks);
-        self.lag = orders.lag.unwrap_or(self.lag);
-        if let Some(marker) = &orders.crash_marker {
-            self.marker = Some(marker.clone()).filter(|marker| !marker.is_empty());
+    pub fn apply(&mut self, command: &EngineControl) {
+        self.slowdown = command.slow.unwrap_or(self.slowdown).max(0.0);
+        self.breaks = command.breaks.unwrap_or(self.breaks);
+        self.metrics_lag = command.lag.unwrap_or(self.metrics_lag);
+        if let Some(crash_marker) = &command.crash_marker {
+            self.crash_marker =
+                Some(crash_marker.clone()).filter(|crash_marker| !crash_marker.is_empty());
         }
     }
 
     /// Takes one break, if there is one left.
-    pub fn take_break(&mut self) -> Option<usize> {
+    pub fn next_break(&mut self) -> Option<usize> {
         if self.breaks.requests == 0 {
             return None;
         }
--- a/crates/siskinyoke-standin/src/engine/counts.rs
+++ b/crates/siskinyoke-standin/src/engine/counts.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Dispatches by the name that each request brought.
-    pub requests: BTreeMap<String, Runs>,
+    pub requests: BTreeMap<String, RequestCounts>,
     /// Dispatches in all.
     pub dispatched: u64,
     /// Whole answers in all.
@@ -28,7 +28,7 @@
 
 /// How often one request ran.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Runs {
+pub struct RequestCounts {
     /// Times it arrived.
     pub dispatched: u64,
     /// Times its whole answer was sent.
@@ -37,14 +37,20 @@
 
 impl Counts {
     /// Counts a dispatch.
-    pub fn dispatch(&mut self, name: &str) {
+    pub fn record_dispatch(&mut self, request_id: &str) {
         self.dispatched += 1;
-        self.requests.entry(name.to_owned()).or_default().dispatched += 1;
+        self.requests
+            .entry(request_id.to_owned())
+            .or_default()
+            .dispatched += 1;
     }
 
     /// Counts a whole answer.
-    pub fn complete(&mut self, name: &str) {
+    pub fn record_completion(&mut self, request_id: &str) {
         self.completed += 1;
-        self.requests.entry(name.to_owned()).or_default().completed += 1;
+        self.requests
+            .entry(request_id.to_owned())
+            .or_default()
+            .completed += 1;
     }
 }
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -3,10 +3,10 @@
 pub mod batch;
 pub mod cache;
 pub mod chat;
+mod completion;
 pub mod config;
 pub mod control;
 pub mod counts;
-mod run;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 use self::cache::PrefixCache;
 use self::control::Breaks;
 use self::control::EngineControl;
-use self::control::Knobs;
+use self::control::FaultSettings;
 use self::counts::Counts;
 
 /// A running stand-in engine; it stops when dropped.
@@ -61,8 +61,8 @@
     }
 
     /// Carries out orders, as `POST /control` does.
-    pub fn control(&self, orders: &EngineControl) {
-        self.shared.control(self.web.gate(), orders);
+    pub fn control(&self, command: &EngineControl) {
+        self.shared.control(self.web.gate(), command);
     }
 
     /// Returns what it has seen since it started.
@@ -83,7 +83,7 @@
 }
 
 struct State {
-    knobs: Knobs,
+    faults: FaultSettings,
     cache: PrefixCache,
     counts: Counts,
 }
@@ -103,7 +103,7 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => exchange.control(|gate, orders| self.control(gate, orders)),
+            ("POST", "/control") => exchange.control(|gate, command| self.control(gate, command)),
             _ => exchange.reply_error(404, "no such path"),
         }
     }
@@ -111,16 +111,16 @@
 
 impl Shared {
     fn new(config: EngineConfig) -> Self {
-        let knobs = Knobs {
-            slow: 1.0,
-            marker: config.crash_marker.clone(),
+        let faults = FaultSettings {
+            slowdown: 1.0,
+            crash_marker: config.crash_marker.clone(),
             breaks: Breaks::default(),
-            lag: config.lag,
+            metrics_lag: config.lag,
         };
         Self {
             batch: Batch::new(config.slots),
             state: Mutex::new(State {
-                knobs,
+                faults,
                 cache: PrefixCache::new(config.cache),
                 counts: Counts::default(),
             }),
@@ -142,25 +142,33 @@
     }
 
     fn metrics(&self) -> String {
-        let (lag, usage, prefilled, cached) = {
+        let (metrics_lag, cache_usage, prefilled, cached) = {
             let state = self.lock();
             let counts = &state.counts;
             (
-                state.knobs.lag,
+                state.faults.metrics_lag,
                 state.cache.usage(),
                 counts.prefilled,
                 counts.cached,
             )
         };
-        let load = self.batch.load(lag);
+        let batch_load = self.batch.lagged_load(metrics_lag);
         let model = self.config.models.first().map_or("", String::as_str);
         let line = |kind: &str, name: &str, value: String| {
             format!("# TYPE vllm:{name} {kind}\nvllm:{name}{{model_name=\"{model}\"}} {value}\n")
         };
         [
-            line("gauge", "num_requests_running", load.running.to_string()),
-            line("gauge", "num_requests_waiting", load.waiting.to_string()),
-            line("gauge", "kv_cache_usage_perc", usage.to_string()),
+            line(
+                "gauge",
+                "num_requests_running",
+                batch_load.running.to_string(),
+            ),
+            line(
+                "gauge",
+                "num_requests_waiting",
+                batch_load.waiting.to_string(),
+            ),
+            line("gauge", "kv_cache_usage_perc", cache_usage.to_string()),
             line(
                 "counter",
                 "prefix_cache_queries_total",
@@ -171,8 +179,8 @@
         .concat()
     }
 
-    fn control(&self, gate: &Gate, orders: &EngineControl) {
-        self.lock().knobs.apply(orders);
-        gate.order(orders.down, orders.freeze);
+    fn control(&self, gate: &Gate, command: &EngineControl) {
+        self.lock().faults.apply(command);
+        gate.order(command.down, command.freeze);
     }
 }
--- a/crates/siskinyoke-standin/src/load/file.rs
+++ b/crates/siskinyoke-standin/src/load/file.rs
@@ -8,7 +8,7 @@
 use siskinyoke_base::Millis;
 
 /// Most requests of one run, unless the file says less: what one machine can send and keep.
-const MOST: usize = 100_000;
+const MAX_REQUESTS: usize = 100_000;
 
 /// A load, as its file describes it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -21,16 +21,16 @@
     #[serde(default)]
     pub addresses: Vec<String>,
     /// The most time for one request, in milliseconds.
-    #[serde(default = "usual_patience")]
-    pub patience: Millis,
+    #[serde(rename = "patience", default = "default_timeout")]
+    pub timeout: Millis,
     /// The most requests in flight; those due beyond it are counted as held back.
-    #[serde(default = "usual_flight")]
-    pub flight: usize,
+    #[serde(rename = "flight", default = "default_concurrency")]
+    pub concurrency: usize,
     /// The most requests of the whole run.
-    #[serde(default = "most")]
-    pub most: usize,
+    #[serde(rename = "most", default = "default_max_requests")]
+    pub max_requests: usize,
     /// Who sends what.
-    pub callers: Vec<CallerMix>,
+    pub callers: Vec<CallerProfile>,
     /// The phases, one after another.
     pub phases: Vec<Phase>,
 }
@@ -38,7 +38,7 @@
 /// One kind of work within the mix.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CallerMix {
+pub struct CallerProfile {
     /// Name in the report, for instance the organisation and the tier.
     pub name: String,
     /// The bearer key.
@@ -60,8 +60,8 @@
     #[serde(default = "one")]
     pub stream: f64,
     /// Time to a useful answer that is asked for, in milliseconds.
-    #[serde(default)]
-    pub need: Option<Millis>,
+    #[serde(rename = "need", default)]
+    pub caller_timeout: Option<Millis>,
 }
 
 /// A stretch of time with one rate.
@@ -71,7 +71,8 @@
     /// Name in the report.
     pub name: String,
     /// How long it lasts, in milliseconds.
-    pub span: Millis,
+    #[serde(rename = "span")]
+    pub duration: Millis,
     /// Requests a second, sent whether or not earlier ones were answered.
     pub rate: f64,
     /// The kinds of work that are drawn from; all if left out.
@@ -96,11 +97,14 @@
         if self.callers.is_empty() || self.phases.is_empty() {
             return Err("callers and phases may not be empty".to_owned());
         }
-        if self.most > MOST {
-            return Err(format!("most is {}, at most {MOST} is allowed", self.most));
+        if self.max_requests > MAX_REQUESTS {
+            return Err(format!(
+                "most is {}, the limit is {MAX_REQUESTS}",
+                self.max_requests
+            ));
         }
-        for mix in &self.callers {
-            mix.check()?;
+        for profile in &self.callers {
+            profile.check()?;
         }
         self.phases
             .iter()
@@ -111,7 +115,7 @@
         if !phase.rate.is_finite() || phase.rate < 0.0 {
             return Err(format!("phase {}: rate must be 0 or more", phase.name));
         }
-        let known = |name: &String| self.callers.iter().any(|mix| mix.name == *name);
+        let known = |name: &String| self.callers.iter().any(|profile| profile.name == *name);
         let unknown = phase.callers.iter().find(|name| !known(name));
         unknown.map_or(Ok(()), |name| {
             Err(format!("phase {}: no caller is called {name}", phase.name))
@@ -119,13 +123,13 @@
     }
 }
 
-impl CallerMix {
+impl CallerProfile {
     fn check(&self) -> Result<(), String> {
         if !self.weight.is_finite() || self.weight <= 0.0 {
             return Err(format!("caller {}: weight must be over 0", self.name));
         }
-        for [least, most] in [self.prompt, self.output] {
-            if least > most || least == 0 {
+        for [min, max] in [self.prompt, self.output] {
+            if min > max || min == 0 {
                 return Err(format!(
                     "caller {}: lengths must be 1 or more, the lesser first",
                     self.name
@@ -139,16 +143,16 @@
     }
 }
 
-fn usual_patience() -> Millis {
+fn default_timeout() -> Millis {
     Millis::from_secs(30)
 }
 
-fn usual_flight() -> usize {
+fn default_concurrency() -> usize {
     256
 }
 
-fn most() -> usize {
-    MOST
+fn default_max_requests() -> usize {
+    MAX_REQUESTS
 }
 
 fn one() -> f64 {
--- a/crates/siskinyoke-standin/src/load/mod.rs
+++ b/crates/siskinyoke-standin/src/load/mod.rs
@@ -3,7 +3,7 @@
 pub mod file;
 pub mod plan;
 pub mod report;
-pub mod shot;
+pub mod sender;
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -14,32 +14,32 @@
 use std::time::Instant;
 
 use self::file::LoadFile;
-use self::plan::Shot;
-use self::report::Line;
+use self::plan::PlannedRequest;
 use self::report::Report;
-use self::shot::Sender;
+use self::report::ReportLine;
+use self::sender::Sender;
 use crate::error::StandinError;
 
 /// Stack of a sending thread; sending one request needs a fraction of it.
-const STACK: usize = 256 * 1024;
+const SENDER_STACK_BYTES: usize = 256 * 1024;
 
 /// Sends a load and returns its report; it lasts as long as the phases and one patience.
 ///
 /// # Errors
 ///
 /// [`StandinError::File`] if no address is given.
-pub fn run(load: &LoadFile) -> Result<Vec<Line>, StandinError> {
+pub fn run(load: &LoadFile) -> Result<Vec<ReportLine>, StandinError> {
     if load.addresses.is_empty() {
         return Err(StandinError::File("no address is given".to_owned()));
     }
-    let sender = Sender::new(load.patience);
-    let run = Run {
+    let sender = Sender::new(load.timeout);
+    let run = LoadRun {
         load,
         sender,
-        flying: AtomicUsize::new(0),
+        in_flight: AtomicUsize::new(0),
         report: Mutex::default(),
     };
-    run.send(&plan::plan(load));
+    run.send_all(&plan::plan(load));
     let report = run.report.into_inner();
     let report = report.unwrap_or_else(PoisonError::into_inner);
     let phases: Vec<&str> = load
@@ -47,51 +47,55 @@
         .iter()
         .map(|phase| phase.name.as_str())
         .collect();
-    let callers: Vec<&str> = load.callers.iter().map(|mix| mix.name.as_str()).collect();
+    let callers: Vec<&str> = load
+        .callers
+        .iter()
+        .map(|caller| caller.name.as_str())
+        .collect();
     Ok(report.lines(&phases, &callers))
 }
 
-struct Run<'a> {
+struct LoadRun<'a> {
     load: &'a LoadFile,
     sender: Sender,
-    flying: AtomicUsize,
+    in_flight: AtomicUsize,
     report: Mutex<Report>,
 }
 
-impl Run<'_> {
+impl LoadRun<'_> {
     /// Sends each request when it is due, and waits for the last answer.
-    fn send(&self, shots: &[Shot]) {
+    fn send_all(&self, requests: &[PlannedRequest]) {
         let start = Instant::now();
         thread::scope(|scope| {
-            for shot in shots {
-                let due = start + Duration::from_micros(shot.due);
+            for request in requests {
+                let due = start + Duration::from_micros(request.due_micros);
                 thread::sleep(due.saturating_duration_since(Instant::now()));
-                if self.flying.load(Ordering::Relaxed) >= self.load.flight {
-                    self.report(|report| report.hold(shot.phase, shot.caller));
+                if self.in_flight.load(Ordering::Relaxed) >= self.load.concurrency {
+                    self.update_report(|report| report.add_unsent(request.phase, request.caller));
                     continue;
                 }
-                self.flying.fetch_add(1, Ordering::Relaxed);
-                let thread = thread::Builder::new().stack_size(STACK);
-                let spawned = thread.spawn_scoped(scope, move || self.send_one(shot, due));
+                self.in_flight.fetch_add(1, Ordering::Relaxed);
+                let thread = thread::Builder::new().stack_size(SENDER_STACK_BYTES);
+                let spawned = thread.spawn_scoped(scope, move || self.send_one(request, due));
                 if spawned.is_err() {
                     // The machine gives no more threads, which bounds those in flight as well.
-                    self.flying.fetch_sub(1, Ordering::Relaxed);
-                    self.report(|report| report.hold(shot.phase, shot.caller));
+                    self.in_flight.fetch_sub(1, Ordering::Relaxed);
+                    self.update_report(|report| report.add_unsent(request.phase, request.caller));
                 }
             }
         });
     }
 
-    fn send_one(&self, shot: &Shot, due: Instant) {
-        let place = shot.draw % self.load.addresses.len();
-        let address = &self.load.addresses[place];
-        let mix = &self.load.callers[shot.caller];
-        let outcome = self.sender.send(address, mix, shot, due);
-        self.flying.fetch_sub(1, Ordering::Relaxed);
-        self.report(|report| report.add(shot.phase, shot.caller, &outcome));
+    fn send_one(&self, request: &PlannedRequest, due: Instant) {
+        let index = request.address_draw % self.load.addresses.len();
+        let address = &self.load.addresses[index];
+        let profile = &self.load.callers[request.caller];
+        let outcome = self.sender.send(address, profile, request, due);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
+        self.update_report(|report| report.add_outcome(request.phase, request.caller, &outcome));
     }
 
-    fn report(&self, change: impl FnOnce(&mut Report)) {
+    fn update_report(&self, change: impl FnOnce(&mut Report)) {
         let mut report = self.report.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut report);
     }
--- a/crates/siskinyoke-standin/src/load/plan.rs
+++ b/crates/siskinyoke-standin/src/load/plan.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::file::CallerMix;
+use super::file::CallerProfile;
 use super::file::LoadFile;
 use super::file::Phase;
 use siskinyoke_base::Millis;
@@ -15,25 +15,25 @@
 const CHARS_PER_TOKEN: usize = 4;
 
 /// Microseconds of a millisecond.
-const MICROS: f64 = 1000.0;
+const MICROS_PER_MILLI: f64 = 1000.0;
 
 /// One request to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Shot {
+pub struct PlannedRequest {
     /// When it is due, in microseconds from the start.
-    pub due: u64,
+    pub due_micros: u64,
     /// Number of its phase.
     pub phase: usize,
     /// Number of its kind of work.
     pub caller: usize,
     /// A number that picks the address.
-    pub draw: usize,
+    pub address_draw: usize,
     /// Name of the request.
-    pub name: String,
+    pub request_id: String,
     /// The content that is its own.
     pub content: String,
     /// Words of the answer that is asked for.
-    pub output: u32,
+    pub output_tokens: u32,
     /// Whether it streams.
     pub stream: bool,
 }
@@ -42,28 +42,32 @@
 ///
 /// Arrivals are independent of one another and of answers: a slow system meets the same load as a
 /// fast one, so that its delays show in the figures and do not thin out what is measured.
-pub fn plan(load: &LoadFile) -> Vec<Shot> {
+pub fn plan(load: &LoadFile) -> Vec<PlannedRequest> {
     let mut rng = ChaCha8Rng::seed_from_u64(load.seed);
-    let mut shots = Vec::new();
-    let mut begin = Millis::ZERO;
-    for (number, phase) in load.phases.iter().enumerate() {
-        let end = begin + phase.span;
-        let mut at = micros(begin);
+    let mut requests = Vec::new();
+    let mut start = Millis::ZERO;
+    for (index, phase) in load.phases.iter().enumerate() {
+        let end = start + phase.duration;
+        let mut at = to_micros(start);
         loop {
-            at += gap(&mut rng, phase.rate);
-            if at >= micros(end) || shots.len() >= load.most {
+            at += arrival_gap_micros(&mut rng, phase.rate);
+            if at >= to_micros(end) || requests.len() >= load.max_requests {
                 break;
             }
-            shots.push(shot(&mut rng, load, number, phase, at));
+            requests.push(planned_request(&mut rng, load, index, phase, at));
         }
-        begin = end;
+        start = end;
     }
-    shots
+    requests
 }
 
 /// Returns the beginning that the prompts of one kind of work share.
-pub fn prefix(mix: &CallerMix) -> String {
-    fill(&format!("{} asks. ", mix.name), mix.prefix, "common ")
+pub fn shared_prefix(profile: &CallerProfile) -> String {
+    pad_to_tokens(
+        &format!("{} asks. ", profile.name),
+        profile.prefix,
+        "common ",
+    )
 }
 
 #[expect(
@@ -71,33 +75,45 @@
     clippy::cast_sign_loss,
     reason = "times are positive and far below 2^52 microseconds"
 )]
-fn shot(rng: &mut ChaCha8Rng, load: &LoadFile, number: usize, phase: &Phase, at: f64) -> Shot {
+fn planned_request(
+    rng: &mut ChaCha8Rng,
+    load: &LoadFile,
+    index: usize,
+    phase: &Phase,
+    at: f64,
+) -> PlannedRequest {
     let caller = draw_caller(rng, load, phase);
-    let mix = &load.callers[caller];
+    let profile = &load.callers[caller];
     let name = format!("{:016x}", rng.random::<u64>());
-    let tokens = rng.random_range(mix.prompt[0]..=mix.prompt[1]);
-    Shot {
-        due: at as u64,
-        phase: number,
+    let tokens = rng.random_range(profile.prompt[0]..=profile.prompt[1]);
+    PlannedRequest {
+        due_micros: at as u64,
+        phase: index,
         caller,
-        draw: rng.random::<u32>() as usize,
-        content: fill(&format!("{name} "), tokens, "own "),
-        name,
-        output: rng.random_range(mix.output[0]..=mix.output[1]),
-        stream: rng.random_bool(mix.stream),
+        address_draw: rng.random::<u32>() as usize,
+        content: pad_to_tokens(&format!("{name} "), tokens, "own "),
+        request_id: name,
+        output_tokens: rng.random_range(profile.output[0]..=profile.output[1]),
+        stream: rng.random_bool(profile.stream),
     }
 }
 
 fn draw_caller(rng: &mut ChaCha8Rng, load: &LoadFile, phase: &Phase) -> usize {
-    let open = |mix: &CallerMix| phase.callers.is_empty() || phase.callers.contains(&mix.name);
-    let mixes = || load.callers.iter().enumerate().filter(|(_, mix)| open(mix));
-    let sum: f64 = mixes().map(|(_, mix)| mix.weight).sum();
-    let mut rest = rng.random::<f64>() * sum;
+    let eligible =
+        |profile: &CallerProfile| phase.callers.is_empty() || phase.callers.contains(&profile.name);
+    let profiles = || {
+        load.callers
+            .iter()
+            .enumerate()
+            .filter(|(_, profile)| eligible(profile))
+    };
+    let total_weight: f64 = profiles().map(|(_, profile)| profile.weight).sum();
+    let mut remaining = rng.random::<f64>() * total_weight;
     let mut last = 0;
-    for (number, mix) in mixes() {
-        last = number;
-        rest -= mix.weight;
-        if rest < 0.0 {
+    for (index, profile) in profiles() {
+        last = index;
+        remaining -= profile.weight;
+        if remaining < 0.0 {
             break;
         }
     }
@@ -105,27 +121,27 @@
 }
 
 /// Draws the time to the next arrival in microseconds; never, if there is no rate.
-fn gap(rng: &mut ChaCha8Rng, rate: f64) -> f64 {
+fn arrival_gap_micros(rng: &mut ChaCha8Rng, rate: f64) -> f64 {
     if rate == 0.0 {
         return f64::INFINITY;
     }
-    let even: f64 = rng.random();
-    -(1.0 - even).ln() / rate * MICROS * MICROS
+    let uniform: f64 = rng.random();
+    -(1.0 - uniform).ln() / rate * MICROS_PER_MILLI * MICROS_PER_MILLI
 }
 
 #[expect(clippy::cast_precision_loss, reason = "spans stay far below 2^52 ms")]
-fn micros(at: Millis) -> f64 {
-    at.0 as f64 * MICROS
+fn to_micros(at: Millis) -> f64 {
+    at.0 as f64 * MICROS_PER_MILLI
 }
 
 /// Fills a text up to a number of tokens; a text that has more keeps its own.
-fn fill(start: &str, tokens: u32, word: &str) -> String {
+fn pad_to_tokens(text_start: &str, tokens: u32, word: &str) -> String {
     let mut text = String::new();
     let length = usize::try_from(tokens).unwrap_or(usize::MAX) * CHARS_PER_TOKEN;
     if length == 0 {
         return text;
     }
-    text.push_str(start);
+    text.push_str(text_start);
     while text.len() < length {
         // Writing to a string cannot fail.
         let _ = write!(text, "{word}");
--- a/crates/siskinyoke-standin/src/load/report.rs
+++ b/crates/siskinyoke-standin/src/load/report.rs
@@ -7,37 +7,37 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::shot::Outcome;
-use super::shot::Verdict;
+use super::sender::Outcome;
+use super::sender::Verdict;
 
 /// Significant digits that a histogram keeps.
-const DIGITS: u8 = 3;
+const HISTOGRAM_DIGITS: u8 = 3;
 
 /// Longest span that is told apart, an hour in microseconds.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
 /// Microseconds of a millisecond.
-const MICROS: f64 = 1000.0;
+const MICROS_PER_MILLI: f64 = 1000.0;
 
 /// The results of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    rows: BTreeMap<(usize, usize), Row>,
+    rows: BTreeMap<(usize, usize), RowStats>,
 }
 
 #[derive(Debug)]
-struct Row {
-    held: u64,
+struct RowStats {
+    unsent: u64,
     verdicts: BTreeMap<Verdict, u64>,
     codes: BTreeMap<String, u64>,
-    first: Histogram<u64>,
-    gap: Histogram<u64>,
-    whole: Histogram<u64>,
+    first_token: Histogram<u64>,
+    token_gap: Histogram<u64>,
+    total: Histogram<u64>,
 }
 
 /// One line of the report.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Line {
+pub struct ReportLine {
     /// The phase.
     pub phase: String,
     /// The kind of work.
@@ -45,9 +45,11 @@
     /// Requests sent.
     pub sent: u64,
     /// Requests due that were held back by the bound of those in flight.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub unsent: u64,
     /// Answers that were whole and the caller's own.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub correct: u64,
     /// Refusals and explicit errors.
     pub refused: u64,
     /// Requests without an answer, or with one that breaks off.
@@ -57,16 +59,18 @@
     /// Requests by code and kind.
     pub codes: BTreeMap<String, u64>,
     /// Milliseconds to the first token of streams that were whole.
-    pub first: Spread,
+    #[serde(rename = "first")]
+    pub first_token: LatencySummary,
     /// Milliseconds between further tokens of them.
-    pub gap: Spread,
+    #[serde(rename = "gap")]
+    pub token_gap: LatencySummary,
     /// Milliseconds to the end of answers that were whole.
-    pub total: Spread,
+    pub total: LatencySummary,
 }
 
 /// A spread of times in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Spread {
+pub struct LatencySummary {
     /// How many there were.
     pub count: u64,
     /// The median.
@@ -81,30 +85,30 @@
 
 impl Report {
     /// Counts a request that was not sent.
-    pub fn hold(&mut self, phase: usize, caller: usize) {
-        self.row(phase, caller).held += 1;
+    pub fn add_unsent(&mut self, phase: usize, caller: usize) {
+        self.row(phase, caller).unsent += 1;
     }
 
     /// Counts a outcome.
-    pub fn add(&mut self, phase: usize, caller: usize, outcome: &Outcome) {
+    pub fn add_outcome(&mut self, phase: usize, caller: usize, outcome: &Outcome) {
         let row = self.row(phase, caller);
         *row.verdicts.entry(outcome.verdict).or_default() += 1;
         *row.codes.entry(outcome.code.clone()).or_default() += 1;
-        if outcome.verdict != Verdict::Whole {
+        if outcome.verdict != Verdict::Correct {
             return;
         }
-        record(&mut row.whole, outcome.whole);
-        if let Some(first) = outcome.first {
-            record(&mut row.first, first);
+        record(&mut row.total, outcome.total);
+        if let Some(first) = outcome.first_token {
+            record(&mut row.first_token, first);
         }
-        for gap in &outcome.gaps {
-            record(&mut row.gap, *gap);
+        for gap in &outcome.token_gaps {
+            record(&mut row.token_gap, *gap);
         }
     }
 
     /// Returns the lines by phase and kind of work.
-    pub fn lines(&self, phases: &[&str], callers: &[&str]) -> Vec<Line> {
-        let lines = self.rows.iter().map(|((phase, caller), row)| Line {
+    pub fn lines(&self, phases: &[&str], callers: &[&str]) -> Vec<ReportLine> {
+        let lines = self.rows.iter().map(|((phase, caller), row)| ReportLine {
             phase: phases[*phase].to_owned(),
             caller: callers[*caller].to_owned(),
             ..row.line()
@@ -112,44 +116,46 @@
         lines.collect()
     }
 
-    fn row(&mut self, phase: usize, caller: usize) -> &mut Row {
-        self.rows.entry((phase, caller)).or_insert_with(Row::new)
+    fn row(&mut self, phase: usize, caller: usize) -> &mut RowStats {
+        self.rows
+            .entry((phase, caller))
+            .or_insert_with(RowStats::new)
     }
 }
 
-impl Row {
+impl RowStats {
     fn new() -> Self {
         Self {
-            held: 0,
+            unsent: 0,
             verdicts: BTreeMap::new(),
             codes: BTreeMap::new(),
-            first: histogram(),
-            gap: histogram(),
-            whole: histogram(),
+            first_token: new_histogram(),
+            token_gap: new_histogram(),
+            total: new_histogram(),
         }
     }
 
-    fn line(&self) -> Line {
+    fn line(&self) -> ReportLine {
         let count = |verdict| self.verdicts.get(&verdict).copied().unwrap_or_default();
-        Line {
+        ReportLine {
             phase: String::new(),
             caller: String::new(),
             sent: self.verdicts.values().sum(),
-            held: self.held,
-            whole: count(Verdict::Whole),
+            unsent: self.unsent,
+            correct: count(Verdict::Correct),
             refused: count(Verdict::Refused),
             failed: count(Verdict::Failed),
             wrong: count(Verdict::Wrong),
             codes: self.codes.clone(),
-            first: spread(&self.first),
-            gap: spread(&self.gap),
-            total: spread(&self.whole),
+            first_token: summarize(&self.first_token),
+            token_gap: summarize(&self.token_gap),
+            total: summarize(&self.total),
         }
     }
 }
 
 /// Writes lines as a table, with the codes below.
-pub fn table(lines: &[Line]) -> String {
+pub fn table(lines: &[ReportLine]) -> String {
     let mut text = format!(
         "{:<12} {:<24} {:>6} {:>6} {:>6} {:>7} {:>6} {:>5}  {:>24}  {:>24}  {:>24}\n",
         "phase",
@@ -172,14 +178,14 @@
             line.phase,
             line.caller,
             line.sent,
-            line.held,
-            line.whole,
+            line.unsent,
+            line.correct,
             line.refused,
             line.failed,
             line.wrong,
-            line.first.show(),
-            line.gap.show(),
-            line.total.show()
+            line.first_token.percentiles(),
+            line.token_gap.percentiles(),
+            line.total.percentiles()
         );
     }
     for line in lines {
@@ -194,8 +200,8 @@
     text
 }
 
-impl Spread {
-    fn show(&self) -> String {
+impl LatencySummary {
+    fn percentiles(&self) -> String {
         if self.count == 0 {
             return "-".to_owned();
         }
@@ -203,23 +209,24 @@
     }
 }
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("the bounds are constant and valid")
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, HISTOGRAM_DIGITS)
+        .expect("the bounds are constant and valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, span: Duration) {
-    let micros = u64::try_from(span.as_micros()).unwrap_or(LONGEST);
-    histogram.saturating_record(micros.clamp(1, LONGEST));
+    let micros = u64::try_from(span.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
+    histogram.saturating_record(micros.clamp(1, MAX_LATENCY_MICROS));
 }
 
 #[expect(clippy::cast_precision_loss, reason = "an hour is far below 2^52 us")]
-fn spread(histogram: &Histogram<u64>) -> Spread {
-    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / MICROS;
-    Spread {
+fn summarize(histogram: &Histogram<u64>) -> LatencySummary {
+    let millis_at = |quantile| histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
+    LatencySummary {
         count: histogram.len(),
-        p50: at(0.5),
-        p90: at(0.9),
-        p99: at(0.99),
-        max: histogram.max() as f64 / MICROS,
+        p50: millis_at(0.5),
+        p90: millis_at(0.9),
+        p99: millis_at(0.99),
+        max: histogram.max() as f64 / MICROS_PER_MILLI,
     }
 }
--- a/crates/siskinyoke-standin/src/load/shot.rs
+++ b/crates/siskinyoke-standin/src/load/sender.rs
@@ -11,24 +11,24 @@
 use ureq::Body;
 use ureq::http::Response;
 
-use super::file::CallerMix;
-use super::plan::Shot;
-use super::plan::prefix;
+use super::file::CallerProfile;
+use super::plan::PlannedRequest;
+use super::plan::shared_prefix;
 use crate::answer::Answer;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
 
 /// Text before the data of an event.
-const DATA: &str = "data: ";
+const DATA_PREFIX: &str = "data: ";
 
 /// Data of the event that ends a whole stream.
-const TERMINATOR: &str = "[DONE]";
+const DONE_DATA: &str = "[DONE]";
 
 /// How an answer is to be taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
     /// Whole and the caller's own.
-    Whole,
+    Correct,
     /// Refused or ended with an explicit error.
     Refused,
     /// No answer, or one that breaks off.
@@ -45,11 +45,11 @@
     /// Code and kind, or the HTTP status or error where there is none.
     pub code: String,
     /// Time to the first token of a stream.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// Time to the end.
-    pub whole: Duration,
+    pub total: Duration,
     /// Times between further tokens.
-    pub gaps: Vec<Duration>,
+    pub token_gaps: Vec<Duration>,
 }
 
 /// Where and with what patience requests are sent.
@@ -58,10 +58,10 @@
 }
 
 /// One request on its way.
-struct Flight<'a> {
-    shot: &'a Shot,
+struct RequestInFlight<'a> {
+    planned: &'a PlannedRequest,
     due: Instant,
-    last: Instant,
+    last_token: Instant,
     outcome: Outcome,
     text: String,
 }
@@ -69,11 +69,11 @@
 impl Sender {
     /// Prepares sending; each request opens a connection, as the callers of many small
     /// instances do.
-    pub fn new(patience: Millis) -> Self {
+    pub fn new(timeout: Millis) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .max_idle_connections(0)
-            .timeout_global(Some(patience.into()))
+            .timeout_global(Some(timeout.into()))
             .build();
         Self {
             agent: Agent::new_with_config(config),
@@ -81,46 +81,55 @@
     }
 
     /// Sends a request that was due at a time, and judges its answer.
-    pub fn send(&self, address: &str, mix: &CallerMix, shot: &Shot, due: Instant) -> Outcome {
-        let mut flight = Flight::new(shot, due);
-        match self.open(address, mix, shot) {
-            Ok(response) => flight.read(response),
-            Err(err) => flight.fail(&err.to_string()),
+    pub fn send(
+        &self,
+        address: &str,
+        profile: &CallerProfile,
+        planned: &PlannedRequest,
+        due: Instant,
+    ) -> Outcome {
+        let mut in_flight = RequestInFlight::new(planned, due);
+        match self.post(address, profile, planned) {
+            Ok(response) => in_flight.read(response),
+            Err(err) => in_flight.record_failure(&err.to_string()),
         }
-        flight.outcome.whole = due.elapsed();
-        flight.outcome
+        in_flight.outcome.total = due.elapsed();
+        in_flight.outcome
     }
 
-    fn open(
+    fn post(
         &self,
         address: &str,
-        mix: &CallerMix,
-        shot: &Shot,
+        profile: &CallerProfile,
+        planned: &PlannedRequest,
     ) -> Result<Response<Body>, ureq::Error> {
         let url = format!("http://{address}/v1/chat/completions");
-        let mut request = self.agent.post(url).header("X-Request-Id", &shot.name);
-        if let Some(key) = &mix.key {
+        let mut request = self
+            .agent
+            .post(url)
+            .header("X-Request-Id", &planned.request_id);
+        if let Some(key) = &profile.key {
             request = request.header("Authorization", format!("Bearer {key}"));
         }
-        if let Some(need) = mix.need {
-            request = request.header("Siskinyoke-Need", need.0.to_string());
+        if let Some(caller_timeout) = profile.caller_timeout {
+            request = request.header("Siskinyoke-Need", caller_timeout.0.to_string());
         }
-        request.send_json(body(mix, shot))
+        request.send_json(request_body(profile, planned))
     }
 }
 
-impl<'a> Flight<'a> {
-    fn new(shot: &'a Shot, due: Instant) -> Self {
+impl<'a> RequestInFlight<'a> {
+    fn new(planned: &'a PlannedRequest, due: Instant) -> Self {
         Self {
-            shot,
+            planned,
             due,
-            last: due,
+            last_token: due,
             outcome: Outcome {
                 verdict: Verdict::Failed,
                 code: String::new(),
-                first: None,
-                whole: Duration::ZERO,
-                gaps: Vec::new(),
+                first_token: None,
+                total: Duration::ZERO,
+                token_gaps: Vec::new(),
             },
             text: String::new(),
         }
@@ -128,19 +137,19 @@
 
     fn read(&mut self, response: Response<Body>) {
         let status = response.status();
-        self.outcome.code = code(&response);
+        self.outcome.code = result_code(&response);
         if !status.is_success() {
             self.outcome.verdict = Verdict::Refused;
             return;
         }
-        if self.shot.stream {
+        if self.planned.stream {
             self.read_stream(response);
         } else {
-            self.read_whole(response);
+            self.read_completion(response);
         }
     }
 
-    fn read_whole(&mut self, mut response: Response<Body>) {
+    fn read_completion(&mut self, mut response: Response<Body>) {
         match response.body_mut().read_json::<Value>() {
             Ok(answer) => {
                 let content = &answer["choices"][0]["message"]["content"];
@@ -148,9 +157,9 @@
                     .as_str()
                     .unwrap_or_default()
                     .clone_into(&mut self.text);
-                self.judge();
+                self.check_answer();
             }
-            Err(err) => self.fail(&err.to_string()),
+            Err(err) => self.record_failure(&err.to_string()),
         }
     }
 
@@ -158,76 +167,80 @@
         for line in BufReader::new(response.into_body().into_reader()).lines() {
             let line = match line {
                 Ok(line) => line,
-                Err(err) => return self.fail(&err.to_string()),
+                Err(err) => return self.record_failure(&err.to_string()),
             };
-            let Some(data) = line.strip_prefix(DATA) else {
+            let Some(data) = line.strip_prefix(DATA_PREFIX) else {
                 continue;
             };
-            if data == TERMINATOR {
+            if data == DONE_DATA {
                 // The head of a stream only says that it has begun.
                 let code = Code::Complete;
                 self.outcome.code = format!("{} {}", code.number(), code.kind());
-                return self.judge();
+                return self.check_answer();
             }
             let event: Value = serde_json::from_str(data).unwrap_or_default();
             if event["error"].is_object() {
-                return self.error(&event["error"]);
+                return self.record_error(&event["error"]);
             }
-            self.event(&event);
+            self.record_event(&event);
         }
-        self.fail("the stream ended without its terminator");
+        self.record_failure("the stream ended without its terminator");
     }
 
-    fn event(&mut self, event: &Value) {
+    fn record_event(&mut self, event: &Value) {
         let content = event["choices"][0]["delta"]["content"].as_str();
         let Some(content) = content.filter(|content| !content.is_empty()) else {
             return;
         };
         let now = Instant::now();
-        if self.outcome.first.is_none() {
-            self.outcome.first = Some(now - self.due);
+        if self.outcome.first_token.is_none() {
+            self.outcome.first_token = Some(now - self.due);
         } else {
-            self.outcome.gaps.push(now - self.last);
+            self.outcome.token_gaps.push(now - self.last_token);
         }
-        self.last = now;
+        self.last_token = now;
         self.text.push_str(content);
     }
 
     /// Takes an explicit error at the end of a stream.
-    fn error(&mut self, error: &Value) {
+    fn record_error(&mut self, error: &Value) {
         self.outcome.verdict = Verdict::Refused;
         let kind = error["type"].as_str().unwrap_or_default();
         self.outcome.code = format!("{} {kind}", error["code"]);
     }
 
     /// Compares an answer that looks whole with the one that the request must get.
-    fn judge(&mut self) {
-        let wanted = Answer::of(&self.shot.content, Some(self.shot.output));
-        let own = self.text == wanted.text();
-        self.outcome.verdict = if own { Verdict::Whole } else { Verdict::Wrong };
+    fn check_answer(&mut self) {
+        let expected = Answer::of(&self.planned.content, Some(self.planned.output_tokens));
+        let matches = self.text == expected.text();
+        self.outcome.verdict = if matches {
+            Verdict::Correct
+        } else {
+            Verdict::Wrong
+        };
     }
 
-    fn fail(&mut self, detail: &str) {
+    fn record_failure(&mut self, detail: &str) {
         self.outcome.verdict = Verdict::Failed;
         detail.clone_into(&mut self.outcome.code);
     }
 }
 
-fn body(mix: &CallerMix, shot: &Shot) -> Value {
+fn request_body(profile: &CallerProfile, planned: &PlannedRequest) -> Value {
     let mut messages = Vec::new();
-    if mix.prefix > 0 {
-        messages.push(json!({ "role": "system", "content": prefix(mix) }));
+    if profile.prefix > 0 {
+        messages.push(json!({ "role": "system", "content": shared_prefix(profile) }));
     }
-    messages.push(json!({ "role": "user", "content": shot.content }));
+    messages.push(json!({ "role": "user", "content": planned.content }));
     json!({
-        "model": mix.model,
+        "model": profile.model,
         "messages": messages,
-        "max_tokens": shot.output,
-        "stream": shot.stream,
+        "max_tokens": planned.output_tokens,
+        "stream": planned.stream,
     })
 }
 
-fn code(response: &Response<Body>) -> String {
+fn result_code(response: &Response<Body>) -> String {
     let header = |name| response.headers().get(name)?.to_str().ok();
     match header("Siskinyoke-Code") {
         Some(code) => format!("{code} {}", header("Siskinyoke-Kind").unwrap_or_default()),
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -27,19 +27,19 @@
 const QUESTION: &str = "the boat sailed at dawn";
 
 /// Events of an answer besides its words: the role, the reason of its end, and the terminator.
-const FRAME: usize = 3;
+const NON_WORD_EVENTS: usize = 3;
 
 /// Streams that begin at once.
-const BURST: usize = 24;
+const BURST_STREAMS: usize = 24;
 
 /// Fresh engines that meet the burst, since the library's race is not lost each time.
-const ROUNDS: usize = 40;
+const BURST_ROUNDS: usize = 40;
 
 fn engine(config: &EngineConfig) -> Engine {
     Engine::start(config).expect("a free port")
 }
 
-fn fast() -> EngineConfig {
+fn fast_config() -> EngineConfig {
     EngineConfig {
         speed: 2000.0,
         ..EngineConfig::default()
@@ -101,12 +101,12 @@
 }
 
 #[test]
-fn a_stream_is_whole_and_the_callers_own() {
-    let engine = engine(&fast());
+fn a_stream_is_complete_and_answers_its_request() {
+    let engine = engine(&fast_config());
     let response = send(&engine, "a", 0, &body(QUESTION, 12, true)).expect("an answer");
     let (events, end) = events(response);
     assert!(end.is_ok());
-    assert_eq!(events.len(), 12 + FRAME);
+    assert_eq!(events.len(), 12 + NON_WORD_EVENTS);
     assert_eq!(events.last().map(String::as_str), Some("data: [DONE]"));
     assert_eq!(text(&events), Answer::of(QUESTION, Some(12)).text());
     wait_for(|| engine.counts().requests["a"].completed == 1);
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn an_answer_in_one_piece_has_its_usage() {
-    let engine = engine(&fast());
+fn an_unstreamed_answer_reports_its_usage() {
+    let engine = engine(&fast_config());
     let response = send(&engine, "a", 0, &body(QUESTION, 12, false));
     let answer: Value = response
         .expect("an answer")
@@ -128,11 +128,11 @@
 }
 
 #[test]
-fn a_resumed_stream_doubles_and_loses_nothing() {
+fn a_resumed_stream_repeats_and_loses_no_event() {
     // A stream breaks half way, and the rest is asked for from the next event on. If the engine
     // counted other events than the caller did, the text would have a word twice or a hole.
-    let engine = engine(&fast());
-    let ask = body(QUESTION, 20, true);
+    let engine = engine(&fast_config());
+    let request = body(QUESTION, 20, true);
     engine.control(&EngineControl {
         breaks: Some(Breaks {
             after: 7,
@@ -140,19 +140,19 @@
         }),
         ..EngineControl::default()
     });
-    let (mut got, end) = events(send(&engine, "a", 0, &ask).expect("a stream"));
+    let (mut received, end) = events(send(&engine, "a", 0, &request).expect("a stream"));
     assert!(end.is_err(), "a broken stream must not look whole");
-    assert_eq!(got.len(), 7);
-    let (rest, end) = events(send(&engine, "a", got.len(), &ask).expect("a stream"));
+    assert_eq!(received.len(), 7);
+    let (rest, end) = events(send(&engine, "a", received.len(), &request).expect("a stream"));
     assert!(end.is_ok());
-    got.extend(rest);
-    let (whole, _) = events(send(&engine, "b", 0, &ask).expect("a stream"));
-    assert_eq!(got, whole);
+    received.extend(rest);
+    let (whole, _) = events(send(&engine, "b", 0, &request).expect("a stream"));
+    assert_eq!(received, whole);
     assert_eq!(engine.counts().requests["a"].dispatched, 2);
 }
 
 #[test]
-fn a_marked_request_takes_the_engine_down_with_all_in_flight() {
+fn a_request_with_the_crash_marker_fails_all_requests_in_flight() {
     // One request crashes the process, and an innocent one beside it loses its connection too.
     // Both callers see a broken connection, and new ones are refused until the engine is back.
     let engine = engine(&EngineConfig {
@@ -161,29 +161,29 @@
         crash_span: Millis(300),
         ..EngineConfig::default()
     });
-    let innocent = send(&engine, "innocent", 0, &body(QUESTION, 1000, true)).expect("a stream");
+    let unmarked = send(&engine, "innocent", 0, &body(QUESTION, 1000, true)).expect("a stream");
     assert!(send(&engine, "marked", 0, &body("a poison pill", 4, true)).is_err());
-    assert!(events(innocent).1.is_err());
+    assert!(events(unmarked).1.is_err());
     assert_eq!(engine.counts().crashes, 1);
     wait_for(|| send(&engine, "after", 0, &body(QUESTION, 1, true)).is_ok());
 }
 
 #[test]
-fn an_order_to_go_down_is_answered_first() {
-    let engine = engine(&fast());
+fn the_response_to_a_down_command_precedes_the_outage() {
+    let engine = engine(&fast_config());
     let order = |address: SocketAddr, span: u64| {
         let url = format!("http://{address}/control");
         agent().post(url).send_json(json!({ "down": span }))
     };
-    let told = order(engine.address(), 60_000).expect("an answer");
-    assert_eq!(told.status(), 200);
+    let response = order(engine.address(), 60_000).expect("an answer");
+    assert_eq!(response.status(), 200);
     assert!(order(engine.address(), 0).is_err(), "it is down");
     assert!(order(engine.control_address(), 0).is_ok());
     wait_for(|| order(engine.address(), 0).is_ok());
 }
 
 #[test]
-fn a_caller_that_goes_away_frees_its_slot() {
+fn a_disconnected_caller_frees_its_slot() {
     // A caller gives up in the middle of a long answer. If the engine went on, its only slot
     // would be held for minutes by an answer that nobody reads.
     let engine = engine(&EngineConfig {
@@ -191,29 +191,29 @@
         speed: 20.0,
         ..EngineConfig::default()
     });
-    let long = send(&engine, "long", 0, &body(QUESTION, 5000, true)).expect("a stream");
-    drop(long);
+    let long_stream = send(&engine, "long", 0, &body(QUESTION, 5000, true)).expect("a stream");
+    drop(long_stream);
     wait_for(|| engine.counts().cancelled == 1);
-    let next = send(&engine, "next", 0, &body(QUESTION, 1, true)).expect("a stream");
-    assert!(events(next).1.is_ok());
+    let next_stream = send(&engine, "next", 0, &body(QUESTION, 1, true)).expect("a stream");
+    assert!(events(next_stream).1.is_ok());
     assert!(engine.counts().wasted > 0);
 }
 
 #[test]
-fn a_burst_of_streams_begins_while_none_has_ended() {
+fn a_burst_of_streams_starts_before_any_has_ended() {
     // Many callers connect at once and hold their streams open. The HTTP library may queue two
     // new connections for one idle thread; the second then waits until any stream ends, which
     // shows as a first token that comes seconds late. Here none ends, so it would never come.
-    for _ in 0..ROUNDS {
+    for _ in 0..BURST_ROUNDS {
         let engine = engine(&EngineConfig {
             slots: 1000,
             speed: 0.001,
             ..EngineConfig::default()
         });
-        let start = Barrier::new(BURST);
-        let begun = thread::scope(|scope| {
-            let callers: Vec<_> = (0..BURST)
-                .map(|_| scope.spawn(|| begin(&engine, &start)))
+        let start = Barrier::new(BURST_STREAMS);
+        let started = thread::scope(|scope| {
+            let callers: Vec<_> = (0..BURST_STREAMS)
+                .map(|_| scope.spawn(|| open_stream(&engine, &start)))
                 .collect();
             let streams = callers
                 .into_iter()
@@ -222,12 +222,12 @@
             let streams: Vec<_> = streams.collect();
             streams.into_iter().flatten().count()
         });
-        assert_eq!(begun, BURST);
+        assert_eq!(started, BURST_STREAMS);
     }
 }
 
 /// Opens a stream and reads its first line; the stream stays open with what is returned.
-fn begin(engine: &Engine, start: &Barrier) -> Option<BufReader<BodyReader<'static>>> {
+fn open_stream(engine: &Engine, start: &Barrier) -> Option<BufReader<BodyReader<'static>>> {
     start.wait();
     let response = send(engine, "", 0, &body(QUESTION, 5, true)).ok()?;
     let mut reader = BufReader::new(response.into_body().into_reader());
@@ -237,19 +237,19 @@
 }
 
 #[test]
-fn a_frozen_engine_keeps_its_connections_and_goes_on_later() {
-    let engine = engine(&fast());
+fn a_frozen_engine_keeps_its_connections_and_resumes() {
+    let engine = engine(&fast_config());
     engine.control(&EngineControl {
         freeze: Some(Millis(200)),
         ..EngineControl::default()
     });
     let response = send(&engine, "a", 0, &body(QUESTION, 3, true)).expect("an answer at last");
-    assert_eq!(events(response).0.len(), 3 + FRAME);
+    assert_eq!(events(response).0.len(), 3 + NON_WORD_EVENTS);
 }
 
 #[test]
-fn a_known_prefix_needs_no_second_prefill() {
-    let engine = engine(&fast());
+fn a_cached_prefix_is_not_prefilled_again() {
+    let engine = engine(&fast_config());
     let essay = "all pupils write about the sea. ".repeat(64);
     for name in ["first", "second"] {
         let response = send(&engine, name, 0, &body(&essay, 1, true)).expect("a stream");
@@ -261,18 +261,18 @@
 }
 
 #[test]
-fn metrics_show_what_runs_and_what_waits() {
+fn metrics_count_running_and_waiting_requests() {
     let engine = engine(&EngineConfig {
         slots: 1,
         speed: 20.0,
         ..EngineConfig::default()
     });
-    let ask = body(QUESTION, 5000, true);
-    let running = send(&engine, "a", 0, &ask).expect("a stream");
+    let request = body(QUESTION, 5000, true);
+    let running = send(&engine, "a", 0, &request).expect("a stream");
     let address = engine.address();
     let waiting = thread::spawn(move || {
         let url = format!("http://{address}/v1/chat/completions");
-        agent().post(url).send_json(&ask).is_err()
+        agent().post(url).send_json(&request).is_err()
     });
     wait_for(|| {
         let url = format!("http://{address}/metrics");
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_service_counts_an_execution_whose_answer_was_cut() {
+fn a_service_counts_an_execution_whose_response_was_cut() {
     // A booking is made and the connection breaks before the confirmation. A caller that takes
     // this for "not run" books a second time; the serial numbers show that both ran.
     let service = Service::start(&ServiceConfig::default()).expect("a free port");
@@ -298,13 +298,13 @@
         lose_answers: Some(1),
         ..ServiceControl::default()
     });
-    let book = || {
+    let send_booking = || {
         let url = format!("http://{}/seats?hall=2", service.address());
         let request = agent().post(url).header("X-Request-Id", "seat-4");
         request.send("two seats")
     };
-    assert!(book().is_err());
-    let answer: Value = book()
+    assert!(send_booking().is_err());
+    let answer: Value = send_booking()
         .expect("an answer")
         .body_mut()
         .read_json()
@@ -316,9 +316,9 @@
 }
 
 /// Tries again until something holds that other threads bring about.
-fn wait_for(mut holds: impl FnMut() -> bool) {
+fn wait_for(mut condition: impl FnMut() -> bool) {
     for _ in 0..500 {
-        if holds() {
+        if condition() {
             return;
         }
         thread::sleep(Millis(10).into());
--- a/crates/siskinyoke-standin/tests/load.rs
+++ b/crates/siskinyoke-standin/tests/load.rs
@@ -11,12 +11,12 @@
 use siskinyoke_standin::load;
 use siskinyoke_standin::load::file::LoadFile;
 use siskinyoke_standin::load::plan;
-use siskinyoke_standin::load::report::Line;
+use siskinyoke_standin::load::report::ReportLine;
 use siskinyoke_standin::web::Exchange;
 use siskinyoke_standin::web::Handler;
 use siskinyoke_standin::web::Web;
 
-const LOAD: &str = r#"{
+const LOAD_FILE: &str = r#"{
     // Short and long work beside each other.
     "seed": 7,
     "patience": 10000,
@@ -34,34 +34,38 @@
 }"#;
 
 fn load_to(address: &str) -> LoadFile {
-    let mut load = LoadFile::parse(LOAD).expect("a good load");
+    let mut load = LoadFile::parse(LOAD_FILE).expect("a good load");
     load.addresses = vec![address.to_owned()];
     load
 }
 
-fn sum(lines: &[Line], count: impl Fn(&Line) -> u64) -> u64 {
+fn sum(lines: &[ReportLine], count: impl Fn(&ReportLine) -> u64) -> u64 {
     lines.iter().map(count).sum()
 }
 
 #[test]
-fn a_seed_draws_the_same_load() {
+fn the_same_seed_gives_the_same_load() {
     let mut load = load_to("none");
-    let shots = plan::plan(&load);
-    assert_eq!(shots, plan::plan(&load));
+    let requests = plan::plan(&load);
+    assert_eq!(requests, plan::plan(&load));
     assert!(
-        shots.iter().all(|shot| shot.phase != 1),
+        requests.iter().all(|request| request.phase != 1),
         "nothing is due in the pause"
     );
-    assert!(shots.iter().all(|shot| shot.phase != 2 || shot.caller == 0));
+    assert!(
+        requests
+            .iter()
+            .all(|request| request.phase != 2 || request.caller == 0)
+    );
     load.seed = 8;
-    assert_ne!(shots, plan::plan(&load));
-    load.most = 5;
+    assert_ne!(requests, plan::plan(&load));
+    load.max_requests = 5;
     assert_eq!(plan::plan(&load).len(), 5);
 }
 
 #[test]
-fn a_load_that_does_not_fit_together_is_refused() {
-    for (from, to, told) in [
+fn an_inconsistent_load_file_is_rejected() {
+    for (from, to, expected) in [
         ("[2, 8]", "[8, 2]", "caller paragraph: lengths"),
         ("\"rate\": 50", "\"rate\": -1", "phase quiet: rate"),
         (
@@ -71,27 +75,27 @@
         ),
         ("\"seed\"", "\"sead\"", "unknown field `sead`"),
     ] {
-        let err = LoadFile::parse(&LOAD.replace(from, to)).expect_err("a fault");
-        assert!(err.to_string().contains(told), "{err}");
+        let err = LoadFile::parse(&LOAD_FILE.replace(from, to)).expect_err("a fault");
+        assert!(err.to_string().contains(expected), "{err}");
     }
 }
 
 #[test]
-fn every_whole_answer_is_counted_and_timed() {
-    let engine = Engine::start(&fast()).expect("a free port");
+fn every_correct_answer_is_counted_and_timed() {
+    let engine = Engine::start(&fast_config()).expect("a free port");
     let load = load_to(&engine.address().to_string());
     let lines = load::run(&load).expect("a run");
     let sent = plan::plan(&load).len() as u64;
-    assert_eq!(sum(&lines, |line| line.whole), sent, "{lines:?}");
+    assert_eq!(sum(&lines, |line| line.correct), sent, "{lines:?}");
     assert_eq!(engine.counts().dispatched, sent);
-    let streamed = sum(&lines, |line| line.first.count);
+    let streamed = sum(&lines, |line| line.first_token.count);
     assert!(streamed > 0 && streamed < sent);
     assert_eq!(sum(&lines, |line| line.total.count), sent);
 }
 
 #[test]
-fn a_broken_stream_is_no_whole_answer() {
-    let engine = Engine::start(&fast()).expect("a free port");
+fn a_broken_stream_counts_as_failed() {
+    let engine = Engine::start(&fast_config()).expect("a free port");
     engine.control(&EngineControl {
         breaks: Some(Breaks {
             after: 2,
@@ -106,12 +110,12 @@
 }
 
 #[test]
-fn an_answer_that_is_another_callers_is_told() {
+fn an_answer_to_another_request_counts_as_wrong() {
     // Two answers are mixed up on their way, and each caller reads a whole, well-formed answer to
     // someone else's question. Only a check of the content itself tells it from its own.
-    let web = Web::start(ANY_PORT, ANY_PORT, Arc::new(Mixed)).expect("a free port");
+    let web = Web::start(ANY_PORT, ANY_PORT, Arc::new(FixedAnswer)).expect("a free port");
     let lines = load::run(&load_to(&web.address().to_string())).expect("a run");
-    assert_eq!(sum(&lines, |line| line.whole), 0);
+    assert_eq!(sum(&lines, |line| line.correct), 0);
     assert!(
         sum(&lines, |line| line
             .codes
@@ -127,7 +131,7 @@
     );
 }
 
-fn fast() -> EngineConfig {
+fn fast_config() -> EngineConfig {
     EngineConfig {
         speed: 5000.0,
         prefill: 1_000_000.0,
@@ -136,9 +140,9 @@
 }
 
 /// Answers everyone with the same text, in the form that they ask for.
-struct Mixed;
+struct FixedAnswer;
 
-impl Handler for Mixed {
+impl Handler for FixedAnswer {
     fn handle(&self, mut exchange: Exchange) {
         let request: serde_json::Value = exchange.json().expect("JSON");
         let text = Answer::of("another question", Some(4)).text();
