--- a/crates/siskinyoke-gateway/tests/soak.rs
+++ b/crates/siskinyoke-gateway/tests/soak.rs
@@ -34,7 +34,12 @@
             verdict.served, verdict.unserved, verdict.rollout_states
         );
         assert!(verdict.served > 0, "seed {seed}: no request was served");
-        violations.extend(verdict.broken.iter().map(|it| format!("seed {seed}: {it}")));
+        violations.extend(
+            verdict
+                .violations
+                .iter()
+                .map(|it| format!("seed {seed}: {it}")),
+        );
     }
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/crates/siskinyoke-gateway/tests/whole/main.rs
+++ b/crates/siskinyoke-gateway/tests/whole/main.rs
@@ -79,7 +79,7 @@
 }
 
 fn arrival_count(setup: &Setup) -> usize {
-    setup.endpoints.iter().map(|it| it.arrivals().len()).sum()
+    setup.endpoints.iter().map(|it| it.requests().len()).sum()
 }
 
 #[test]
@@ -92,8 +92,8 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("siskinyoke-response-seal: e1"), "{answer}");
     assert!(answer.ends_with("\r\n\r\nwhole"), "{answer}");
-    let arrival = setup.endpoints[0].arrivals().pop().unwrap();
-    assert_eq!(arrival.line, "POST /safe/a?b=c HTTP/1.1\r\n");
+    let arrival = setup.endpoints[0].requests().pop().unwrap();
+    assert_eq!(arrival.request_line, "POST /safe/a?b=c HTTP/1.1\r\n");
     assert_eq!(arrival.body, b"body");
     assert_eq!(arrival.header("siskinyoke-request-id"), Some("r1"));
     assert_eq!(arrival.header("siskinyoke-target-instance"), Some("e1"));
@@ -189,12 +189,12 @@
         assert!(answer.ends_with("early"), "{answer}");
     }
     wait_until("all requests arrived", || arrival_count(&setup) == 5);
-    for arrival in setup.endpoints[0].arrivals() {
+    for arrival in setup.endpoints[0].requests() {
         assert_eq!(arrival.body, b"the whole body");
         assert!(
-            arrival.line.starts_with("POST /safe/early"),
+            arrival.request_line.starts_with("POST /safe/early"),
             "{}",
-            arrival.line
+            arrival.request_line
         );
     }
 }
@@ -218,7 +218,7 @@
     let resumed: Vec<_> = setup
         .endpoints
         .iter()
-        .flat_map(Endpoint::arrivals)
+        .flat_map(Endpoint::requests)
         .filter_map(|it| it.header("last-event-id").map(ToOwned::to_owned))
         .collect();
     assert_eq!(resumed, ["2"]);
@@ -332,7 +332,7 @@
         wait_until("the request arrived", || arrival_count(&setup) == number);
         drop(stream);
         wait_until("its endpoint is disconnected", || {
-            setup.endpoints[0].left() as usize == number
+            setup.endpoints[0].disconnect_count() as usize == number
         });
     }
     // The endpoint has four slots: those of the cancelled requests must be free again.
@@ -383,11 +383,11 @@
             .find(|it| it.contains("what=\"configuration\""));
         version.is_some_and(|it| it.ends_with(" 4"))
     });
-    let before = setup.endpoints[0].arrivals().len();
+    let before = setup.endpoints[0].requests().len();
     for _ in 0..20 {
         setup.instance.call("r", "/safe/a", "", "");
     }
-    assert_eq!(setup.endpoints[0].arrivals().len(), before);
+    assert_eq!(setup.endpoints[0].requests().len(), before);
 }
 
 // The store is unavailable, and has lost its history when it returns. Requests must be served
@@ -404,11 +404,11 @@
     setup.store.compact();
     setup.store.set_availability(Availability::Available);
     wait_until("only e2 receives requests", || {
-        let before = setup.endpoints[0].arrivals().len();
+        let before = setup.endpoints[0].requests().len();
         for _ in 0..8 {
             setup.instance.call("r", "/safe/a", "", "");
         }
-        setup.endpoints[0].arrivals().len() == before
+        setup.endpoints[0].requests().len() == before
     });
 }
 
@@ -454,7 +454,7 @@
     setup.store.set_availability(Availability::Available);
     let answer = read_response(&mut stream);
     assert!(answer.ends_with("whole"), "{answer}");
-    let arrivals = setup.endpoints[0].arrivals();
+    let arrivals = setup.endpoints[0].requests();
     assert_eq!(arrivals.len(), 1);
     assert_eq!(arrivals[0].body, b"body");
 }
@@ -527,7 +527,7 @@
     });
     assert!(state().contains("v2"), "{}", state());
     let old_version_requests =
-        || setup.endpoints[0].arrivals().len() + setup.endpoints[1].arrivals().len();
+        || setup.endpoints[0].requests().len() + setup.endpoints[1].requests().len();
     let before = old_version_requests();
     for _ in 0..10 {
         let answer = setup.instance.call("r", "/safe/a", "", "");
--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -71,7 +71,7 @@
     /// If a caller's thread panicked before.
     pub fn violations(&self, endpoints: &[Endpoint]) -> Vec<String> {
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
-        for arrival in endpoints.iter().flat_map(Endpoint::arrivals) {
+        for arrival in endpoints.iter().flat_map(Endpoint::requests) {
             if let Some(id) = arrival.header("siskinyoke-request-id") {
                 *runs.entry(id.to_owned()).or_default() += 1;
             }
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct ReceivedRequest {
     /// The request line.
-    pub line: String,
+    pub request_line: String,
     /// Its headers, names in lower case.
     pub headers: Vec<(String, String)>,
     /// Its body.
@@ -42,7 +42,7 @@
     }
 
     fn line_contains(&self, what: &str) -> bool {
-        self.line.contains(what)
+        self.request_line.contains(what)
     }
 }
 
@@ -113,7 +113,7 @@
     /// # Panics
     ///
     /// If one of its threads panicked before.
-    pub fn arrivals(&self) -> Vec<ReceivedRequest> {
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.requests.lock().unwrap().clone()
     }
 
@@ -122,7 +122,7 @@
     /// # Panics
     ///
     /// If one of its threads panicked before.
-    pub fn left(&self) -> u32 {
+    pub fn disconnect_count(&self) -> u32 {
         *self.disconnects.lock().unwrap()
     }
 
@@ -132,7 +132,7 @@
         while let Some(mut arrival) = read_head(&mut reader)? {
             let early = arrival.line_contains("early");
             if early {
-                out.write_all(&self.answer(&arrival, "early"))?;
+                out.write_all(&self.encode_response(&arrival, "early"))?;
             }
             let length = arrival
                 .header("content-length")
@@ -164,8 +164,8 @@
             return Ok(true);
         }
         if arrival.line_contains("extra") {
-            out.write_all(&self.answer(arrival, "first"))?;
-            out.write_all(&self.answer(arrival, "second"))?;
+            out.write_all(&self.encode_response(arrival, "first"))?;
+            out.write_all(&self.encode_response(arrival, "second"))?;
             return Ok(true);
         }
         if arrival.line_contains("slow") {
@@ -176,7 +176,7 @@
             thread::sleep(Duration::from_millis(1_500));
         }
         if arrival.line_contains("large") {
-            out.write_all(&self.answer(arrival, &"x".repeat(LARGE_BODY_BYTES)))?;
+            out.write_all(&self.encode_response(arrival, &"x".repeat(LARGE_BODY_BYTES)))?;
             return Ok(true);
         }
         if arrival.line_contains("lost") && arrival.header("last-event-id").is_some() {
@@ -193,11 +193,11 @@
         if arrival.line_contains("events") {
             return self.write_interrupted_stream(arrival, out);
         }
-        out.write_all(&self.answer(arrival, "whole"))?;
+        out.write_all(&self.encode_response(arrival, "whole"))?;
         Ok(true)
     }
 
-    fn answer(&self, arrival: &ReceivedRequest, body: &str) -> Vec<u8> {
+    fn encode_response(&self, arrival: &ReceivedRequest, body: &str) -> Vec<u8> {
         let id = arrival.header("siskinyoke-request-id").unwrap_or("");
         let length = body.len();
         let limit = if arrival.line_contains("limited") {
@@ -283,7 +283,7 @@
 
 fn read_head(reader: &mut BufReader<TcpStream>) -> std::io::Result<Option<ReceivedRequest>> {
     let mut arrival = ReceivedRequest::default();
-    if reader.read_line(&mut arrival.line)? == 0 {
+    if reader.read_line(&mut arrival.request_line)? == 0 {
         return Ok(None);
     }
     loop {
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -65,12 +65,12 @@
         *self.fault.lock().unwrap() = harm;
     }
 
-    fn get(&self) -> Fault {
+    fn fault(&self) -> Fault {
         *self.fault.lock().unwrap()
     }
 
     fn forward_connection(&self, near: TcpStream, target: SocketAddr) {
-        if self.get() == Fault::Reset {
+        if self.fault() == Fault::Reset {
             return;
         }
         let Ok(far) = TcpStream::connect(target) else {
@@ -88,7 +88,7 @@
     fn forward_bytes(&self, mut from: TcpStream, mut to: TcpStream, back: bool) {
         let mut buffer = [0; 4096];
         while let Ok(length) = from.read(&mut buffer) {
-            let swallow = match self.get() {
+            let swallow = match self.fault() {
                 Fault::Reset => break,
                 Fault::DropAll => true,
                 Fault::DropResponses => back,
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -73,7 +73,7 @@
     /// States of rollouts that were written.
     pub rollout_states: usize,
     /// Each broken promise, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 struct Fleet {
@@ -103,7 +103,7 @@
         .collect();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for _ in 0..FAULT_COUNT {
-        world.harm(&mut rng);
+        world.inject_fault(&mut rng);
         thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
     }
     world.clear_faults();
@@ -115,13 +115,13 @@
         }
     }
     broken.extend(checker.violations(&world.endpoints));
-    broken.extend(check_rollout_states(&world.store.outcomes()));
+    broken.extend(check_rollout_states(&world.store.rollout_states()));
     let (good, other) = checker.result_counts();
     RunReport {
         served: good,
         unserved: other,
-        rollout_states: world.store.outcomes().len(),
-        broken,
+        rollout_states: world.store.rollout_states().len(),
+        violations: broken,
     }
 }
 
@@ -162,7 +162,7 @@
         }
     }
 
-    fn harm(&mut self, rng: &mut ChaCha8Rng) {
+    fn inject_fault(&mut self, rng: &mut ChaCha8Rng) {
         let at = rng.random_range(0..self.instances.len());
         match rng.random_range(0..11) {
             0 => self.instances[at].send_signal(Signal::STOP),
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -145,7 +145,7 @@
     /// # Panics
     ///
     /// If one of its threads panicked before.
-    pub fn outcomes(&self) -> Vec<(u64, String)> {
+    pub fn rollout_states(&self) -> Vec<(u64, String)> {
         self.shared.0.lock().unwrap().rollout_states.clone()
     }
 
@@ -168,12 +168,12 @@
         let (path, query) = split_url(request.url());
         let mut body = String::new();
         request.as_reader().read_to_string(&mut body).unwrap();
-        if self.mood() == Availability::Unresponsive {
+        if self.availability() == Availability::Unresponsive {
             // A request that is dropped would be answered; without its writer nothing is.
             drop(request.into_writer());
             return;
         }
-        let (status, answer) = if self.mood() == Availability::Unavailable {
+        let (status, answer) = if self.availability() == Availability::Unavailable {
             (503, json!({}))
         } else {
             self.answer(&path, &query, &body)
@@ -247,7 +247,7 @@
         (200, json!({ "Revision": state.revision }))
     }
 
-    fn mood(&self) -> Availability {
+    fn availability(&self) -> Availability {
         self.shared.0.lock().unwrap().availability
     }
 }
