--- a/crates/siskinyoke-standin/src/pieces.rs
+++ b/crates/siskinyoke-standin/src/chunked.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::gate::Gate;
+use crate::proxy::Gate;
 
 /// A chunked answer under way.
 ///
--- a/crates/siskinyoke-standin/src/engine/chat.rs
+++ b/crates/siskinyoke-standin/src/engine/chat.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::cache::Hit;
-use crate::answer::Answer;
+use crate::completion::Answer;
 
 /// The end of every whole stream.
 pub const TERMINATOR: &str = "data: [DONE]\n\n";
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -17,10 +17,10 @@
 use serde_json::json;
 
 use crate::error::StandinError;
-use crate::gate::Gate;
-use crate::web::Exchange;
-use crate::web::Handler;
-use crate::web::Web;
+use crate::http::Exchange;
+use crate::http::Handler;
+use crate::http::Web;
+use crate::proxy::Gate;
 
 pub use self::config::EngineConfig;
 
--- a/crates/siskinyoke-standin/src/engine/run.rs
+++ b/crates/siskinyoke-standin/src/engine/run.rs
@@ -7,8 +7,8 @@
 use super::cache::Hit;
 use super::chat;
 use super::chat::ChatRequest;
-use crate::answer::Answer;
-use crate::web::Exchange;
+use crate::completion::Answer;
+use crate::http::Exchange;
 
 /// Names the request towards the engine.
 const NAME_HEADER: &str = "X-Request-Id";
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -19,8 +19,8 @@
 use self::server::Shared;
 use crate::ANY_PORT;
 use crate::error::StandinError;
-use crate::web::Handler;
-use crate::web::Web;
+use crate::http::Handler;
+use crate::http::Web;
 use siskinyoke_base::clock::SystemClock;
 
 /// How a stand-in store is started.
--- a/crates/siskinyoke-standin/src/etcd/server.rs
+++ b/crates/siskinyoke-standin/src/etcd/server.rs
@@ -21,10 +21,10 @@
 use super::store::Span;
 use super::store::Store;
 use super::wire;
-use crate::gate::Gate;
-use crate::pieces::Pieces;
-use crate::web::Exchange;
-use crate::web::Handler;
+use crate::chunked::Pieces;
+use crate::http::Exchange;
+use crate::http::Handler;
+use crate::proxy::Gate;
 use siskinyoke_base::Clock;
 use siskinyoke_base::clock::SystemClock;
 
--- a/crates/siskinyoke-standin/src/web.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -16,10 +16,10 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
+use crate::chunked::Pieces;
 use crate::error::StandinError;
-use crate::gate::Gate;
-use crate::gate::listen;
-use crate::pieces::Pieces;
+use crate::proxy::Gate;
+use crate::proxy::listen;
 use siskinyoke_base::Millis;
 
 /// Most bytes of a body that are read; the largest value of the platform fits coded.
--- a/crates/siskinyoke-standin/src/load/shot.rs
+++ b/crates/siskinyoke-standin/src/load/shot.rs
@@ -14,7 +14,7 @@
 use super::file::CallerMix;
 use super::plan::Shot;
 use super::plan::prefix;
-use crate::answer::Answer;
+use crate::completion::Answer;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
 
--- a/crates/siskinyoke-standin/src/gate.rs
+++ b/crates/siskinyoke-standin/src/proxy.rs
@@ -3,7 +3,7 @@
 //! `tiny_http` gives no hold on its sockets, so a stand-in's server listens on an address of its
 //! own and the gate passes bytes between it and the address that others know.
 
-mod link;
+mod connection;
 mod listen;
 
 use self::listen::Reserved;
@@ -25,9 +25,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use self::link::Link;
-use self::link::Way;
-use crate::workers::Workers;
+use self::connection::Link;
+use self::connection::Way;
+use crate::thread_pool::Workers;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -14,10 +14,10 @@
 
 use crate::ANY_PORT;
 use crate::error::StandinError;
-use crate::gate::Gate;
-use crate::web::Exchange;
-use crate::web::Handler;
-use crate::web::Web;
+use crate::http::Exchange;
+use crate::http::Handler;
+use crate::http::Web;
+use crate::proxy::Gate;
 use siskinyoke_base::Millis;
 
 /// Names the request towards the service.
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -15,7 +15,7 @@
 use ureq::http::Response;
 
 use siskinyoke_base::Millis;
-use siskinyoke_standin::answer::Answer;
+use siskinyoke_standin::completion::Answer;
 use siskinyoke_standin::engine::Engine;
 use siskinyoke_standin::engine::EngineConfig;
 use siskinyoke_standin::engine::control::Breaks;
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -13,7 +13,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_client::Outcome;
 use siskinyoke_client::Request;
-use siskinyoke_standin::answer::Answer;
+use siskinyoke_standin::completion::Answer;
 use siskinyoke_standin::engine::control::Breaks;
 use siskinyoke_standin::engine::control::EngineControl;
 use siskinyoke_standin::etcd::control::EtcdControl;
--- a/crates/siskinyoke-standin/tests/load.rs
+++ b/crates/siskinyoke-standin/tests/load.rs
@@ -3,18 +3,18 @@
 use std::sync::Arc;
 
 use siskinyoke_standin::ANY_PORT;
-use siskinyoke_standin::answer::Answer;
+use siskinyoke_standin::completion::Answer;
 use siskinyoke_standin::engine::Engine;
 use siskinyoke_standin::engine::EngineConfig;
 use siskinyoke_standin::engine::control::Breaks;
 use siskinyoke_standin::engine::control::EngineControl;
+use siskinyoke_standin::http::Exchange;
+use siskinyoke_standin::http::Handler;
+use siskinyoke_standin::http::Web;
 use siskinyoke_standin::load;
 use siskinyoke_standin::load::file::LoadFile;
 use siskinyoke_standin::load::plan;
 use siskinyoke_standin::load::report::Line;
-use siskinyoke_standin::web::Exchange;
-use siskinyoke_standin::web::Handler;
-use siskinyoke_standin::web::Web;
 
 const LOAD: &str = r#"{
     // Short and long work beside each other.
