--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -176,14 +176,19 @@
         let (status, answer) = if self.availability() == Availability::Unavailable {
             (503, json!({}))
         } else {
-            self.answer(&path, &query, &body)
+            self.handle_call(&path, &query, &body)
         };
         let response = Response::from_string(answer.to_string()).with_status_code(status);
         // A caller that is gone needs no answer.
         drop(request.respond(response));
     }
 
-    fn answer(&self, path: &str, query: &BTreeMap<String, String>, body: &str) -> (u16, Value) {
+    fn handle_call(
+        &self,
+        path: &str,
+        query: &BTreeMap<String, String>,
+        body: &str,
+    ) -> (u16, Value) {
         match path {
             "/api/kv-range" => (200, self.range(&query["Prefix"])),
             "/api/kv-watch" => self.watch(query),
