--- a/crates/siskinyoke-standin/src/engine/chat.rs
+++ b/crates/siskinyoke-standin/src/engine/chat.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::cache::CacheLookup;
-use crate::answer::Answer;
+use crate::completion::Answer;
 
 /// The end of every whole stream.
 pub const STREAM_TERMINATOR: &str = "data: [DONE]\n\n";
--- a/crates/siskinyoke-standin/src/load/sender.rs
+++ b/crates/siskinyoke-standin/src/load/sender.rs
@@ -14,7 +14,7 @@
 use super::file::CallerProfile;
 use super::plan::PlannedRequest;
 use super::plan::shared_prefix;
-use crate::answer::Answer;
+use crate::completion::Answer;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
 
