--- a/crates/siskinyoke-dispatch/src/configuration.rs
+++ b/crates/siskinyoke-dispatch/src/configuration.rs
@@ -10,7 +10,7 @@
 
 /// Whether requests on a route may be repeated, and the form of their responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// Idempotent: may run more than once.
     Safe,
     /// Non-idempotent: runs at most once.
@@ -27,7 +27,7 @@
     /// The path prefix, with a slash at both ends.
     pub prefix: Box<str>,
     /// Whether its requests may be repeated, and the form of their responses.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Maximum total duration of a request.
     pub timeout: Millis,
     /// Latency target for the complete response, or for the first event of a stream.
@@ -50,9 +50,9 @@
     /// Returns whether a request on this route may run more than once.
     pub fn idempotent(&self) -> bool {
         match self.kind {
-            Kind::Safe => true,
-            Kind::Unsafe => false,
-            Kind::Stream => self.resumable,
+            RouteKind::Safe => true,
+            RouteKind::Unsafe => false,
+            RouteKind::Stream => self.resumable,
         }
     }
 
@@ -62,7 +62,7 @@
     /// times the latency target or eight times the gap target, whichever is longest. A request
     /// that waits longer would occupy the queue after its caller has left.
     pub fn caller_timeout(&self) -> Millis {
-        if self.kind != Kind::Stream {
+        if self.kind != RouteKind::Stream {
             return self.timeout;
         }
         let stream_timeout = MIN_STREAM_TIMEOUT
@@ -117,7 +117,7 @@
 
 /// Size limits and timeouts for callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limits {
+pub struct CallerLimits {
     /// Maximum size of a request head, in bytes.
     pub max_head: usize,
     /// Maximum size of a request body, in bytes.
@@ -134,7 +134,7 @@
     /// Version set by the operators; a higher one replaces a lower one.
     pub version: u64,
     /// Size limits and timeouts for callers.
-    pub limits: Limits,
+    pub limits: CallerLimits,
     hosts: Map<Box<str>, Vec<Arc<Route>>>,
     services: Map<Arc<str>, Service>,
     organisations: Vec<Arc<Organisation>>,
@@ -143,7 +143,7 @@
 
 impl Configuration {
     /// Creates an empty configuration.
-    pub fn new(version: u64, limits: Limits) -> Self {
+    pub fn new(version: u64, limits: CallerLimits) -> Self {
         Self {
             version,
             limits,
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -34,8 +34,8 @@
 use siskinyoke_base::Millis;
 
 pub use self::identity::Identity;
+pub use self::rollouts::PhaseChange;
 pub use self::rollouts::StatusWrite;
-pub use self::rollouts::TrafficShift;
 pub use self::routing::IncomingRequest;
 pub use self::routing::RoutedRequest;
 
@@ -145,12 +145,12 @@
     }
 
     /// Starts to leave the fleet: no new callers are directed here.
-    pub fn leave(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.leaving = true;
     }
 
     /// Returns whether this instance is leaving the fleet.
-    pub fn leaving(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.leaving
     }
 
@@ -166,7 +166,7 @@
     ) -> Result<RoutedRequest, Refusal> {
         let routed = self.resolve(now, request)?;
         self.retry_budget(&routed.service).record_request(now);
-        self.charge_quota(now, &routed, routing::unit_fraction(request.draw), 0)?;
+        self.charge_quota(now, &routed, routing::unit_fraction(request.id_hash), 0)?;
         Ok(routed)
     }
 
@@ -185,7 +185,12 @@
         borrowed: u64,
     ) -> Result<RoutedRequest, Refusal> {
         let routed = self.resolve(now, request)?;
-        self.charge_quota(now, &routed, routing::unit_fraction(request.draw), borrowed)?;
+        self.charge_quota(
+            now,
+            &routed,
+            routing::unit_fraction(request.id_hash),
+            borrowed,
+        )?;
         Ok(routed)
     }
 
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -83,13 +83,13 @@
         ticket: Ticket,
         key: EndpointKey,
     ) -> Option<Arc<Endpoint>> {
-        let endpoint = self.registry.find_eligible(key)?.clone();
+        let endpoint = self.registry.find_accepting(key)?.clone();
         let started = self.scheduler.slot_granted(now, ticket, &endpoint);
         started.then_some(endpoint)
     }
 
     /// Records that the queried shards had no slot for a request.
-    pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
+    pub fn slot_denied(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.slot_declined(now, ticket);
     }
 
--- a/crates/siskinyoke-dispatch/src/core/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/core/rate_limits.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records that the queried holders had no token for a request.
-    pub fn token_declined(&mut self, now: Millis, ticket: Ticket) {
+    pub fn token_denied(&mut self, now: Millis, ticket: Ticket) {
         self.scheduler.token_declined(now, ticket);
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -21,7 +21,7 @@
 impl Core {
     /// Handles a peer's report, and returns whether it is the first one of a peer's process.
     pub fn receive_report(&mut self, now: Millis, report: Report) -> bool {
-        let source = report.source;
+        let source = report.incarnation;
         let mut in_shard = true;
         if let Some(info) = &report.info {
             if info.name == self.identity.name {
@@ -73,7 +73,7 @@
             Millis(now.0.saturating_sub(CHANGE_REPORT_PERIOD.0))
         };
         Report {
-            source: self.identity.incarnation,
+            incarnation: self.identity.incarnation,
             age: self.age(now).0,
             number: self.report_number,
             ready: self.ready(),
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -27,7 +27,7 @@
 
 /// A change in how a service's traffic is split between versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TrafficShift {
+pub struct PhaseChange {
     /// The service's name.
     pub service: Arc<str>,
     /// The version ordered by the rollout.
@@ -53,12 +53,12 @@
 
 impl Core {
     /// Advances rollouts to their phase at `now`, and returns those that changed phase.
-    pub fn advance_rollouts(&mut self, now: Millis) -> Vec<TrafficShift> {
+    pub fn advance_rollouts(&mut self, now: Millis) -> Vec<PhaseChange> {
         let changed = self.registry.advance_rollouts(now);
         let rollouts = self.registry.rollouts();
         let changed = rollouts.filter(|it| changed.contains(&it.order().service));
         changed
-            .map(|it| TrafficShift {
+            .map(|it| PhaseChange {
                 service: it.order().service.clone(),
                 version: it.order().version.clone(),
                 phase: it.phase(),
@@ -97,7 +97,7 @@
             let mut rollouts = self.registry.rollouts_mut();
             let rollout = rollouts.find(|it| short_hash(&it.order().service) == canary.service);
             if let Some(rollout) = rollout {
-                rollout.record_report(now, report.source, canary, in_shard);
+                rollout.record_report(now, report.incarnation, canary, in_shard);
             }
         }
     }
--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 
 use crate::Configuration;
-use crate::Kind;
 use crate::Organisation;
 use crate::Priority;
 use crate::Refusal;
 use crate::RefusalReason;
 use crate::Route;
+use crate::RouteKind;
 use crate::ScheduledRequest;
 use crate::TokenCounts;
 use crate::quota;
@@ -32,7 +32,7 @@
     /// Number of output tokens the caller expects, if stated.
     pub output_estimate: Option<u64>,
     /// Uniformly distributed number derived from the request, used to split traffic.
-    pub draw: u64,
+    pub id_hash: u64,
 }
 
 /// A routed and authenticated request.
@@ -64,7 +64,7 @@
 
     /// Returns whether the response is an event stream.
     pub fn is_stream(&self) -> bool {
-        self.route.kind == Kind::Stream
+        self.route.kind == RouteKind::Stream
     }
 }
 
@@ -111,7 +111,7 @@
     organisation: Option<Arc<Organisation>>,
     request: IncomingRequest<'_>,
 ) -> Result<RoutedRequest, Refusal> {
-    let Some(service) = route.pick_service(request.draw).cloned() else {
+    let Some(service) = route.pick_service(request.id_hash).cloned() else {
         return Err(Refusal {
             reason: RefusalReason::NoEndpoint,
             retry_after: Millis(1000),
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -2,8 +2,8 @@
 
 use crate::StoreUpdate;
 use crate::core::Core;
-use crate::watchers::Candidate;
 use crate::watchers::StoreRole;
+use crate::watchers::WatcherCandidate;
 use crate::watchers::select_watcher;
 use siskinyoke_base::Millis;
 
@@ -140,12 +140,12 @@
 
     /// Returns the name of the instance that watches the store for this one, possibly this one.
     pub fn watcher(&self, now: Millis) -> &str {
-        let own = Candidate {
+        let own = WatcherCandidate {
             name: &self.identity.name,
             store_reachable: self.store_view.reachable,
         };
         let peers = self.peers.fresh(now).filter(|peer| !peer.report.leaving);
-        let peers = peers.map(|peer| Candidate {
+        let peers = peers.map(|peer| WatcherCandidate {
             name: &peer.info.name,
             store_reachable: peer.report.store_reachable,
         });
--- a/crates/siskinyoke-dispatch/src/lib.rs
+++ b/crates/siskinyoke-dispatch/src/lib.rs
@@ -39,11 +39,11 @@
 pub mod watch;
 pub mod watchers;
 
+pub use configuration::CallerLimits;
 pub use configuration::Configuration;
-pub use configuration::Kind;
-pub use configuration::Limits;
 pub use configuration::Organisation;
 pub use configuration::Route;
+pub use configuration::RouteKind;
 pub use configuration::Service;
 pub use core::Core;
 pub use endpoint::Endpoint;
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -69,7 +69,7 @@
     /// Records a report.
     pub fn receive(&mut self, now: Millis, mut report: Report) -> Received {
         let info = report.info.take();
-        if let Some(peer) = self.by_source.get_mut(&report.source) {
+        if let Some(peer) = self.by_source.get_mut(&report.incarnation) {
             if peer.report.number >= report.number {
                 return Received::Ignored;
             }
@@ -90,12 +90,12 @@
         if previous.is_some_and(|peer| peer.is_fresh(now) && peer.report.age < report.age) {
             return Received::Ignored;
         }
-        let previous = previous.map(|peer| peer.report.source);
+        let previous = previous.map(|peer| peer.report.incarnation);
         if let Some(source) = previous {
             self.by_source.remove(&source);
         }
         self.by_source.insert(
-            report.source,
+            report.incarnation,
             Peer {
                 report,
                 info,
@@ -122,7 +122,7 @@
             let silence = now.since(peer.received_at);
             let keep = silence < PEER_RETENTION && !(peer.report.leaving && silence > REPORT_TTL);
             if !keep {
-                removed.push(peer.report.source);
+                removed.push(peer.report.incarnation);
             }
             keep
         });
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -4,8 +4,8 @@
 
 use crate::Endpoint;
 use crate::EndpointKey;
-use crate::Kind;
 use crate::Outcome;
+use crate::RouteKind;
 use crate::ScheduledRequest;
 use crate::cost::Cost;
 use crate::health::Health;
@@ -70,7 +70,7 @@
     /// The current time.
     pub now: Millis,
     /// The request.
-    pub pending: &'a ScheduledRequest,
+    pub request: &'a ScheduledRequest,
     /// Expected latency of the service's requests.
     pub latency_model: &'a LatencyModel,
     /// Whether it can wait for another endpoint and still meet its target.
@@ -208,7 +208,7 @@
         let eligible = candidates.iter().enumerate().filter(|(_, candidate)| {
             candidate.free_slots > 0
                 && (usual || candidate.slow || candidate.reserved)
-                && !query.pending.tried.contains(&candidate.endpoint.key())
+                && !query.request.tried.contains(&candidate.endpoint.key())
         });
         let costs = eligible.map(|(at, candidate)| (at, self.cost(query, candidate)));
         let (at, cost) = costs.min_by(|one, other| one.1.total().total_cmp(&other.1.total()))?;
@@ -243,7 +243,7 @@
     fn cost(&self, query: &PlacementQuery<'_>, candidate: &Candidate) -> Cost {
         let PlacementQuery {
             now,
-            pending,
+            request,
             latency_model,
             ..
         } = query;
@@ -265,28 +265,28 @@
                 + remote_penalty
                 + failure_ratio * FAILURE_PENALTY_RATIO
                 + preference);
-        if pending.route.kind != Kind::Stream {
+        if request.route.kind != RouteKind::Stream {
             return Cost {
                 relative_time: time,
                 ..Cost::default()
             };
         }
-        let tokens = pending.tokens.with_backlog(candidate.prefill_tokens);
+        let tokens = request.tokens.with_backlog(candidate.prefill_tokens);
         let first = latency_model.first_part_time(&tokens);
-        let delay = first.since(latency_model.first_part_time(&pending.tokens));
+        let delay = first.since(latency_model.first_part_time(&request.tokens));
         let time = time
             + speed_factor * millis_to_f64(delay)
                 / millis_to_f64(latency_model.mean_service_time()).max(1.0);
         let first_part_at =
-            millis_to_f64(now.since(pending.arrived)) + millis_to_f64(first) * speed_factor;
+            millis_to_f64(now.since(request.arrived)) + millis_to_f64(first) * speed_factor;
         let stall_ratio = health.map_or(0.0, Health::stall_ratio);
-        let likely_stall = latency_model.expected_parts(&pending.tokens) > SHORT_RESPONSE_PARTS
+        let likely_stall = latency_model.expected_parts(&request.tokens) > SHORT_RESPONSE_PARTS
             && stall_ratio > STALL_THRESHOLD_RATIO;
         let stalls_others = latency_model.expected_pause(tokens.prompt) * speed_factor
-            > millis_to_f64(pending.route.gap_target);
+            > millis_to_f64(request.route.gap_target);
         Cost {
             relative_time: time,
-            late: first_part_at > millis_to_f64(pending.route.latency_target) || likely_stall,
+            late: first_part_at > millis_to_f64(request.route.latency_target) || likely_stall,
             times_out: times_out(query, speed_factor),
             stalled_ratio: if stalls_others { occupancy } else { 0.0 },
         }
@@ -296,11 +296,11 @@
 // Returns whether a response at an endpoint of this speed would not complete before its deadline.
 fn times_out(query: &PlacementQuery<'_>, speed_factor: f64) -> bool {
     let service_time =
-        millis_to_f64(query.latency_model.service_time_of(&query.pending.tokens)) * speed_factor;
+        millis_to_f64(query.latency_model.service_time_of(&query.request.tokens)) * speed_factor;
     let margin = if query.can_wait {
         TIMEOUT_MARGIN_RATIO
     } else {
         1.0
     };
-    service_time * margin > millis_to_f64(query.pending.deadline.since(query.now))
+    service_time * margin > millis_to_f64(query.request.deadline.since(query.now))
 }
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -180,7 +180,7 @@
     }
 
     /// Returns an endpoint of any shard that accepts new requests.
-    pub fn find_eligible(&self, key: EndpointKey) -> Option<&Arc<Endpoint>> {
+    pub fn find_accepting(&self, key: EndpointKey) -> Option<&Arc<Endpoint>> {
         let found = self.all().find(|it| it.key() == key);
         found.filter(|it| !self.is_leaving(it))
     }
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -14,7 +14,7 @@
 pub struct Report {
     /// Identifies the sending process; drawn at random when it starts.
     #[serde(rename = "source")]
-    pub source: u64,
+    pub incarnation: u64,
     /// How long the process has run, in ms.
     pub age: u64,
     /// The sequence number; a report with a lower one than the last is dropped.
--- a/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -54,7 +54,7 @@
         query: &PlacementQuery<'_>,
         use_shared: bool,
     ) -> Option<(&mut Candidate, bool)> {
-        let canary = query.pending.canary;
+        let canary = query.request.canary;
         let canary = canary.then(|| selector.select(query, &self.canaries, true));
         if let Some(at) = canary.flatten() {
             return Some((&mut self.canaries[at], true));
@@ -96,7 +96,7 @@
             let timeout = request.arrived + wait::queue_timeout(request, latency);
             let query = PlacementQuery {
                 now,
-                pending: request,
+                request: request,
                 latency_model: &latency,
                 can_wait: !request.late && now < timeout,
             };
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -15,9 +15,9 @@
 use crate::BorrowRequest;
 use crate::Endpoint;
 use crate::EndpointKey;
-use crate::Kind;
 use crate::Priority;
 use crate::Route;
+use crate::RouteKind;
 use crate::ScheduledRequest;
 use crate::Ticket;
 use crate::TokenCounts;
@@ -234,7 +234,7 @@
         let latency = self.latency_model(&borrower.service);
         let query = PlacementQuery {
             now,
-            pending: borrower,
+            request: borrower,
             latency_model: &latency,
             can_wait: true,
         };
@@ -261,7 +261,7 @@
     let to_u32 = |duration: Millis| u32::try_from(duration.0).unwrap_or(u32::MAX);
     SlotRequest {
         service: short_hash(&request.service),
-        stream: request.route.kind == Kind::Stream,
+        stream: request.route.kind == RouteKind::Stream,
         prompt_tokens: request.tokens.prompt_tokens(),
         output_tokens: request.tokens.output_tokens(),
         latency_target: to_u32(request.route.latency_target),
@@ -284,9 +284,9 @@
         name: service.clone(),
         prefix: Box::default(),
         kind: if request.stream {
-            Kind::Stream
+            RouteKind::Stream
         } else {
-            Kind::Safe
+            RouteKind::Safe
         },
         timeout: deadline.since(arrived),
         latency_target: millis(request.latency_target),
--- a/crates/siskinyoke-dispatch/src/wait.rs
+++ b/crates/siskinyoke-dispatch/src/wait.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::Endpoint;
-use crate::Kind;
+use crate::RouteKind;
 use crate::ScheduledRequest;
 use crate::latency_model::LatencyModel;
 use crate::latency_model::millis_from_f64;
@@ -51,7 +51,7 @@
     if is_retry(request) {
         return max_wait;
     }
-    let response_time = if request.route.kind == Kind::Stream {
+    let response_time = if request.route.kind == RouteKind::Stream {
         latency.first_part_time(&request.tokens)
     } else {
         latency.mean_service_time()
--- a/crates/siskinyoke-dispatch/src/watchers.rs
+++ b/crates/siskinyoke-dispatch/src/watchers.rs
@@ -35,7 +35,7 @@
 
 /// An instance that may be selected to watch the store.
 #[derive(Debug, Clone, Copy)]
-pub struct Candidate<'a> {
+pub struct WatcherCandidate<'a> {
     /// The instance's name.
     pub name: &'a str,
     /// Whether its last call to the store succeeded, as far as known.
@@ -46,10 +46,10 @@
 ///
 /// If none of them can reach the store, the first of all is selected and keeps trying.
 pub fn select_watcher<'a>(
-    me: Candidate<'a>,
-    peers: impl Iterator<Item = Candidate<'a>>,
+    me: WatcherCandidate<'a>,
+    peers: impl Iterator<Item = WatcherCandidate<'a>>,
 ) -> &'a str {
-    let order = |it: &Candidate<'a>| (!it.store_reachable, stable_hash(&it.name), it.name);
+    let order = |it: &WatcherCandidate<'a>| (!it.store_reachable, stable_hash(&it.name), it.name);
     peers
         .chain([me])
         .min_by_key(order)
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -6,17 +6,17 @@
 use std::sync::Arc;
 
 use siskinyoke_base::Millis;
+use siskinyoke_dispatch::CallerLimits;
 use siskinyoke_dispatch::Configuration;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::Kind;
-use siskinyoke_dispatch::Limits;
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Priority;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::Route;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_dispatch::ScheduledRequest;
 use siskinyoke_dispatch::Service;
 use siskinyoke_dispatch::TokenCounts;
@@ -35,7 +35,7 @@
     slack: 110_000.0,
 };
 
-pub fn route(kind: Kind, priority: u8) -> Route {
+pub fn route(kind: RouteKind, priority: u8) -> Route {
     Route {
         name: "r".into(),
         prefix: "/p/".into(),
@@ -47,11 +47,11 @@
         targets: vec![("lm".into(), 1)],
         max_attempts: 2,
         auth_exempt: false,
-        resumable: kind == Kind::Stream,
+        resumable: kind == RouteKind::Stream,
     }
 }
 
-pub fn scheduled_request(kind: Kind, priority: u8, arrived: u64) -> ScheduledRequest {
+pub fn scheduled_request(kind: RouteKind, priority: u8, arrived: u64) -> ScheduledRequest {
     let route = route(kind, priority);
     ScheduledRequest {
         service: "lm".into(),
@@ -109,7 +109,7 @@
 
 /// Returns a configuration with a route of each kind and an organisation with the key `k`.
 pub fn configuration(version: u64, organisation: Organisation) -> Configuration {
-    let limits = Limits {
+    let limits = CallerLimits {
         max_head: 16_384,
         max_body: 1_000_000,
         head_timeout: Millis(3_000),
@@ -117,9 +117,9 @@
     };
     let mut configuration = Configuration::new(version, limits);
     for (kind, prefix) in [
-        (Kind::Safe, "/safe/"),
-        (Kind::Unsafe, "/unsafe/"),
-        (Kind::Stream, "/stream/"),
+        (RouteKind::Safe, "/safe/"),
+        (RouteKind::Unsafe, "/unsafe/"),
+        (RouteKind::Stream, "/stream/"),
     ] {
         let route = Route {
             name: prefix.trim_matches('/').into(),
@@ -153,14 +153,14 @@
         timeout: Some(Millis(5_000)),
         tokens: Some((900, 100)),
         output_estimate: None,
-        draw: 0,
+        id_hash: 0,
     }
 }
 
 /// Returns an empty report of a peer.
 pub fn report(name: &str, number: u64) -> Report {
     Report {
-        source: stable_hash(&name),
+        incarnation: stable_hash(&name),
         age: 0,
         number,
         ready: true,
--- a/crates/siskinyoke-dispatch/tests/configuration.rs
+++ b/crates/siskinyoke-dispatch/tests/configuration.rs
@@ -10,9 +10,9 @@
 use crate::common::route;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Core;
-use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::Route;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_dispatch::core::IncomingRequest;
 
 #[test]
@@ -26,7 +26,7 @@
             Route {
                 name,
                 prefix,
-                ..route(Kind::Safe, 0)
+                ..route(RouteKind::Safe, 0)
             },
         );
     }
@@ -46,7 +46,7 @@
 fn traffic_is_split_by_weight() {
     let split = Route {
         targets: vec![("x".into(), 90), ("y".into(), 10)],
-        ..route(Kind::Safe, 0)
+        ..route(RouteKind::Safe, 0)
     };
     let y_count = (0..1_000)
         .filter(|draw| split.pick_service(*draw).is_some_and(|it| &**it == "y"))
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -159,7 +159,7 @@
         let now = Millis(self.now);
         let incoming = IncomingRequest {
             tokens: Some((units, 0)),
-            draw: self.rng.random(),
+            id_hash: self.rng.random(),
             ..request("/stream/x")
         };
         let mut result = self.cores[index].route(now, incoming);
@@ -324,7 +324,7 @@
                 }
             }
             if !borrowed {
-                self.cores[index].slot_declined(now, ticket);
+                self.cores[index].slot_denied(now, ticket);
             }
         }
     }
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -20,9 +20,9 @@
 use siskinyoke_dispatch::Configuration;
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Decision;
-use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::Route;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::IncomingRequest;
 
@@ -181,7 +181,7 @@
             timeout: Some(Millis(TIMEOUT_MS)),
             tokens: Some((prompt as u64, 3_800)),
             output_estimate: Some(estimate),
-            draw: 0,
+            id_hash: 0,
         };
         let now = Millis(self.now);
         let core = &mut self.cores[instance];
@@ -240,7 +240,7 @@
             return;
         };
         let first = run.first_part.unwrap_or(run.last_part);
-        let objectives = route(Kind::Stream, 0);
+        let objectives = route(RouteKind::Stream, 0);
         job.outcome = if first - job.arrived as f64 > 800.0 {
             JobOutcome::LateFirstPart
         } else if run.longest_pause > objectives.gap_target.0 as f64 {
@@ -329,7 +329,7 @@
 fn configuration(classes: &[RequestClass]) -> Configuration {
     let mut configuration = crate::common::configuration(1, organisation(0.0, 0.0));
     for (at, class) in classes.iter().enumerate() {
-        let template = scheduled_request(Kind::Stream, class.priority, 0).route;
+        let template = scheduled_request(RouteKind::Stream, class.priority, 0).route;
         let route = Route {
             name: format!("{at}").into(),
             prefix: format!("/{at}/").into(),
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -39,12 +39,12 @@
 fn a_late_report_of_the_start_before_does_not_replace_the_new_start() {
     let mut peers = Peers::default();
     let previous = Report {
-        source: 1,
+        incarnation: 1,
         age: 9_000,
         ..report("p", 700)
     };
     let restarted = Report {
-        source: 2,
+        incarnation: 2,
         age: 50,
         ..report("p", 1)
     };
@@ -101,7 +101,7 @@
         core.receive_report(Millis(0), report);
     }
     assert_eq!(core.caller_addresses(Millis(0), "a"), ["i:1", "sound:1"]);
-    core.leave();
+    core.begin_shutdown();
     assert_eq!(core.caller_addresses(Millis(0), "a"), ["sound:1"]);
     assert!(!core.ready());
 }
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -11,8 +11,8 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
 use siskinyoke_dispatch::Endpoint;
-use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::Outcome;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_dispatch::ScheduledRequest;
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
@@ -80,7 +80,7 @@
 fn stream(at: u64, prompt: f64, output: f64) -> ScheduledRequest {
     ScheduledRequest {
         tokens: TokenCounts { prompt, output },
-        ..scheduled_request(Kind::Stream, 0, at)
+        ..scheduled_request(RouteKind::Stream, 0, at)
     }
 }
 
@@ -149,7 +149,7 @@
     for at in 0..1_000 {
         let now = Millis(START_MS + at * 10);
         if at % 30 == 0 {
-            fixture.admit(scheduled_request(Kind::Safe, 1, now.0));
+            fixture.admit(scheduled_request(RouteKind::Safe, 1, now.0));
         }
         let decisions = fixture
             .scheduler
@@ -218,7 +218,7 @@
     let pending = stream(0, 100.0, 60.0);
     let query = PlacementQuery {
         now: Millis(0),
-        pending: &pending,
+        request: &pending,
         latency_model: &latency_model,
         can_wait: true,
     };
@@ -264,7 +264,7 @@
     let pending = stream(0, 8_000.0, 20.0);
     let query = PlacementQuery {
         now: Millis(0),
-        pending: &pending,
+        request: &pending,
         latency_model: &latency_model,
         can_wait: false,
     };
@@ -303,7 +303,7 @@
     };
     let query = PlacementQuery {
         now: Millis(0),
-        pending: &pending,
+        request: &pending,
         latency_model: &latency_model,
         can_wait: true,
     };
@@ -329,7 +329,7 @@
         ..pending.clone()
     };
     let query = PlacementQuery {
-        pending: &short,
+        request: &short,
         ..query
     };
     assert_eq!(selector.select(&query, &candidates(0.5), true), None);
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -81,7 +81,7 @@
                     .route(
                         Millis(now),
                         IncomingRequest {
-                            draw,
+                            id_hash: draw,
                             ..request("/safe/x")
                         },
                     )
@@ -240,7 +240,7 @@
             fleet.exchange_reports(now);
         }
         for (at, core) in fleet.cores.iter_mut().enumerate() {
-            incoming.draw = stable_hash(&(at, now));
+            incoming.id_hash = stable_hash(&(at, now));
             if core.route(Millis(now), incoming).is_ok() {
                 fleet.grants.push((now, 37_000.0));
             }
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -350,7 +350,7 @@
             BorrowRequest::RateLimitedSlot(query),
             &lenders,
         ) {
-            self.cores[index].token_declined(now, ticket);
+            self.cores[index].token_denied(now, ticket);
         }
     }
 
@@ -363,7 +363,7 @@
         let chosen = chosen.into_iter().filter_map(|it| it.choose(&mut self.rng));
         let lenders: Vec<usize> = chosen.map(|it| instance_number(it)).collect();
         if !self.ask(index, ticket, query, &lenders) {
-            self.cores[index].slot_declined(Millis(self.now), ticket);
+            self.cores[index].slot_denied(Millis(self.now), ticket);
         }
     }
 
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -12,9 +12,9 @@
 use crate::common::scheduled_request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
-use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::Outcome;
 use siskinyoke_dispatch::RefusalReason;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::peers::Peers;
@@ -47,7 +47,7 @@
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
     let mut admit = |priority, at| {
-        let request = scheduled_request(Kind::Safe, priority, at);
+        let request = scheduled_request(RouteKind::Safe, priority, at);
         scheduler
             .admit(Millis(at), request, &registry, &peers)
             .unwrap()
@@ -77,7 +77,7 @@
         scheduler
             .admit(
                 Millis(at),
-                scheduled_request(Kind::Safe, 0, at),
+                scheduled_request(RouteKind::Safe, 0, at),
                 &registry,
                 &peers,
             )
@@ -113,7 +113,7 @@
     scheduler
         .admit(
             Millis(0),
-            scheduled_request(Kind::Safe, 1, 0),
+            scheduled_request(RouteKind::Safe, 1, 0),
             &registry,
             &peers,
         )
@@ -139,7 +139,7 @@
             scheduler
                 .admit(
                     Millis(at),
-                    scheduled_request(Kind::Safe, 1, at),
+                    scheduled_request(RouteKind::Safe, 1, at),
                     &registry,
                     &peers,
                 )
@@ -153,7 +153,7 @@
         scheduler
             .admit(
                 Millis(60),
-                scheduled_request(Kind::Safe, 0, 60),
+                scheduled_request(RouteKind::Safe, 0, 60),
                 &registry,
                 &peers
             )
@@ -172,7 +172,7 @@
     let running = scheduler
         .admit(
             Millis(0),
-            scheduled_request(Kind::Safe, 0, 0),
+            scheduled_request(RouteKind::Safe, 0, 0),
             &registry,
             &peers,
         )
@@ -180,7 +180,7 @@
     let late = scheduler
         .admit(
             Millis(0),
-            scheduled_request(Kind::Safe, 1, 0),
+            scheduled_request(RouteKind::Safe, 1, 0),
             &registry,
             &peers,
         )
@@ -190,7 +190,7 @@
     let fresh = scheduler
         .admit(
             Millis(601),
-            scheduled_request(Kind::Safe, 1, 601),
+            scheduled_request(RouteKind::Safe, 1, 601),
             &registry,
             &peers,
         )
@@ -349,7 +349,7 @@
     let mut scheduler = Scheduler::new("me", "a");
     let tickets: Vec<Ticket> = (0..12)
         .map(|at| {
-            let request = scheduled_request(Kind::Safe, 0, at);
+            let request = scheduled_request(RouteKind::Safe, 0, at);
             scheduler
                 .admit(Millis(at), request, &registry, &peers)
                 .unwrap()
@@ -368,7 +368,7 @@
     let mut other = Scheduler::new("me", "a");
     other.record_peer_speeds(&[running_row("e", 1)]);
     for at in 0..12 {
-        let request = scheduled_request(Kind::Safe, 0, at);
+        let request = scheduled_request(RouteKind::Safe, 0, at);
         other.admit(Millis(at), request, &registry, &peers).unwrap();
     }
     assert_eq!(
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -9,8 +9,8 @@
 use crate::common::scheduled_request;
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Decision;
-use siskinyoke_dispatch::Kind;
 use siskinyoke_dispatch::Outcome;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_dispatch::Scheduler;
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::peers::Peers;
@@ -94,7 +94,7 @@
     let mut responses: Vec<(u64, Ticket)> = Vec::new();
     for now in 1..DURATION_MS {
         while scheduler.request_counts().0 < 20 {
-            let request = scheduled_request(Kind::Safe, 0, now);
+            let request = scheduled_request(RouteKind::Safe, 0, now);
             assert!(
                 scheduler
                     .admit(Millis(now), request, &registry, &peers)
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -10,8 +10,8 @@
 use siskinyoke_dispatch::Core;
 use siskinyoke_dispatch::Report;
 use siskinyoke_dispatch::StoreUpdate;
-use siskinyoke_dispatch::watchers::Candidate;
 use siskinyoke_dispatch::watchers::StoreRole;
+use siskinyoke_dispatch::watchers::WatcherCandidate;
 use siskinyoke_dispatch::watchers::select_watcher;
 
 const NAMES: [&str; 4] = ["i0", "i1", "i2", "i3"];
@@ -28,7 +28,7 @@
 
 // Returns the instance that `at` selects as the watcher.
 fn selected(store_access: u32, links: u32, at: usize) -> usize {
-    let candidate = |at: usize| Candidate {
+    let candidate = |at: usize| WatcherCandidate {
         name: NAMES[at],
         store_reachable: reaches_store(store_access, at),
     };
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -35,7 +35,7 @@
 use crate::shell::Shell;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
-use siskinyoke_dispatch::Limits;
+use siskinyoke_dispatch::CallerLimits;
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::RefusalReason;
@@ -71,7 +71,7 @@
 pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Response<ResponseBody> {
     shell.last_arrival.set(shell.now());
     let mut response = handle(&shell, request).await;
-    if shell.core.borrow().leaving() {
+    if shell.core.borrow().is_shutting_down() {
         let close = http::HeaderValue::from_static("close");
         response
             .headers_mut()
@@ -128,7 +128,11 @@
     handle_buffered(shell, parts, body, reservation, arrival).await
 }
 
-fn check_head_size(shell: &Shell, parts: &Parts, limits: Limits) -> Option<Response<ResponseBody>> {
+fn check_head_size(
+    shell: &Shell,
+    parts: &Parts,
+    limits: CallerLimits,
+) -> Option<Response<ResponseBody>> {
     let size = head_size(parts);
     if size <= limits.max_head {
         return None;
@@ -143,7 +147,7 @@
     shell: &Rc<Shell>,
     parts: Parts,
     body: Incoming,
-    limits: Limits,
+    limits: CallerLimits,
     arrival: Arrival,
 ) -> Response<ResponseBody> {
     let (id, routed) = match decode_and_route(shell, &parts, &[], arrival).await {
@@ -168,7 +172,7 @@
     shell: &Rc<Shell>,
     parts: Parts,
     body: Incoming,
-    limits: Limits,
+    limits: CallerLimits,
     arrival: Arrival,
 ) -> Response<ResponseBody> {
     let (body, reservation) =
@@ -229,7 +233,7 @@
         timeout: head.timeout,
         tokens: head.token_counts,
         output_estimate: head.output_estimate,
-        draw: stable_hash(&head.id),
+        id_hash: stable_hash(&head.id),
     };
     let refusal = match route(shell, incoming).await {
         Ok(routed) => return Ok((head.id.map(ToOwned::to_owned), routed)),
--- a/crates/siskinyoke-gateway/src/callers/hold.rs
+++ b/crates/siskinyoke-gateway/src/callers/hold.rs
@@ -13,7 +13,7 @@
 use super::read_body;
 use crate::memory::MemoryReservation;
 use crate::shell::Shell;
-use siskinyoke_dispatch::Limits;
+use siskinyoke_dispatch::CallerLimits;
 use siskinyoke_dispatch::Refusal;
 use siskinyoke_dispatch::RefusalReason;
 use siskinyoke_dispatch::cold_start;
@@ -39,7 +39,7 @@
     shell: &Rc<Shell>,
     parts: &Parts,
     body: Incoming,
-) -> Result<(Limits, Bytes, MemoryReservation), Refusal> {
+) -> Result<(CallerLimits, Bytes, MemoryReservation), Refusal> {
     let arrived = shell.now();
     let deadline =
         arrived + cold_start::hold_timeout(shell.interface.exchange.caller_timeout(parts));
@@ -67,7 +67,7 @@
     Ok((limits, body, reservation))
 }
 
-async fn configured_limits(shell: &Shell) -> Limits {
+async fn configured_limits(shell: &Shell) -> CallerLimits {
     loop {
         let changed = shell.configuration_known.notified();
         if let Some(known) = shell.core.borrow().configuration() {
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -187,9 +187,9 @@
     let now = shell.now();
     let mut core = shell.core.borrow_mut();
     if rate_limited {
-        core.token_declined(now, ticket);
+        core.token_denied(now, ticket);
     } else {
-        core.slot_declined(now, ticket);
+        core.slot_denied(now, ticket);
     }
     drop(core);
     shell.decide();
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -149,7 +149,7 @@
     if kind != ListenerKind::Callers {
         return std::future::pending().await;
     }
-    while !shell.core.borrow().leaving() {
+    while !shell.core.borrow().is_shutting_down() {
         shell.leaving.notified().await;
     }
     sleep(DRAIN_PERIOD.into()).await;
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -67,7 +67,7 @@
             () = shell.lease_renewal.notified() => {}
             () = shell.leaving.notified() => {}
         }
-        if shell.core.borrow().leaving() {
+        if shell.core.borrow().is_shutting_down() {
             deregister(&shell, &mut client, lease).await;
             return;
         }
--- a/crates/siskinyoke-gateway/src/signals.rs
+++ b/crates/siskinyoke-gateway/src/signals.rs
@@ -44,7 +44,7 @@
     let mut signals = signal(SignalKind::terminate())?;
     signals.recv().await;
     let start = shell.now();
-    shell.core.borrow_mut().leave();
+    shell.core.borrow_mut().begin_shutdown();
     shell.report_due.notify_one();
     shell.leaving.notify_waiters();
     shell.log("leaving", json!({ "open": shell.caller_connections.get() }));
--- a/crates/siskinyoke-native/src/configuration.rs
+++ b/crates/siskinyoke-native/src/configuration.rs
@@ -10,11 +10,11 @@
 
 use crate::names;
 use siskinyoke_base::Millis;
+use siskinyoke_dispatch::CallerLimits;
 use siskinyoke_dispatch::Configuration;
-use siskinyoke_dispatch::Kind;
-use siskinyoke_dispatch::Limits;
 use siskinyoke_dispatch::Organisation;
 use siskinyoke_dispatch::Route;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_dispatch::Service;
 use siskinyoke_interface::FormatError;
 
@@ -239,16 +239,16 @@
             resumable: row.resume,
         };
         let kind = if row.idempotent {
-            Kind::Safe
+            RouteKind::Safe
         } else {
-            Kind::Unsafe
+            RouteKind::Unsafe
         };
         match (&row.model, &row.path) {
             (Some(model), None) => {
                 let prefix = names::model_path(model, false);
                 configuration.add_route(ANY_HOST, route(model, prefix, kind));
                 let prefix = names::model_path(model, true);
-                configuration.add_route(ANY_HOST, route(model, prefix, Kind::Stream));
+                configuration.add_route(ANY_HOST, route(model, prefix, RouteKind::Stream));
             }
             (None, Some(path)) => {
                 let path = path.trim_matches('/');
@@ -275,8 +275,8 @@
 }
 
 impl LimitsRow {
-    fn decode(self) -> Limits {
-        Limits {
+    fn decode(self) -> CallerLimits {
+        CallerLimits {
             max_head: self.head,
             max_body: self.body,
             head_timeout: Millis(self.arrival_ms),
--- a/crates/siskinyoke-native/tests/documents.rs
+++ b/crates/siskinyoke-native/tests/documents.rs
@@ -4,7 +4,7 @@
 
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::Configuration;
-use siskinyoke_dispatch::Kind;
+use siskinyoke_dispatch::RouteKind;
 use siskinyoke_interface::Documents;
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::ItemKind;
@@ -41,12 +41,12 @@
     let configuration = decode(CONFIGURATION_TEXT).unwrap();
     assert_eq!(configuration.version, 4);
     let chat = configuration.route("", "/v1/models/qalam/").unwrap();
-    assert_eq!(chat.kind, Kind::Safe);
+    assert_eq!(chat.kind, RouteKind::Safe);
     assert_eq!(chat.timeout, Millis(60_000));
     let stream = configuration.route("", "/v1/models/qalam/stream/").unwrap();
-    assert_eq!(stream.kind, Kind::Stream);
+    assert_eq!(stream.kind, RouteKind::Stream);
     let marks = configuration.route("", "/v1/services/portal/marks/7");
-    assert_eq!(marks.unwrap().kind, Kind::Unsafe);
+    assert_eq!(marks.unwrap().kind, RouteKind::Unsafe);
     assert_eq!(marks.unwrap().priority, 1);
     assert!(configuration.route("", "/v1/services/portal/x").is_none());
     let school = configuration.organisation_by_key("d1").unwrap();
