--- a/crates/siskinyoke-dispatch/src/configuration.rs
+++ b/crates/siskinyoke-dispatch/src/configuration.rs
@@ -72,12 +72,12 @@
     }
 
     /// Picks the service for a request by weight; `draw` is a uniformly distributed number.
-    pub fn pick_service(&self, draw: u64) -> Option<&Arc<str>> {
+    pub fn pick_service(&self, id_hash: u64) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.1)).sum();
         if total == 0 {
             return self.targets.first().map(|target| &target.0);
         }
-        let mut remaining = draw % total;
+        let mut remaining = id_hash % total;
         for (service, weight) in &self.targets {
             let weight = u64::from(*weight);
             if remaining < weight {
--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -59,7 +59,7 @@
     budgets: Map<Arc<str>, RetryBudget>,
     quarantine: Quarantine,
     store_view: store::StoreView,
-    leaving: bool,
+    shutting_down: bool,
     report_number: u64,
     configured_at: Option<Millis>,
 }
@@ -81,7 +81,7 @@
             budgets: Map::default(),
             quarantine: Quarantine::default(),
             store_view: store::StoreView::default(),
-            leaving: false,
+            shutting_down: false,
             report_number: 0,
             configured_at: None,
             identity,
@@ -141,17 +141,17 @@
 
     /// Returns whether this instance accepts callers.
     pub fn ready(&self) -> bool {
-        self.configuration.is_some() && !self.leaving && self.registry.all().next().is_some()
+        self.configuration.is_some() && !self.shutting_down && self.registry.all().next().is_some()
     }
 
     /// Starts to leave the fleet: no new callers are directed here.
     pub fn begin_shutdown(&mut self) {
-        self.leaving = true;
+        self.shutting_down = true;
     }
 
     /// Returns whether this instance is leaving the fleet.
     pub fn is_shutting_down(&self) -> bool {
-        self.leaving
+        self.shutting_down
     }
 
     /// Routes and authenticates a request by its head and charges its organisation's quota.
@@ -273,7 +273,7 @@
             Outcome::ConnectionLost => {
                 if let Some(key) = request.tried.last() {
                     self.quarantine
-                        .record_crash(now, request.fingerprint, key.short());
+                        .record_crash(now, request.fingerprint, key.short_key());
                 }
             }
             Outcome::Completed { .. } => self.quarantine.clear(request.fingerprint),
--- a/crates/siskinyoke-dispatch/src/core/fleet.rs
+++ b/crates/siskinyoke-dispatch/src/core/fleet.rs
@@ -76,7 +76,7 @@
         let peers = self
             .peers
             .fresh(now)
-            .filter(|it| it.report.ready && !it.report.leaving);
+            .filter(|it| it.report.ready && !it.report.shutting_down);
         let members = peers.map(|peer| &peer.info.location);
         let others = self.other_instances().filter(|row| !row.1).map(|row| row.0);
         let others = others.filter(|_| self.shard_count > 1);
--- a/crates/siskinyoke-dispatch/src/core/lending.rs
+++ b/crates/siskinyoke-dispatch/src/core/lending.rs
@@ -90,7 +90,7 @@
 
     /// Records that the queried shards had no slot for a request.
     pub fn slot_denied(&mut self, now: Millis, ticket: Ticket) {
-        self.scheduler.slot_declined(now, ticket);
+        self.scheduler.slot_denied(now, ticket);
     }
 
     /// Takes back a slot lent to another shard.
--- a/crates/siskinyoke-dispatch/src/core/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/core/rate_limits.rs
@@ -12,7 +12,7 @@
 use siskinyoke_base::Millis;
 
 impl Core {
-    /// Records the rate limit in an endpoint's response to a request sent at `sent`.
+    /// Records the rate limit in an endpoint's response to a request sent at `sent_at`.
     ///
     /// `rate` is the limit in requests per second over all instances, or `None` if the response
     /// states none.
@@ -20,15 +20,16 @@
         &mut self,
         now: Millis,
         endpoint: &Endpoint,
-        sent: Millis,
+        sent_at: Millis,
         rate: Option<f64>,
     ) {
-        self.scheduler.record_limit(now, endpoint.key(), sent, rate);
+        self.scheduler
+            .record_limit(now, endpoint.key(), sent_at, rate);
     }
 
     /// Finds an endpoint by the hash of its key.
     pub fn endpoint_by_hash(&self, hash: u32) -> Option<&Arc<Endpoint>> {
-        self.registry.all().find(|it| it.key().short() == hash)
+        self.registry.all().find(|it| it.key().short_key() == hash)
     }
 
     // Records the limits reported by a peer, except those of unknown endpoints: these would be
@@ -58,6 +59,6 @@
 
     /// Records that the queried holders had no token for a request.
     pub fn token_denied(&mut self, now: Millis, ticket: Ticket) {
-        self.scheduler.token_declined(now, ticket);
+        self.scheduler.token_denied(now, ticket);
     }
 }
--- a/crates/siskinyoke-dispatch/src/core/reporting.rs
+++ b/crates/siskinyoke-dispatch/src/core/reporting.rs
@@ -21,7 +21,7 @@
 impl Core {
     /// Handles a peer's report, and returns whether it is the first one of a peer's process.
     pub fn receive_report(&mut self, now: Millis, report: Report) -> bool {
-        let source = report.incarnation;
+        let incarnation = report.incarnation;
         let mut in_shard = true;
         if let Some(info) = &report.info {
             if info.name == self.identity.name {
@@ -30,10 +30,10 @@
             self.apply_info(now, info);
             in_shard = self.in_shard(&info.name);
         }
-        self.receive_canaries(now, &report, in_shard);
+        self.receive_canary_reports(now, &report, in_shard);
         self.record_peer_limits(now, &report.limits);
         if !in_shard {
-            self.peers.remove(source);
+            self.peers.remove(incarnation);
             return false;
         }
         let quota_used = report.quota_used.clone();
@@ -45,10 +45,13 @@
                 if let Some(previous) = previous {
                     self.quotas.forget_peer(previous);
                 }
-                self.quotas.record_peer_usage(source, no_older, &quota_used);
+                self.quotas
+                    .record_peer_usage(incarnation, no_older, &quota_used);
                 return true;
             }
-            Received::Update => self.quotas.record_peer_usage(source, no_older, &quota_used),
+            Received::Update => self
+                .quotas
+                .record_peer_usage(incarnation, no_older, &quota_used),
         }
         false
     }
@@ -77,7 +80,7 @@
             age: self.age(now).0,
             number: self.report_number,
             ready: self.ready(),
-            leaving: self.leaving,
+            shutting_down: self.shutting_down,
             configuration: self.configuration_version(),
             revision: self.store_view.revision,
             store_reachable: self.store_view.reachable,
@@ -85,12 +88,12 @@
             waiting: self.scheduler.queue_summary(now),
             quota_used: self.quotas.usage(since),
             limits: self.scheduler.rate_limits().report_rows(now, since),
-            canaries: self.canaries(now),
+            canaries: self.canary_reports(now),
             info: full.then(|| self.instance_info(now)),
         }
     }
 
-    fn canaries(&self, now: Millis) -> Vec<CanaryReport> {
+    fn canary_reports(&self, now: Millis) -> Vec<CanaryReport> {
         let rollouts = self.registry.rollouts().filter(|it| it.has_report());
         rollouts.map(|it| it.canary_report(now)).collect()
     }
--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -81,18 +81,19 @@
             })
         });
         let due: Vec<_> = due.collect();
-        let writes = !due.is_empty() && !self.leaving && self.watcher(now) == self.identity.name;
+        let writes =
+            !due.is_empty() && !self.shutting_down && self.watcher(now) == self.identity.name;
         if writes { due } else { Vec::new() }
     }
 
     pub(super) fn begin_rollout(&mut self, now: Millis, order: Order) {
-        let draw = stable_hash(&(self.identity.incarnation, order.revision));
-        self.registry.apply_order(now, order, unit_fraction(draw));
+        let hash = stable_hash(&(self.identity.incarnation, order.revision));
+        self.registry.apply_order(now, order, unit_fraction(hash));
     }
 
     // Handles the canary reports of a peer. Samples of other shards are not counted, but the
     // state that they report of a rollout applies to all shards.
-    pub(super) fn receive_canaries(&mut self, now: Millis, report: &Report, in_shard: bool) {
+    pub(super) fn receive_canary_reports(&mut self, now: Millis, report: &Report, in_shard: bool) {
         for canary in &report.canaries {
             let mut rollouts = self.registry.rollouts_mut();
             let rollout = rollouts.find(|it| short_hash(&it.order().service) == canary.service);
@@ -123,7 +124,7 @@
             route: short_hash(&request.route.name),
             new,
             bad,
-            endpoint: key.short(),
+            endpoint: key.short_key(),
         };
         if let Some(rollout) = self.registry.rollout(&request.service) {
             rollout.record_response(now, sample);
@@ -161,13 +162,13 @@
             ..
         } => {
             let late = is_slow(to_first_part, latencies.first_part_time(&request.tokens));
-            let usual_rest = latencies.remaining_time(f64::from(parts));
-            Some(late || is_slow(total.since(to_first_part), usual_rest))
+            let expected_rest = latencies.remaining_time(f64::from(parts));
+            Some(late || is_slow(total.since(to_first_part), expected_rest))
         }
         Outcome::Full | Outcome::Misdirected | Outcome::ConnectFailed | Outcome::Cancelled => None,
     }
 }
 
-fn is_slow(duration: Millis, usual: Millis) -> bool {
-    duration.0 > usual.0 * SLOWDOWN_RATIO && duration > usual + MIN_SLOWDOWN
+fn is_slow(duration: Millis, expected: Millis) -> bool {
+    duration.0 > expected.0 * SLOWDOWN_RATIO && duration > expected + MIN_SLOWDOWN
 }
--- a/crates/siskinyoke-dispatch/src/core/routing.rs
+++ b/crates/siskinyoke-dispatch/src/core/routing.rs
@@ -69,8 +69,8 @@
 }
 
 // Maps a uniformly distributed number to one from 0 to 1, by its upper 32 bits.
-pub(super) fn unit_fraction(draw: u64) -> f64 {
-    let upper = u32::try_from(draw >> 32).unwrap_or(u32::MAX);
+pub(super) fn unit_fraction(hash: u64) -> f64 {
+    let upper = u32::try_from(hash >> 32).unwrap_or(u32::MAX);
     f64::from(upper) / f64::from(u32::MAX)
 }
 
--- a/crates/siskinyoke-dispatch/src/core/store.rs
+++ b/crates/siskinyoke-dispatch/src/core/store.rs
@@ -144,7 +144,10 @@
             name: &self.identity.name,
             store_reachable: self.store_view.reachable,
         };
-        let peers = self.peers.fresh(now).filter(|peer| !peer.report.leaving);
+        let peers = self
+            .peers
+            .fresh(now)
+            .filter(|peer| !peer.report.shutting_down);
         let peers = peers.map(|peer| WatcherCandidate {
             name: &peer.info.name,
             store_reachable: peer.report.store_reachable,
@@ -170,7 +173,7 @@
             view.read_requested
                 || (view.behind_since.is_some() && !within(view.behind_since, MAX_PEER_LAG))
         } else {
-            self.store_unreachable(now) && !within(view.last_failure, STORE_RETRY_INTERVAL)
+            self.is_store_unreachable(now) && !within(view.last_failure, STORE_RETRY_INTERVAL)
         };
         if watches {
             StoreRole::Watcher
@@ -183,22 +186,22 @@
     ///
     /// Entries that are missing after an outage may return, as their leases expired during it.
     pub fn update_store_availability(&mut self, now: Millis) -> Option<bool> {
-        let unavailable = self.store_unreachable(now);
+        let unavailable = self.is_store_unreachable(now);
         if unavailable == self.store_view.unavailable {
             return None;
         }
         self.store_view.unavailable = unavailable;
         if unavailable {
-            self.registry.store_unreachable();
-            self.instances.store_unreachable();
+            self.registry.mark_store_unreachable();
+            self.instances.mark_store_unreachable();
         } else {
-            self.registry.store_reachable(now);
-            self.instances.store_reachable(now);
+            self.registry.mark_store_reachable(now);
+            self.instances.mark_store_reachable(now);
         }
         Some(unavailable)
     }
 
-    fn store_unreachable(&self, now: Millis) -> bool {
+    fn is_store_unreachable(&self, now: Millis) -> bool {
         !self.store_view.reachable
             && !self
                 .peers
--- a/crates/siskinyoke-dispatch/src/endpoint.rs
+++ b/crates/siskinyoke-dispatch/src/endpoint.rs
@@ -22,7 +22,7 @@
         clippy::cast_possible_truncation,
         reason = "half of the hash distinguishes endpoints"
     )]
-    pub fn short(self) -> u32 {
+    pub fn short_key(self) -> u32 {
         self.0 as u32
     }
 }
--- a/crates/siskinyoke-dispatch/src/leased_entries.rs
+++ b/crates/siskinyoke-dispatch/src/leased_entries.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct LeasedEntries<T> {
     entries: BTreeMap<Arc<str>, Entry<T>>,
-    unreachable: bool,
+    store_unreachable: bool,
     // When the last outage of the store ended.
     reachable_since: Option<Millis>,
 }
@@ -31,7 +31,7 @@
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
-            unreachable: false,
+            store_unreachable: false,
             reachable_since: None,
         }
     }
@@ -39,15 +39,15 @@
 
 impl<T> LeasedEntries<T> {
     /// Records that the store cannot be reached.
-    pub fn store_unreachable(&mut self) {
-        self.unreachable = true;
+    pub fn mark_store_unreachable(&mut self) {
+        self.store_unreachable = true;
         self.reachable_since = None;
     }
 
     /// Records that the store can be reached again.
-    pub fn store_reachable(&mut self, now: Millis) {
-        if self.unreachable {
-            self.unreachable = false;
+    pub fn mark_store_reachable(&mut self, now: Millis) {
+        if self.store_unreachable {
+            self.store_unreachable = false;
             self.reachable_since = Some(now);
         }
     }
@@ -90,7 +90,7 @@
 
     fn grace(&self, now: Millis) -> Millis {
         match self.reachable_since {
-            _ if self.unreachable => OUTAGE_GRACE,
+            _ if self.store_unreachable => OUTAGE_GRACE,
             Some(reachable_since) => OUTAGE_GRACE.since(now.since(reachable_since)),
             None => Millis::ZERO,
         }
--- a/crates/siskinyoke-dispatch/src/peers.rs
+++ b/crates/siskinyoke-dispatch/src/peers.rs
@@ -56,7 +56,7 @@
 /// The other instances of the shard, as known from their reports.
 #[derive(Debug, Default)]
 pub struct Peers {
-    by_source: BTreeMap<u64, Peer>,
+    by_incarnation: BTreeMap<u64, Peer>,
     listed_count: usize,
 }
 
@@ -69,7 +69,7 @@
     /// Records a report.
     pub fn receive(&mut self, now: Millis, mut report: Report) -> Received {
         let info = report.info.take();
-        if let Some(peer) = self.by_source.get_mut(&report.incarnation) {
+        if let Some(peer) = self.by_incarnation.get_mut(&report.incarnation) {
             if peer.report.number >= report.number {
                 return Received::Ignored;
             }
@@ -82,7 +82,7 @@
             return Received::Ignored;
         };
         let previous = self
-            .by_source
+            .by_incarnation
             .values()
             .find(|peer| peer.info.name == info.name);
         // The last report of the previous process may arrive late. The process age tells the two
@@ -91,10 +91,10 @@
             return Received::Ignored;
         }
         let previous = previous.map(|peer| peer.report.incarnation);
-        if let Some(source) = previous {
-            self.by_source.remove(&source);
+        if let Some(incarnation) = previous {
+            self.by_incarnation.remove(&incarnation);
         }
-        self.by_source.insert(
+        self.by_incarnation.insert(
             report.incarnation,
             Peer {
                 report,
@@ -107,20 +107,22 @@
 
     /// Keeps only the peers whose name belongs to this instance's shard.
     pub fn retain(&mut self, in_shard: impl Fn(&str) -> bool) {
-        self.by_source.retain(|_, peer| in_shard(&peer.info.name));
+        self.by_incarnation
+            .retain(|_, peer| in_shard(&peer.info.name));
     }
 
     /// Removes a peer that belongs to another shard.
-    pub fn remove(&mut self, source: u64) {
-        self.by_source.remove(&source);
+    pub fn remove(&mut self, incarnation: u64) {
+        self.by_incarnation.remove(&incarnation);
     }
 
     /// Removes peers that shut down or were unresponsive for too long, and returns their sources.
     pub fn sweep(&mut self, now: Millis) -> Vec<u64> {
         let mut removed = Vec::new();
-        self.by_source.retain(|_, peer| {
-            let silence = now.since(peer.received_at);
-            let keep = silence < PEER_RETENTION && !(peer.report.leaving && silence > REPORT_TTL);
+        self.by_incarnation.retain(|_, peer| {
+            let report_age = now.since(peer.received_at);
+            let keep = report_age < PEER_RETENTION
+                && !(peer.report.shutting_down && report_age > REPORT_TTL);
             if !keep {
                 removed.push(peer.report.incarnation);
             }
@@ -131,7 +133,7 @@
 
     /// Returns the peers whose latest report is recent enough to count.
     pub fn fresh(&self, now: Millis) -> impl Iterator<Item = &Peer> {
-        self.by_source
+        self.by_incarnation
             .values()
             .filter(move |peer| peer.is_fresh(now))
     }
@@ -152,7 +154,7 @@
 
     /// Returns the requests that wait at peers for a service, with wait times brought up to date.
     pub fn waiting(&self, now: Millis, service: u32) -> impl Iterator<Item = WaitingRow> {
-        self.by_source
+        self.by_incarnation
             .values()
             .filter(move |peer| now.since(peer.received_at) <= QUEUE_TTL)
             .flat_map(move |peer| {
@@ -171,7 +173,7 @@
     /// off from the other n - 1. The size of the fleet in the store counts too, because a process
     /// that has just started has received no reports yet but is not alone.
     pub fn fleet_share(&self, now: Millis) -> f64 {
-        let known = (self.by_source.len() + 1).max(self.listed_count);
+        let known = (self.by_incarnation.len() + 1).max(self.listed_count);
         let reporting = self.fresh(now).count() + 1;
         ratio(reporting, known)
     }
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -130,9 +130,9 @@
     }
 
     /// Records that something took `time` on an endpoint and usually takes `usual`.
-    pub fn record_speed(&mut self, key: EndpointKey, time: Millis, usual: Millis) {
-        if usual > Millis::ZERO {
-            let speed_factor = millis_to_f64(time) / millis_to_f64(usual);
+    pub fn record_speed(&mut self, key: EndpointKey, time: Millis, expected: Millis) {
+        if expected > Millis::ZERO {
+            let speed_factor = millis_to_f64(time) / millis_to_f64(expected);
             self.health
                 .entry(key)
                 .or_default()
@@ -150,7 +150,7 @@
     /// The factor reported by peers is used until this instance has a few observations of its own.
     pub fn speed_factor(&self, key: EndpointKey) -> f64 {
         let own = self.health.get(&key);
-        let peer_speed = self.peer_speeds.get(&key.short()).copied();
+        let peer_speed = self.peer_speeds.get(&key.short_key()).copied();
         match own {
             Some(health) if health.observations() >= MIN_OBSERVATIONS => health.speed_factor(),
             Some(health) => peer_speed.unwrap_or_else(|| health.speed_factor()),
@@ -161,7 +161,7 @@
     /// Returns whether neither this instance nor a peer has observed an endpoint's speed.
     pub fn is_unobserved(&self, key: EndpointKey) -> bool {
         let observations = self.health.get(&key).map_or(0.0, Health::observations);
-        observations == 0.0 && !self.peer_speeds.contains_key(&key.short())
+        observations == 0.0 && !self.peer_speeds.contains_key(&key.short_key())
     }
 
     /// Returns an endpoint's speed factor as encoded in reports; 0 if it was not observed.
@@ -203,19 +203,19 @@
         &self,
         query: &PlacementQuery<'_>,
         candidates: &[Candidate],
-        usual: bool,
+        use_shared: bool,
     ) -> Option<usize> {
         let eligible = candidates.iter().enumerate().filter(|(_, candidate)| {
             candidate.free_slots > 0
-                && (usual || candidate.slow || candidate.reserved)
+                && (use_shared || candidate.slow || candidate.reserved)
                 && !query.request.tried.contains(&candidate.endpoint.key())
         });
-        let costs = eligible.map(|(at, candidate)| (at, self.cost(query, candidate)));
-        let (at, cost) = costs.min_by(|one, other| one.1.total().total_cmp(&other.1.total()))?;
-        let unacceptable = candidates[at].slow && cost.is_unacceptable(query.can_wait);
+        let costs = eligible.map(|(index, candidate)| (index, self.cost(query, candidate)));
+        let (index, cost) = costs.min_by(|one, other| one.1.total().total_cmp(&other.1.total()))?;
+        let unacceptable = candidates[index].slow && cost.is_unacceptable(query.can_wait);
         let should_wait =
-            query.can_wait && cost.times_out && !times_out(query, candidates[at].fastest_factor);
-        (!unacceptable && !should_wait).then_some(at)
+            query.can_wait && cost.times_out && !times_out(query, candidates[index].fastest_factor);
+        (!unacceptable && !should_wait).then_some(index)
     }
 
     /// Returns whether an endpoint is much slower than usual for its service.
@@ -230,7 +230,7 @@
     pub fn retain_known(&mut self, known: &[EndpointKey]) {
         self.health.retain(|key, _| known.contains(key));
         self.peer_speeds
-            .retain(|short, _| known.iter().any(|key| key.short() == *short));
+            .retain(|short, _| known.iter().any(|key| key.short_key() == *short));
     }
 
     // Returns this instance's preference for an endpoint, between 0 and 1. It differs between
--- a/crates/siskinyoke-dispatch/src/quarantine.rs
+++ b/crates/siskinyoke-dispatch/src/quarantine.rs
@@ -8,7 +8,7 @@
 /// After one crash the endpoint itself is the likelier cause; a second crash of another endpoint
 /// under the same request points to the request. The platform's rules tolerate three crashes. A
 /// limit of two leaves a margin for retries that start before a crash is reported to all instances.
-const MAX_CRASHES: usize = 2;
+const CRASHES_TO_QUARANTINE: usize = 2;
 
 /// How long a request stays quarantined after its last crash.
 const RECORD_TTL: Millis = Millis::from_secs(120);
@@ -23,7 +23,7 @@
     // remain at one.
     endpoints: Vec<u32>,
     // When the last crash was recorded.
-    last: Millis,
+    last_crash: Millis,
 }
 
 /// Fingerprints of requests that were running when endpoints crashed.
@@ -37,11 +37,11 @@
     /// peer.
     pub fn record_crash(&mut self, now: Millis, fingerprint: u64, endpoint: u32) {
         let record = self.records.entry(fingerprint).or_default();
-        if record.endpoints.len() >= MAX_CRASHES || record.endpoints.contains(&endpoint) {
+        if record.endpoints.len() >= CRASHES_TO_QUARANTINE || record.endpoints.contains(&endpoint) {
             return;
         }
         record.endpoints.push(endpoint);
-        record.last = now;
+        record.last_crash = now;
         self.evict_oldest();
     }
 
@@ -52,9 +52,9 @@
 
     /// Returns whether a request must not be run.
     pub fn is_quarantined(&self, now: Millis, fingerprint: u64) -> bool {
-        self.records
-            .get(&fingerprint)
-            .is_some_and(|it| it.endpoints.len() >= MAX_CRASHES && now.since(it.last) < RECORD_TTL)
+        self.records.get(&fingerprint).is_some_and(|it| {
+            it.endpoints.len() >= CRASHES_TO_QUARANTINE && now.since(it.last_crash) < RECORD_TTL
+        })
     }
 
     /// Returns whether no crashes are recorded.
@@ -65,7 +65,7 @@
     /// Returns the most recent crashes, which are reported to peers, latest first.
     pub fn recent_crashes(&self, limit: usize) -> Vec<(u64, Vec<u32>)> {
         let mut all: Vec<_> = self.records.iter().collect();
-        all.sort_by_key(|(key, record)| (std::cmp::Reverse(record.last), **key));
+        all.sort_by_key(|(key, record)| (std::cmp::Reverse(record.last_crash), **key));
         all.iter()
             .take(limit)
             .map(|(fingerprint, record)| (**fingerprint, record.endpoints.clone()))
@@ -79,7 +79,7 @@
         let oldest = self
             .records
             .iter()
-            .min_by_key(|(fingerprint, record)| (record.last, **fingerprint));
+            .min_by_key(|(fingerprint, record)| (record.last_crash, **fingerprint));
         if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
             self.records.remove(&fingerprint);
         }
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -73,14 +73,14 @@
     pub fn observe_limit(&mut self, now: Millis, key: EndpointKey, rate: f64) {
         // Rounded as in reports, so that all instances hold the same rate.
         let rate = from_thousandths(to_thousandths(rate));
-        self.record(now, key.short(), now, Some(rate), false);
+        self.record(now, key.short_key(), now, Some(rate), false);
     }
 
     /// Records a response without a limit to a request that was sent at `sent_at`.
     pub fn observe_no_limit(&mut self, now: Millis, key: EndpointKey, sent_at: Millis) {
-        let known = self.limits.get(&key.short());
+        let known = self.limits.get(&key.short_key());
         if known.is_some_and(|it| it.lifted_by(now, sent_at)) {
-            self.record(now, key.short(), now, None, false);
+            self.record(now, key.short_key(), now, None, false);
         }
     }
 
@@ -158,7 +158,7 @@
     ) -> Vec<&'a InstanceLocation> {
         let limits: Vec<(u32, f64)> = endpoints
             .iter()
-            .map(|it| it.key().short())
+            .map(|it| it.key().short_key())
             .filter_map(|key| Some((key, self.limits.get(&key)?.shard_rate()?)))
             .collect();
         let peers: Vec<&InstanceInfo> = view.peers.fresh(view.now).map(|it| &it.info).collect();
@@ -174,18 +174,18 @@
 
     /// Returns how many requests may be sent to an endpoint now, `None` if it has no limit.
     pub fn tokens(&self, key: EndpointKey) -> Option<u32> {
-        self.limits.get(&key.short())?.tokens()
+        self.limits.get(&key.short_key())?.tokens()
     }
 
     /// Returns how many requests a second this shard may send to an endpoint, `None` if it has no
     /// limit.
     pub fn shard_rate(&self, key: EndpointKey) -> Option<f64> {
-        self.limits.get(&key.short())?.shard_rate()
+        self.limits.get(&key.short_key())?.shard_rate()
     }
 
     /// Takes a token for a request that is sent to an endpoint.
     pub fn take_token(&mut self, key: EndpointKey) {
-        if let Some(limit) = self.limits.get_mut(&key.short()) {
+        if let Some(limit) = self.limits.get_mut(&key.short_key()) {
             limit.take_token();
         }
     }
@@ -193,27 +193,37 @@
     /// Drops the limits of endpoints that are not in `endpoints`.
     pub fn retain_endpoints(&mut self, endpoints: &[EndpointKey]) {
         self.limits
-            .retain(|short, _| endpoints.iter().any(|key| key.short() == *short));
+            .retain(|short, _| endpoints.iter().any(|key| key.short_key() == *short));
     }
 
-    // Records an observation of a limit made at `at`, unless a newer one is known.
+    // Records an observation of a limit made at `observed_at`, unless a newer one is known.
     fn record(
         &mut self,
         now: Millis,
         endpoint: u32,
-        at: Millis,
+        observed_at: Millis,
         rate: Option<f64>,
         from_peer: bool,
     ) {
         let known = self.limits.get_mut(&endpoint);
-        if known.as_ref().is_some_and(|it| it.observed_at() >= at) {
+        if known
+            .as_ref()
+            .is_some_and(|it| it.observed_at() >= observed_at)
+        {
             return;
         }
         let before = known.as_ref().and_then(|it| it.rate());
         match (known, rate) {
-            (Some(limit), Some(rate)) if limit.rate().is_some() => limit.update(now, at, rate),
+            (Some(limit), Some(rate)) if limit.rate().is_some() => {
+                limit.update(now, observed_at, rate);
+            }
             _ => {
-                let limit = RateLimit::new(now, at, rate, initial_level(&self.instance, endpoint));
+                let limit = RateLimit::new(
+                    now,
+                    observed_at,
+                    rate,
+                    initial_level(&self.instance, endpoint),
+                );
                 self.limits.insert(endpoint, limit);
             }
         }
--- a/crates/siskinyoke-dispatch/src/registry.rs
+++ b/crates/siskinyoke-dispatch/src/registry.rs
@@ -49,13 +49,13 @@
 
 impl Registry {
     /// Records that the store cannot be reached.
-    pub fn store_unreachable(&mut self) {
-        self.entries.store_unreachable();
+    pub fn mark_store_unreachable(&mut self) {
+        self.entries.mark_store_unreachable();
     }
 
     /// Records that the store can be reached again.
-    pub fn store_reachable(&mut self, now: Millis) {
-        self.entries.store_reachable(now);
+    pub fn mark_store_reachable(&mut self, now: Millis) {
+        self.entries.mark_store_reachable(now);
     }
 
     /// Sets this instance's shard and the number of instances in each shard.
@@ -123,14 +123,14 @@
 
     /// Starts the rollout of an order, unless it is older than the known one; `draw` is a uniformly
     /// distributed number between 0 and 1.
-    pub fn apply_order(&mut self, now: Millis, order: Order, draw: f64) {
+    pub fn apply_order(&mut self, now: Millis, order: Order, initial_credit: f64) {
         let current = self.rollouts.get(&order.service);
         if current.is_some_and(|it| it.order().revision >= order.revision) {
             return;
         }
         let service = order.service.clone();
         let previous = self.rollouts.remove(&service);
-        let rollout = Rollout::begin(now, order, previous, draw);
+        let rollout = Rollout::begin(now, order, previous, initial_credit);
         self.rollouts.insert(service, rollout);
         self.update_eligible();
     }
@@ -265,7 +265,7 @@
             .chain(self.canaries.values())
             .flatten();
         for endpoint in own {
-            let shards = sharing_shards.entry(endpoint.key().short());
+            let shards = sharing_shards.entry(endpoint.key().short_key());
             shards.or_insert_with(|| vec![self.shard]);
         }
         self.sharing_shards = sharing_shards;
@@ -304,11 +304,12 @@
             .collect();
         shared_indices(self.shard, shards, count)
             .into_iter()
-            .map(|at| {
-                let endpoint = &endpoints[at];
-                let users: Vec<usize> = (0..shards).filter(|it| all[*it].contains(&at)).collect();
+            .map(|index| {
+                let endpoint = &endpoints[index];
+                let users: Vec<usize> =
+                    (0..shards).filter(|it| all[*it].contains(&index)).collect();
                 let count = u32::try_from(users.len()).unwrap_or(u32::MAX);
-                sharing_shards.insert(endpoint.key().short(), users);
+                sharing_shards.insert(endpoint.key().short_key(), users);
                 let slots = (endpoint.slots * 3).div_ceil(count * 2).max(2);
                 Arc::new(Endpoint {
                     slots: slots.min(endpoint.slots),
@@ -330,9 +331,9 @@
     let mut indices: Vec<usize> = (shard..count).step_by(shards).collect();
     let first = indices.first().copied().unwrap_or(shard % count);
     let candidates = (0..count).map(|step| (first + step) % count);
-    for at in candidates.take(MIN_SHARD_ENDPOINTS) {
-        if indices.len() < MIN_SHARD_ENDPOINTS && !indices.contains(&at) {
-            indices.push(at);
+    for index in candidates.take(MIN_SHARD_ENDPOINTS) {
+        if indices.len() < MIN_SHARD_ENDPOINTS && !indices.contains(&index) {
+            indices.push(index);
         }
     }
     indices
--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -23,7 +23,7 @@
     pub ready: bool,
     /// Whether the instance is shutting down.
     #[serde(rename = "leaving")]
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// The version of the active configuration.
     pub configuration: u64,
     /// The store revision that the instance has applied; 0 before its first read.
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -153,7 +153,7 @@
     /// Each instance applies the canary share to its own requests and starts with a random fraction
     /// of a request. Over all instances the share is therefore kept, whatever the size of the fleet
     /// and however often instances restart.
-    pub fn begin(now: Millis, order: Order, previous: Option<Self>, draw: f64) -> Self {
+    pub fn begin(now: Millis, order: Order, previous: Option<Self>, initial_credit: f64) -> Self {
         let mut excluded_versions = Vec::new();
         if let Some(previous) = previous {
             excluded_versions = previous.excluded_versions;
@@ -172,7 +172,7 @@
             failed: false,
             withdrawn: false,
             decided_at: None,
-            canary_credit: draw,
+            canary_credit: initial_credit,
             tally: ResponseTally::default(),
             peer_reports: Map::default(),
             phase: Phase::Trial,
@@ -400,8 +400,9 @@
     // Returns the state of this order in the store, as far as known.
     fn current_state(&self) -> Option<State> {
         let status = self.status.as_ref()?;
-        let ours = status.revision > self.order.revision && status.version == self.order.version;
-        ours.then_some(status.state)
+        let is_current =
+            status.revision > self.order.revision && status.version == self.order.version;
+        is_current.then_some(status.state)
     }
 
     fn is_decided(&self) -> bool {
--- a/crates/siskinyoke-dispatch/src/rollout/analysis.rs
+++ b/crates/siskinyoke-dispatch/src/rollout/analysis.rs
@@ -35,7 +35,7 @@
 const MIN_BAD_ENDPOINTS: usize = 2;
 
 /// The maximum number of endpoints with bad responses that are reported to peers.
-const MAX_NAMED_ENDPOINTS: usize = 4;
+const MAX_REPORTED_ENDPOINTS: usize = 4;
 
 /// Steps per response in reported counts, which decay to fractions.
 const COUNT_STEPS_PER_UNIT: f64 = 16.0;
@@ -85,7 +85,7 @@
         };
         counts.total += 1.0;
         counts.bad += f64::from(u8::from(sample.bad));
-        if sample.new && sample.bad && route.bad_endpoints.len() < MAX_NAMED_ENDPOINTS {
+        if sample.new && sample.bad && route.bad_endpoints.len() < MAX_REPORTED_ENDPOINTS {
             route.bad_endpoints.insert(sample.endpoint);
         }
     }
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -103,7 +103,7 @@
     // The last reply of other shards to a request for a slot, by service.
     last_replies: Map<Arc<str>, lending::LastReply>,
     // When holders of rate limits last declined to lend a token, by service.
-    token_refusals: Map<Arc<str>, Millis>,
+    token_denials: Map<Arc<str>, Millis>,
     last_ticket: u64,
 }
 
@@ -156,7 +156,7 @@
             return Ok(self.enqueue(request));
         }
         // Another shard may lend a slot; the request waits for its reply before it is refused.
-        if registry.is_sharded() && !self.recently_declined(now, &request.service) {
+        if registry.is_sharded() && !self.recently_denied(now, &request.service) {
             return Ok(self.enqueue(ScheduledRequest {
                 needs_loan: true,
                 ..request
@@ -361,7 +361,7 @@
     // Returns the requests that this instance runs at an endpoint.
     fn usage_mut(&mut self, key: EndpointKey) -> &mut RunningRow {
         self.in_flight.entry(key).or_insert(RunningRow {
-            endpoint: key.short(),
+            endpoint: key.short_key(),
             count: 0,
             prefill_tokens: 0,
             speed_factor: 0,
--- a/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -56,11 +56,11 @@
     ) -> Option<(&mut Candidate, bool)> {
         let canary = query.request.canary;
         let canary = canary.then(|| selector.select(query, &self.canaries, true));
-        if let Some(at) = canary.flatten() {
-            return Some((&mut self.canaries[at], true));
+        if let Some(index) = canary.flatten() {
+            return Some((&mut self.canaries[index], true));
         }
-        let at = selector.select(query, &self.free, use_shared)?;
-        Some((&mut self.free[at], false))
+        let index = selector.select(query, &self.free, use_shared)?;
+        Some((&mut self.free[index], false))
     }
 
     // Returns whether there are free slots that peers' requests do not compete for.
@@ -96,7 +96,7 @@
             let timeout = request.arrived + wait::queue_timeout(request, latency);
             let query = PlacementQuery {
                 now,
-                request: request,
+                request,
                 latency_model: &latency,
                 can_wait: !request.late && now < timeout,
             };
@@ -156,7 +156,7 @@
             .filter_map(|endpoint| {
                 let key = endpoint.key();
                 let (peer_count, peer_tokens) =
-                    running.get(&key.short()).copied().unwrap_or_default();
+                    running.get(&key.short_key()).copied().unwrap_or_default();
                 let (count, own_tokens) = self
                     .in_flight
                     .get(&key)
--- a/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/expiry.rs
@@ -42,8 +42,8 @@
             });
         }
         let waited = view.now.since(request.arrived);
-        if request.needs_loan && self.recently_declined(view.now, &request.service) {
-            return self.resolve_declined(view, ticket);
+        if request.needs_loan && self.recently_denied(view.now, &request.service) {
+            return self.resolve_denied(view, ticket);
         }
         if !request.late && waited < wait::queue_timeout(request, latency) {
             return None;
@@ -70,7 +70,7 @@
 
     // Handles a request that needed a slot of another shard after those shards declined: it waits here
     // if it can be served in time, and is refused otherwise.
-    fn resolve_declined(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
+    fn resolve_denied(&mut self, view: &ClusterView<'_>, ticket: Ticket) -> Option<Refusal> {
         let request = self.waiting.get_mut(&ticket)?;
         request.needs_loan = false;
         let request = request.clone();
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -43,7 +43,7 @@
 /// How long other shards are not asked after they declined to lend a slot.
 ///
 /// When the whole fleet is at peak load, all shards are full and every request would be declined.
-pub(super) const DECLINED_BACKOFF: Millis = Millis(100);
+pub(super) const DENIED_BACKOFF: Millis = Millis(100);
 
 /// The share of a shard's slots that is reserved for its own requests, as a divisor.
 ///
@@ -83,19 +83,20 @@
     ) -> Vec<(Ticket, BorrowRequest)> {
         let now = view.now;
         let candidates = self.queues.iter().flat_map(|(service, queue)| {
-            let slot = view.registry.is_sharded() && !self.recently_declined(now, service);
-            let reserved = self.should_ask_holders(view, service);
-            let tickets = queue.iter().filter(move |_| slot || reserved);
-            tickets.map(move |it| (it.2, slot, reserved))
+            let ask_shards = view.registry.is_sharded() && !self.recently_denied(now, service);
+            let ask_holders = self.should_ask_holders(view, service);
+            let tickets = queue.iter().filter(move |_| ask_shards || ask_holders);
+            tickets.map(move |it| (it.2, ask_shards, ask_holders))
         });
         let due = candidates
             .filter(|row| self.borrow_due(now, row.0))
             .take(MAX_BORROW_QUERIES);
         let mut requests = Vec::new();
-        for (ticket, slot, reserved) in due {
+        for (ticket, ask_shards, ask_holders) in due {
             let request = slot_request(now, &self.waiting[&ticket]);
-            requests.extend(slot.then_some((ticket, BorrowRequest::Slot(request))));
-            requests.extend(reserved.then_some((ticket, BorrowRequest::RateLimitedSlot(request))));
+            requests.extend(ask_shards.then_some((ticket, BorrowRequest::Slot(request))));
+            requests
+                .extend(ask_holders.then_some((ticket, BorrowRequest::RateLimitedSlot(request))));
         }
         let waiting = &self.waiting;
         self.last_queries
@@ -214,7 +215,7 @@
     }
 
     /// Records that the shards that were asked for a slot declined.
-    pub fn slot_declined(&mut self, now: Millis, ticket: Ticket) {
+    pub fn slot_denied(&mut self, now: Millis, ticket: Ticket) {
         if let Some(request) = self.waiting.get(&ticket) {
             let reply = LastReply {
                 received_at: now,
@@ -238,8 +239,8 @@
             latency_model: &latency,
             can_wait: true,
         };
-        let at = self.selector.select(&query, candidates, true)?;
-        Some(candidates[at].endpoint.key())
+        let index = self.selector.select(&query, candidates, true)?;
+        Some(candidates[index].endpoint.key())
     }
 
     // Returns whether to ask other instances on behalf of a waiting request now.
@@ -251,9 +252,9 @@
     }
 
     // Returns whether other shards declined to lend a slot for this service recently.
-    pub(super) fn recently_declined(&self, now: Millis, service: &str) -> bool {
+    pub(super) fn recently_denied(&self, now: Millis, service: &str) -> bool {
         let last = self.last_replies.get(service);
-        last.is_some_and(|it| !it.granted && now.since(it.received_at) < DECLINED_BACKOFF)
+        last.is_some_and(|it| !it.granted && now.since(it.received_at) < DENIED_BACKOFF)
     }
 }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -30,19 +30,19 @@
         &mut self,
         key: EndpointKey,
         request: &ScheduledRequest,
-        rest: Millis,
+        remaining: Millis,
         parts: u32,
-        pause: Millis,
+        longest_pause: Millis,
     ) {
         if parts <= MIN_PARTS_FOR_SPEED {
             return;
         }
         let latency = self.latencies.entry(request.service.clone()).or_default();
         self.selector
-            .record_speed(key, rest, latency.remaining_time(f64::from(parts)));
+            .record_speed(key, remaining, latency.remaining_time(f64::from(parts)));
         self.selector
-            .record_stall(key, pause > request.route.gap_target);
-        latency.record_pause(millis_to_f64(pause) / self.selector.speed_factor(key));
+            .record_stall(key, longest_pause > request.route.gap_target);
+        latency.record_pause(millis_to_f64(longest_pause) / self.selector.speed_factor(key));
     }
 
     // Subtracts the prompt tokens of a request that the endpoint has processed or no longer has to.
--- a/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/rate_limits.rs
@@ -2,7 +2,7 @@
 
 use super::ClusterView;
 use super::Scheduler;
-use super::lending::DECLINED_BACKOFF;
+use super::lending::DENIED_BACKOFF;
 use super::lending::borrower_request;
 use crate::Endpoint;
 use crate::EndpointKey;
@@ -24,12 +24,18 @@
         &self.rate_limits
     }
 
-    /// Records the rate limit in an endpoint's response to a request that was sent at `sent`, or that
+    /// Records the rate limit in an endpoint's response to a request that was sent at `sent_at`, or that
     /// the response had none.
-    pub fn record_limit(&mut self, now: Millis, key: EndpointKey, sent: Millis, rate: Option<f64>) {
+    pub fn record_limit(
+        &mut self,
+        now: Millis,
+        key: EndpointKey,
+        sent_at: Millis,
+        rate: Option<f64>,
+    ) {
         match rate {
             Some(rate) => self.rate_limits.observe_limit(now, key, rate),
-            None => self.rate_limits.observe_no_limit(now, key, sent),
+            None => self.rate_limits.observe_no_limit(now, key, sent_at),
         }
     }
 
@@ -76,18 +82,18 @@
     }
 
     /// Records that the holders that were asked for a token declined.
-    pub fn token_declined(&mut self, now: Millis, ticket: Ticket) {
+    pub fn token_denied(&mut self, now: Millis, ticket: Ticket) {
         if let Some(request) = self.waiting.get(&ticket) {
-            self.token_refusals.insert(request.service.clone(), now);
+            self.token_denials.insert(request.service.clone(), now);
         }
     }
 
     // Returns whether to ask the holders of rate limits for tokens.
     pub(super) fn should_ask_holders(&self, view: &ClusterView<'_>, service: &str) -> bool {
-        let refused = self.token_refusals.get(service);
-        let refused = refused.is_some_and(|at| view.now.since(*at) < DECLINED_BACKOFF);
+        let last_denial = self.token_denials.get(service);
+        let denied = last_denial.is_some_and(|at| view.now.since(*at) < DENIED_BACKOFF);
         let mut endpoints = view.registry.eligible(service).iter();
-        !refused && endpoints.any(|it| self.rate_limits.tokens(it.key()).is_some())
+        !denied && endpoints.any(|it| self.rate_limits.tokens(it.key()).is_some())
     }
 
     // Returns the number of slots of an endpoint divided by its speed factor, or the number that its
--- a/crates/siskinyoke-dispatch/src/watchers.rs
+++ b/crates/siskinyoke-dispatch/src/watchers.rs
@@ -46,12 +46,12 @@
 ///
 /// If none of them can reach the store, the first of all is selected and keeps trying.
 pub fn select_watcher<'a>(
-    me: WatcherCandidate<'a>,
+    own: WatcherCandidate<'a>,
     peers: impl Iterator<Item = WatcherCandidate<'a>>,
 ) -> &'a str {
     let order = |it: &WatcherCandidate<'a>| (!it.store_reachable, stable_hash(&it.name), it.name);
     peers
-        .chain([me])
+        .chain([own])
         .min_by_key(order)
-        .map_or(me.name, |it| it.name)
+        .map_or(own.name, |it| it.name)
 }
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -164,7 +164,7 @@
         age: 0,
         number,
         ready: true,
-        leaving: false,
+        shutting_down: false,
         configuration: 1,
         revision: 1,
         store_reachable: true,
@@ -180,7 +180,7 @@
 /// Returns a peer's row for an endpoint of usual speed that runs `count` requests.
 pub fn running_row(id: &str, count: u16) -> RunningRow {
     RunningRow {
-        endpoint: endpoint(id, 1).key().short(),
+        endpoint: endpoint(id, 1).key().short_key(),
         count,
         prefill_tokens: 0,
         speed_factor: 8,
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -90,7 +90,7 @@
 fn only_ready_instances_are_named_to_callers() {
     let mut core = core("i", 1);
     let leaving = Report {
-        leaving: true,
+        shutting_down: true,
         ..report("leaving", 1)
     };
     let unready = Report {
--- a/crates/siskinyoke-dispatch/tests/registry.rs
+++ b/crates/siskinyoke-dispatch/tests/registry.rs
@@ -66,8 +66,8 @@
     let mut registry = Registry::default();
     registry.put(Millis(0), endpoint("back", 1));
     registry.put(Millis(0), endpoint("gone", 1));
-    registry.store_unreachable();
-    registry.store_reachable(Millis(9_000));
+    registry.mark_store_unreachable();
+    registry.mark_store_reachable(Millis(9_000));
     let removals = ["back", "gone"].map(|id| StoreUpdate::EndpointRemoved(id.to_owned()));
     registry.apply_updates(Millis(9_000), removals.into());
     assert_eq!(eligible_ids(&registry), ["back", "gone"]);
