--- a/crates/siskinyoke-standin/src/engine/batch.rs
+++ b/crates/siskinyoke-standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: slots, the queue before them, and the order of prefill.
+//! Continuous batching: slots, the queue for them, and sequential prefill.
 
 use std::collections::VecDeque;
 use std::sync::Condvar;
@@ -12,13 +12,13 @@
 use siskinyoke_base::Millis;
 use siskinyoke_base::clock::SystemClock;
 
-/// How often a waiting request looks whether its caller is still there.
+/// How often a waiting request checks that its caller is still connected.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Load samples kept for metrics that lag.
+/// Bound of the load history, from which lagging metrics are served.
 const MAX_LOAD_SAMPLES: usize = 65_536;
 
-/// The requests inside an engine.
+/// The running and queued requests of an engine.
 #[derive(Debug)]
 pub struct Batch {
     clock: SystemClock,
@@ -36,21 +36,21 @@
     samples: VecDeque<(Millis, Load)>,
 }
 
-/// How busy an engine is.
+/// The number of running and waiting requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests in a slot.
+    /// Requests that occupy a slot.
     pub running: u32,
-    /// Requests that wait for one.
+    /// Requests that wait for a slot.
     pub waiting: u32,
 }
 
-/// A place among the running requests, given back when dropped.
+/// An occupied slot, released on drop.
 #[derive(Debug)]
 pub struct Slot<'a>(&'a Batch);
 
 impl Batch {
-    /// Makes a batch of so many slots.
+    /// Creates a batch with the given number of slots.
     pub fn new(slots: u32) -> Self {
         Self {
             clock: SystemClock::start(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Waits in the order of arrival for a slot; nothing if the caller went away.
+    /// Waits in order of arrival for a slot; returns `None` if the caller disconnects.
     pub fn acquire_slot(&self, alive: &dyn Fn() -> bool) -> Option<Slot<'_>> {
         let mut state = self.lock();
         state.last_ticket += 1;
@@ -84,7 +84,7 @@
         Some(Slot(self))
     }
 
-    /// Works a prompt through after those before it; false if the caller went away.
+    /// Prefills a prompt after all earlier ones; returns false if the caller disconnects.
     pub fn prefill(&self, duration: Duration, alive: &dyn Fn() -> bool) -> bool {
         let now = Duration::from(self.clock.now());
         let end = {
@@ -95,7 +95,7 @@
         sleep_while_alive(end.saturating_sub(now), alive)
     }
 
-    /// Returns the load as it was a while ago.
+    /// Returns the load as of `lag` ago.
     pub fn lagged_load(&self, lag: Millis) -> Load {
         let now = self.clock.now();
         let state = self.lock();
@@ -130,7 +130,7 @@
     }
 }
 
-/// Sleeps for a span in short steps; false as soon as the caller has gone away.
+/// Sleeps in short steps; returns false as soon as the caller disconnects.
 pub fn sleep_while_alive(mut duration: Duration, alive: &dyn Fn() -> bool) -> bool {
     while !duration.is_zero() {
         let step = duration.min(LIVENESS_CHECK_INTERVAL);
--- a/crates/siskinyoke-standin/src/engine/cache.rs
+++ b/crates/siskinyoke-standin/src/engine/cache.rs
@@ -1,16 +1,16 @@
-//! The prefix cache: which leading blocks of prompts an engine still holds.
+//! The prefix cache, which tracks the leading blocks of recent prompts.
 
 use std::collections::BTreeMap;
 
 use siskinyoke_base::Map;
 
-/// Characters of a prompt that count as one token.
-const CHARS_PER_TOKEN: usize = 4;
+/// Bytes of a prompt that count as one token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens of a block, as engines commonly have it.
+/// Tokens per block; a common block size of model engines.
 const BLOCK_TOKENS: usize = 16;
 
-/// Holds the blocks last used, within a bound.
+/// An LRU cache of prompt blocks, identified by the digest of the prompt up to their end.
 #[derive(Debug)]
 pub struct PrefixCache {
     max_blocks: usize,
@@ -19,17 +19,17 @@
     by_last_use: BTreeMap<u64, u64>,
 }
 
-/// How much of a prompt the cache held.
+/// How much of a prompt was cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheLookup {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of them that need no work.
+    /// Leading tokens that are cached and need no prefill.
     pub cached_tokens: u32,
 }
 
 impl PrefixCache {
-    /// Makes a cache of so many blocks.
+    /// Creates a cache of at most `max_blocks` blocks.
     pub fn new(max_blocks: usize) -> Self {
         Self {
             max_blocks,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Looks a prompt up and takes its blocks in.
+    /// Looks up the cached prefix of a prompt, then inserts all its blocks.
     pub fn lookup(&mut self, prompt: &str) -> CacheLookup {
         let digests = prefix_digests(prompt);
         let cached = digests
@@ -49,14 +49,14 @@
         for digest in digests {
             self.record_use(digest);
         }
-        let tokens = prompt.len().div_ceil(CHARS_PER_TOKEN);
+        let tokens = prompt.len().div_ceil(BYTES_PER_TOKEN);
         CacheLookup {
             prompt_tokens: saturating_u32(tokens),
             cached_tokens: saturating_u32((cached_blocks * BLOCK_TOKENS).min(tokens)),
         }
     }
 
-    /// Returns the share of the cache in use, from 0 to 1.
+    /// Returns the ratio of blocks in use, from 0 to 1.
     #[expect(
         clippy::cast_precision_loss,
         reason = "caches stay far below 2^52 blocks"
@@ -83,12 +83,13 @@
     }
 }
 
-/// Chains a digest over each whole block, so that equal digests mean equal beginnings.
+/// Returns a digest for each full block that covers the prompt up to the block's end, so that
+/// equal digests mean equal prefixes.
 fn prefix_digests(prompt: &str) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     let blocks = prompt
         .as_bytes()
-        .chunks_exact(BLOCK_TOKENS * CHARS_PER_TOKEN);
+        .chunks_exact(BLOCK_TOKENS * BYTES_PER_TOKEN);
     let digests = blocks.map(|block| {
         hasher.update(block);
         let digest = hasher.finalize();
--- a/crates/siskinyoke-standin/src/engine/chat.rs
+++ b/crates/siskinyoke-standin/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-compatible form of a chat completion.
+//! OpenAI-compatible chat completion requests and responses.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -7,45 +7,45 @@
 use super::cache::CacheLookup;
 use crate::answer::Answer;
 
-/// The end of every whole stream.
+/// The last event of every complete stream.
 pub const STREAM_TERMINATOR: &str = "data: [DONE]\n\n";
 
-/// The time that answers bear, in seconds; it is fixed, so that a resumed stream is the same.
+/// The `created` time of every response; fixed, so that a resumed stream is identical.
 const CREATED_AT_SECONDS: u64 = 1_767_225_600;
 
-/// `POST /v1/chat/completions`, as far as the stand-in looks at it.
+/// The fields of `POST /v1/chat/completions` that the stand-in uses.
 #[derive(Debug, Deserialize)]
 pub struct ChatRequest {
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
     /// The conversation.
     pub messages: Vec<Message>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens of the answer, in the older form.
+    /// Maximum number of completion tokens, in the deprecated field.
     pub max_tokens: Option<u32>,
-    /// The most tokens of the answer.
+    /// Maximum number of completion tokens; takes precedence.
     pub max_completion_tokens: Option<u32>,
-    /// What a stream is to hold besides.
+    /// Options for streamed responses.
     #[serde(default)]
     pub stream_options: StreamOptions,
 }
 
-/// What a stream is to hold besides its pieces.
+/// Options for streamed responses.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct StreamOptions {
-    /// Whether it ends with the usage.
+    /// Whether the stream ends with a usage chunk.
     pub include_usage: bool,
 }
 
 /// One message of a conversation.
 #[derive(Debug, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// The role of the author, such as `user`.
     pub role: String,
-    /// What is said: a text, or parts of which some are text.
+    /// A string, or an array of parts, of which only text parts are used.
     #[serde(default)]
     pub content: Value,
 }
@@ -65,7 +65,7 @@
 }
 
 impl ChatRequest {
-    /// Returns the whole prompt.
+    /// Returns the prompt: all messages with their roles, one per line.
     pub fn prompt(&self) -> String {
         let lines = self
             .messages
@@ -74,21 +74,21 @@
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    /// Returns the last message of the user.
+    /// Returns the text of the last user message, or an empty string.
     pub fn last_user_message(&self) -> String {
         let mut newest_first = self.messages.iter().rev();
         let last = newest_first.find(|message| message.role == "user");
         last.map(Message::text).unwrap_or_default()
     }
 
-    /// Draws the answer.
+    /// Generates the answer to the last user message.
     pub fn answer(&self) -> Answer {
         let limit = self.max_completion_tokens.or(self.max_tokens);
         Answer::of(&self.last_user_message(), limit)
     }
 }
 
-/// Writes the answer as one object.
+/// Returns the answer as a single response object.
 pub fn completion(request: &ChatRequest, answer: &Answer, lookup: CacheLookup) -> Value {
     json!({
         "id": answer.id,
@@ -104,7 +104,7 @@
     })
 }
 
-/// Writes the answer as server-sent events, the terminator last.
+/// Returns the answer as server-sent events, including the terminator.
 pub fn stream_events(request: &ChatRequest, answer: &Answer, lookup: CacheLookup) -> Vec<String> {
     let chunk = |delta: Value, reason: Value| {
         let choice = json!({ "index": 0, "delta": delta, "finish_reason": reason });
--- a/crates/siskinyoke-standin/src/engine/completion.rs
+++ b/crates/siskinyoke-standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! The life of one chat completion inside the stand-in engine.
+//! Handles one chat completion, from admission to the end of its response.
 
 use std::process;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use crate::answer::Answer;
 use crate::web::Exchange;
 
-/// Names the request towards the engine.
+/// Contains the id under which the request is counted.
 const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
-/// Names the last event that the caller has of a broken stream.
+/// Contains the id of the last event that the caller received of a broken stream.
 const LAST_EVENT_HEADER: &str = "Last-Event-ID";
 
-/// Exit code of a process that a marked request crashed.
+/// Exit code after a request with the crash marker.
 const CRASH_EXIT_CODE: i32 = 1;
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     Completed,
@@ -28,7 +28,7 @@
 }
 
 impl Shared {
-    /// Answers a chat completion.
+    /// Handles a chat completion request.
     pub(super) fn chat(&self, mut exchange: Exchange) {
         let request_id = exchange
             .header(REQUEST_ID_HEADER)
@@ -96,7 +96,8 @@
                 pieces.cut();
                 return Outcome::Broken;
             }
-            // The first word comes with the end of prefill, and what follows the last at once.
+            // The first word is sent when prefill ends, and the events after the last word without
+            // delay.
             let index = skipped + sent;
             let delayed = sent > 0 && index > 1 && index <= answer.words.len();
             if delayed && !self.wait_for_token(&|| pieces.alive()) {
@@ -106,12 +107,12 @@
                 return Outcome::Cancelled;
             }
         }
-        // The caller has every event; it may close without waiting for the end of the body.
+        // The caller has every event and may close the connection before the end of the body.
         let _ = pieces.end();
         Outcome::Completed
     }
 
-    /// Waits for one token; false if the caller has gone away.
+    /// Waits for the duration of one token; returns false if the caller disconnects.
     fn wait_for_token(&self, alive: &dyn Fn() -> bool) -> bool {
         let interval = Duration::from_secs_f64(self.slowdown() / self.config.speed);
         super::batch::sleep_while_alive(interval, alive)
@@ -127,7 +128,7 @@
         crash_marker.is_some_and(|crash_marker| prompt.contains(crash_marker.as_str()))
     }
 
-    /// Goes down with everything in flight.
+    /// Exits the process, or closes all connections and stays down for the crash duration.
     fn crash(&self, exchange: Exchange) {
         if self.config.exit {
             process::exit(CRASH_EXIT_CODE);
--- a/crates/siskinyoke-standin/src/engine/config.rs
+++ b/crates/siskinyoke-standin/src/engine/config.rs
@@ -1,4 +1,4 @@
-//! How a stand-in engine is started.
+//! The configuration of a stand-in engine.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,31 +6,31 @@
 use crate::ANY_PORT;
 use siskinyoke_base::Millis;
 
-/// The make of an engine.
+/// Addresses, models, speed and crash behaviour of an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineConfig {
-    /// Address of the engine; port 0 for any.
+    /// Listen address of the engine; port 0 selects any free port.
     pub listen: String,
-    /// Address that stays reachable while the engine is down.
+    /// Listen address for control, which stays reachable while the engine is down.
     pub control: String,
-    /// Models that it has loaded.
+    /// Names of the loaded models.
     pub models: Vec<String>,
-    /// Requests that it runs at once; others wait inside.
+    /// Number of requests that run at once; others queue inside the engine.
     pub slots: u32,
-    /// Tokens a second that each running request gets.
+    /// Decode rate of each running request, in tokens per second.
     pub speed: f64,
-    /// Tokens of prompts a second that it works through, one prompt after another.
+    /// Prefill rate, in tokens per second; prompts are prefilled one after another.
     pub prefill: f64,
-    /// Blocks of prompts that its prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache: usize,
-    /// How late its metrics are, in milliseconds.
+    /// Delay of the load shown in metrics, in milliseconds.
     pub lag: Millis,
-    /// Text that crashes it when a request contains it.
+    /// Crashes the engine on requests whose prompt contains this text.
     pub crash_marker: Option<String>,
-    /// How long it is gone after a crash, in milliseconds.
+    /// Downtime after a crash, in milliseconds.
     pub crash_span: Millis,
-    /// Whether a crash ends the process.
+    /// Whether a crash exits the process.
     pub exit: bool,
 }
 
--- a/crates/siskinyoke-standin/src/engine/control.rs
+++ b/crates/siskinyoke-standin/src/engine/control.rs
@@ -1,53 +1,53 @@
-//! What the stand-in engine can be told to do wrong.
+//! Runtime control of the faults that a stand-in engine simulates.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use siskinyoke_base::Millis;
 
-/// Orders to the stand-in engine; what is left out stays as it is.
+/// The body of `POST /control`; omitted fields keep their current values.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineControl {
-    /// Cut and refuse connections for this many milliseconds; 0 takes them again.
+    /// Closes and refuses connections for this many milliseconds; 0 ends the outage.
     pub down: Option<Millis>,
-    /// Pass nothing on for this many milliseconds while connections stay open; 0 ends it.
+    /// Forwards no data for this many milliseconds while connections stay open; 0 ends the freeze.
     pub freeze: Option<Millis>,
-    /// Take this many times as long for everything.
+    /// Multiplies the duration of prefill and decoding.
     pub slow: Option<f64>,
-    /// Crash on requests that contain this text; empty for none.
+    /// Crashes the engine on requests whose prompt contains this text; empty disables crashes.
     pub crash_marker: Option<String>,
-    /// Break streams off.
+    /// Breaks the next streams.
     pub breaks: Option<Breaks>,
-    /// How late the metrics are, in milliseconds.
+    /// Delay of the load shown in metrics, in milliseconds.
     pub lag: Option<Millis>,
 }
 
-/// Streams that are broken off.
+/// How many streams are broken, and where.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Breaks {
-    /// Events that are sent before.
+    /// Events sent before the connection is cut.
     pub after: usize,
-    /// How many streams are broken.
+    /// Number of streams to break.
     pub requests: u32,
 }
 
-/// The settings in force.
+/// The active fault settings.
 #[derive(Debug, Clone)]
 pub struct FaultSettings {
-    /// Times as long for everything.
+    /// Factor by which the duration of prefill and decoding is multiplied.
     pub slowdown: f64,
-    /// Text that crashes it.
+    /// Text that crashes the engine when a prompt contains it.
     pub crash_marker: Option<String>,
-    /// Streams still to break.
+    /// Streams that remain to be broken.
     pub breaks: Breaks,
-    /// How late the metrics are.
+    /// Delay of the load shown in metrics.
     pub metrics_lag: Millis,
 }
 
 impl FaultSettings {
-    /// Takes orders in.
+    /// Applies the fields that the command sets.
     pub fn apply(&mut self, command: &EngineControl) {
         self.slowdown = command.slow.unwrap_or(self.slowdown).max(0.0);
         self.breaks = command.breaks.unwrap_or(self.breaks);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes one break, if there is one left.
+    /// Consumes one remaining break; returns the number of events to send before it.
     pub fn next_break(&mut self) -> Option<usize> {
         if self.breaks.requests == 0 {
             return None;
--- a/crates/siskinyoke-standin/src/engine/counts.rs
+++ b/crates/siskinyoke-standin/src/engine/counts.rs
@@ -1,42 +1,42 @@
-//! What an engine has seen since it started.
+//! Counters of an engine since its start.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Counts of an engine or service.
+/// Counters of requests, crashes and prompt tokens.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Dispatches by the name that each request brought.
+    /// Counters by request id.
     pub requests: BTreeMap<String, RequestCounts>,
-    /// Dispatches in all.
+    /// Requests received.
     pub dispatched: u64,
-    /// Whole answers in all.
+    /// Responses sent completely.
     pub completed: u64,
-    /// Answers given up because the caller went away.
+    /// Requests abandoned because the caller disconnected.
     pub cancelled: u64,
-    /// Crashes.
+    /// Simulated crashes.
     pub crashes: u64,
-    /// Tokens of prompts worked through.
+    /// Prompt tokens prefilled.
     pub prefilled: u64,
-    /// Tokens of prompts that the prefix cache held.
+    /// Prompt tokens found in the prefix cache.
     pub cached: u64,
-    /// Tokens of prompts worked through for answers that were not completed.
+    /// Prompt tokens prefilled for responses that were not completed.
     pub wasted: u64,
 }
 
-/// How often one request ran.
+/// Counters of one request id.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// Times it arrived.
+    /// Times the request was received.
     pub dispatched: u64,
-    /// Times its whole answer was sent.
+    /// Times its response was sent completely.
     pub completed: u64,
 }
 
 impl Counts {
-    /// Counts a dispatch.
+    /// Counts a received request.
     pub fn record_dispatch(&mut self, request_id: &str) {
         self.dispatched += 1;
         self.requests
@@ -45,7 +45,7 @@
             .dispatched += 1;
     }
 
-    /// Counts a whole answer.
+    /// Counts a completely sent response.
     pub fn record_completion(&mut self, request_id: &str) {
         self.completed += 1;
         self.requests
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a model engine that batches continuously.
+//! A stand-in for a model engine with continuous batching.
 
 pub mod batch;
 pub mod cache;
@@ -31,14 +31,14 @@
 use self::control::FaultSettings;
 use self::counts::Counts;
 
-/// A running stand-in engine; it stops when dropped.
+/// A running stand-in engine, stopped on drop.
 pub struct Engine {
     web: Web,
     shared: Arc<Shared>,
 }
 
 impl Engine {
-    /// Starts it.
+    /// Starts an engine.
     ///
     /// # Errors
     ///
@@ -50,27 +50,27 @@
         Ok(Self { web, shared })
     }
 
-    /// Returns the address of the engine.
+    /// Returns the listen address of the engine.
     pub fn address(&self) -> SocketAddr {
         self.web.address()
     }
 
-    /// Returns the address that stays reachable while the engine is down.
+    /// Returns the control address, which stays reachable while the engine is down.
     pub fn control_address(&self) -> SocketAddr {
         self.web.control()
     }
 
-    /// Carries out orders, as `POST /control` does.
+    /// Applies a command, as `POST /control` does.
     pub fn control(&self, command: &EngineControl) {
         self.shared.control(self.web.gate(), command);
     }
 
-    /// Returns what it has seen since it started.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts.clone()
     }
 
-    /// Stops it, cutting every connection.
+    /// Stops the engine and closes every connection.
     pub fn stop(self) {
         drop(self);
     }
@@ -152,22 +152,14 @@
                 counts.cached,
             )
         };
-        let batch_load = self.batch.lagged_load(metrics_lag);
+        let load = self.batch.lagged_load(metrics_lag);
         let model = self.config.models.first().map_or("", String::as_str);
         let line = |kind: &str, name: &str, value: String| {
             format!("# TYPE vllm:{name} {kind}\nvllm:{name}{{model_name=\"{model}\"}} {value}\n")
         };
         [
-            line(
-                "gauge",
-                "num_requests_running",
-                batch_load.running.to_string(),
-            ),
-            line(
-                "gauge",
-                "num_requests_waiting",
-                batch_load.waiting.to_string(),
-            ),
+            line("gauge", "num_requests_running", load.running.to_string()),
+            line("gauge", "num_requests_waiting", load.waiting.to_string()),
             line("gauge", "kv_cache_usage_perc", cache_usage.to_string()),
             line(
                 "counter",
--- a/crates/siskinyoke-standin/src/load/file.rs
+++ b/crates/siskinyoke-standin/src/load/file.rs
@@ -1,4 +1,4 @@
-//! The load file: what is sent, how often and for how long.
+//! The load file, which describes callers, their requests and the phases of a run.
 
 use jsonc_parser::ParseOptions;
 use jsonc_parser::parse_to_serde_value;
@@ -7,85 +7,85 @@
 use crate::error::StandinError;
 use siskinyoke_base::Millis;
 
-/// Most requests of one run, unless the file says less: what one machine can send and keep.
+/// Upper bound of requests per run: what one machine can send and keep in memory.
 const MAX_REQUESTS: usize = 100_000;
 
-/// A load, as its file describes it.
+/// The parsed load file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadFile {
-    /// Seed of everything that is drawn.
+    /// Seed of all random draws.
     #[serde(default)]
     pub seed: u64,
-    /// Addresses `host:port`; each request goes to one of them, drawn at random.
+    /// Target addresses as `host:port`; each request is sent to a random one.
     #[serde(default)]
     pub addresses: Vec<String>,
-    /// The most time for one request, in milliseconds.
+    /// Request timeout, in milliseconds.
     #[serde(rename = "patience", default = "default_timeout")]
     pub timeout: Millis,
-    /// The most requests in flight; those due beyond it are counted as held back.
+    /// Maximum number of requests in flight; requests due above it are counted but not sent.
     #[serde(rename = "flight", default = "default_concurrency")]
     pub concurrency: usize,
-    /// The most requests of the whole run.
+    /// Maximum number of requests in the run.
     #[serde(rename = "most", default = "default_max_requests")]
     pub max_requests: usize,
-    /// Who sends what.
+    /// The callers, each with its share and kind of requests.
     pub callers: Vec<CallerProfile>,
-    /// The phases, one after another.
+    /// The phases, in order.
     pub phases: Vec<Phase>,
 }
 
-/// One kind of work within the mix.
+/// A caller in the mix and the requests that it sends.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerProfile {
-    /// Name in the report, for instance the organisation and the tier.
+    /// Name in the report, for example organisation and tier.
     pub name: String,
-    /// The bearer key.
+    /// Bearer key sent with each request.
     #[serde(default)]
     pub key: Option<String>,
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
-    /// How often it is drawn beside the others.
+    /// Weight of this caller in the random choice of callers.
     #[serde(default = "one")]
     pub weight: f64,
-    /// Fewest and most tokens of the prompt that no two requests share.
+    /// Minimum and maximum tokens of the part of the prompt that is unique to each request.
     pub prompt: [u32; 2],
-    /// Tokens that all prompts of the kind begin with.
+    /// Tokens of the prefix that all prompts of this caller share.
     #[serde(default)]
     pub prefix: u32,
-    /// Fewest and most tokens of the answer.
+    /// Minimum and maximum tokens of the answer.
     pub output: [u32; 2],
-    /// Share of requests that stream, in parts of 1.
+    /// Ratio of streaming requests, from 0 to 1.
     #[serde(default = "one")]
     pub stream: f64,
-    /// Time to a useful answer that is asked for, in milliseconds.
+    /// Time within which the caller needs an answer, in milliseconds.
     #[serde(rename = "need", default)]
     pub caller_timeout: Option<Millis>,
 }
 
-/// A stretch of time with one rate.
+/// A period with a constant request rate.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
     /// Name in the report.
     pub name: String,
-    /// How long it lasts, in milliseconds.
+    /// Duration in milliseconds.
     #[serde(rename = "span")]
     pub duration: Millis,
-    /// Requests a second, sent whether or not earlier ones were answered.
+    /// Requests per second, sent regardless of outstanding responses.
     pub rate: f64,
-    /// The kinds of work that are drawn from; all if left out.
+    /// Names of the callers to draw from; all if omitted.
     #[serde(default)]
     pub callers: Vec<String>,
 }
 
 impl LoadFile {
-    /// Reads a load from JSON with comments.
+    /// Parses and validates a load file in JSON with comments.
     ///
     /// # Errors
     ///
-    /// [`StandinError::File`] with the place, or what does not fit together.
+    /// [`StandinError::File`] with the position of a syntax error or the invalid value.
     pub fn parse(text: &str) -> Result<Self, StandinError> {
         let parsed = parse_to_serde_value(text, &ParseOptions::default());
         let load: Self = parsed.map_err(|err| StandinError::File(err.to_string()))?;
@@ -95,7 +95,7 @@
 
     fn check(&self) -> Result<(), String> {
         if self.callers.is_empty() || self.phases.is_empty() {
-            return Err("callers and phases may not be empty".to_owned());
+            return Err("callers and phases must not be empty".to_owned());
         }
         if self.max_requests > MAX_REQUESTS {
             return Err(format!(
@@ -118,7 +118,7 @@
         let known = |name: &String| self.callers.iter().any(|profile| profile.name == *name);
         let unknown = phase.callers.iter().find(|name| !known(name));
         unknown.map_or(Ok(()), |name| {
-            Err(format!("phase {}: no caller is called {name}", phase.name))
+            Err(format!("phase {}: no caller is named {name}", phase.name))
         })
     }
 }
@@ -126,18 +126,24 @@
 impl CallerProfile {
     fn check(&self) -> Result<(), String> {
         if !self.weight.is_finite() || self.weight <= 0.0 {
-            return Err(format!("caller {}: weight must be over 0", self.name));
+            return Err(format!(
+                "caller {}: weight must be greater than 0",
+                self.name
+            ));
         }
         for [min, max] in [self.prompt, self.output] {
             if min > max || min == 0 {
                 return Err(format!(
-                    "caller {}: lengths must be 1 or more, the lesser first",
+                    "caller {}: lengths must be at least 1, the minimum first",
                     self.name
                 ));
             }
         }
         if !(0.0..=1.0).contains(&self.stream) {
-            return Err(format!("caller {}: stream must lie in 0 to 1", self.name));
+            return Err(format!(
+                "caller {}: stream must be between 0 and 1",
+                self.name
+            ));
         }
         Ok(())
     }
--- a/crates/siskinyoke-standin/src/load/mod.rs
+++ b/crates/siskinyoke-standin/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! An open-loop load driver, which checks each answer that it gets.
+//! An open-loop load driver that verifies each answer.
 
 pub mod file;
 pub mod plan;
@@ -20,17 +20,17 @@
 use self::sender::Sender;
 use crate::error::StandinError;
 
-/// Stack of a sending thread; sending one request needs a fraction of it.
+/// Stack size of the thread that sends one request, which needs only a fraction of it.
 const SENDER_STACK_BYTES: usize = 256 * 1024;
 
-/// Sends a load and returns its report; it lasts as long as the phases and one patience.
+/// Runs a load and returns its report, at the latest one request timeout after the last phase.
 ///
 /// # Errors
 ///
-/// [`StandinError::File`] if no address is given.
+/// [`StandinError::File`] if there is no target address.
 pub fn run(load: &LoadFile) -> Result<Vec<ReportLine>, StandinError> {
     if load.addresses.is_empty() {
-        return Err(StandinError::File("no address is given".to_owned()));
+        return Err(StandinError::File("no target address is given".to_owned()));
     }
     let sender = Sender::new(load.timeout);
     let run = LoadRun {
@@ -63,7 +63,7 @@
 }
 
 impl LoadRun<'_> {
-    /// Sends each request when it is due, and waits for the last answer.
+    /// Sends each request when it is due and waits for all responses.
     fn send_all(&self, requests: &[PlannedRequest]) {
         let start = Instant::now();
         thread::scope(|scope| {
@@ -78,7 +78,7 @@
                 let thread = thread::Builder::new().stack_size(SENDER_STACK_BYTES);
                 let spawned = thread.spawn_scoped(scope, move || self.send_one(request, due));
                 if spawned.is_err() {
-                    // The machine gives no more threads, which bounds those in flight as well.
+                    // The system cannot create more threads, which limits concurrency as well.
                     self.in_flight.fetch_sub(1, Ordering::Relaxed);
                     self.update_report(|report| report.add_unsent(request.phase, request.caller));
                 }
--- a/crates/siskinyoke-standin/src/load/plan.rs
+++ b/crates/siskinyoke-standin/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Draws what is sent and when, before anything is sent.
+//! Generates the requests and their send times before a run starts.
 
 use std::fmt::Write as _;
 
@@ -11,37 +11,38 @@
 use super::file::Phase;
 use siskinyoke_base::Millis;
 
-/// Characters that count as one token of a prompt.
-const CHARS_PER_TOKEN: usize = 4;
+/// Bytes of a prompt that count as one token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// One request to be sent.
+/// A request to be sent at a fixed time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedRequest {
-    /// When it is due, in microseconds from the start.
+    /// Send time in microseconds since the start of the run.
     pub due_micros: u64,
-    /// Number of its phase.
+    /// Index of its phase.
     pub phase: usize,
-    /// Number of its kind of work.
+    /// Index of its caller profile.
     pub caller: usize,
-    /// A number that picks the address.
+    /// Random number that selects the target address.
     pub address_draw: usize,
-    /// Name of the request.
+    /// Unique id of the request.
     pub request_id: String,
-    /// The content that is its own.
+    /// Content of the user message, unique to the request.
     pub content: String,
-    /// Words of the answer that is asked for.
+    /// Requested length of the answer, in tokens.
     pub output_tokens: u32,
-    /// Whether it streams.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
-/// Draws all requests of a load in the order in which they are due.
+/// Generates all requests of a load in order of their send times.
 ///
-/// Arrivals are independent of one another and of answers: a slow system meets the same load as a
-/// fast one, so that its delays show in the figures and do not thin out what is measured.
+/// Arrivals form a Poisson process that is independent of responses: a slow system receives the
+/// same load as a fast one, so its delays appear in the latencies instead of reducing the number
+/// of samples.
 pub fn plan(load: &LoadFile) -> Vec<PlannedRequest> {
     let mut rng = ChaCha8Rng::seed_from_u64(load.seed);
     let mut requests = Vec::new();
@@ -61,7 +62,7 @@
     requests
 }
 
-/// Returns the beginning that the prompts of one kind of work share.
+/// Returns the prefix that all prompts of a caller share.
 pub fn shared_prefix(profile: &CallerProfile) -> String {
     pad_to_tokens(
         &format!("{} asks. ", profile.name),
@@ -120,7 +121,7 @@
     last
 }
 
-/// Draws the time to the next arrival in microseconds; never, if there is no rate.
+/// Draws the time to the next arrival in microseconds; infinite at rate 0.
 fn arrival_gap_micros(rng: &mut ChaCha8Rng, rate: f64) -> f64 {
     if rate == 0.0 {
         return f64::INFINITY;
@@ -134,10 +135,10 @@
     at.0 as f64 * MICROS_PER_MILLI
 }
 
-/// Fills a text up to a number of tokens; a text that has more keeps its own.
+/// Appends `word` until the text has at least the given tokens; the text itself is not truncated.
 fn pad_to_tokens(text_start: &str, tokens: u32, word: &str) -> String {
     let mut text = String::new();
-    let length = usize::try_from(tokens).unwrap_or(usize::MAX) * CHARS_PER_TOKEN;
+    let length = usize::try_from(tokens).unwrap_or(usize::MAX) * BYTES_PER_TOKEN;
     if length == 0 {
         return text;
     }
--- a/crates/siskinyoke-standin/src/load/report.rs
+++ b/crates/siskinyoke-standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Sums results up by phase and kind of work.
+//! Aggregates outcomes by phase and caller.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -10,16 +10,16 @@
 use super::sender::Outcome;
 use super::sender::Verdict;
 
-/// Significant digits that a histogram keeps.
+/// Significant decimal digits of histogram values.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// Longest span that is told apart, an hour in microseconds.
+/// Upper bound of recorded latencies, one hour; longer ones are recorded as this value.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// The results of a run.
+/// The aggregated outcomes of a run.
 #[derive(Debug, Default)]
 pub struct Report {
     rows: BTreeMap<(usize, usize), RowStats>,
@@ -35,43 +35,43 @@
     total: Histogram<u64>,
 }
 
-/// One line of the report.
+/// One line of the report, for a phase and caller.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ReportLine {
-    /// The phase.
+    /// Name of the phase.
     pub phase: String,
-    /// The kind of work.
+    /// Name of the caller profile.
     pub caller: String,
     /// Requests sent.
     pub sent: u64,
-    /// Requests due that were held back by the bound of those in flight.
+    /// Requests due but not sent, because too many were in flight.
     #[serde(rename = "held")]
     pub unsent: u64,
-    /// Answers that were whole and the caller's own.
+    /// Complete responses with the expected answer.
     #[serde(rename = "whole")]
     pub correct: u64,
-    /// Refusals and explicit errors.
+    /// Responses with an error status or an explicit error event.
     pub refused: u64,
-    /// Requests without an answer, or with one that breaks off.
+    /// Requests without a response, or with an incomplete one.
     pub failed: u64,
-    /// Answers that look whole and are not the caller's own or not all of it.
+    /// Responses that look complete but lack the expected answer or a part of it.
     pub wrong: u64,
-    /// Requests by code and kind.
+    /// Number of responses by result code and kind.
     pub codes: BTreeMap<String, u64>,
-    /// Milliseconds to the first token of streams that were whole.
+    /// Time to the first token of correct streams.
     #[serde(rename = "first")]
     pub first_token: LatencySummary,
-    /// Milliseconds between further tokens of them.
+    /// Time between later tokens of correct streams.
     #[serde(rename = "gap")]
     pub token_gap: LatencySummary,
-    /// Milliseconds to the end of answers that were whole.
+    /// Time to the end of correct responses.
     pub total: LatencySummary,
 }
 
-/// A spread of times in milliseconds.
+/// Count and percentiles of a latency, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct LatencySummary {
-    /// How many there were.
+    /// Number of samples.
     pub count: u64,
     /// The median.
     pub p50: f64,
@@ -79,7 +79,7 @@
     pub p90: f64,
     /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
@@ -89,7 +89,7 @@
         self.row(phase, caller).unsent += 1;
     }
 
-    /// Counts a outcome.
+    /// Adds the outcome of a sent request; latencies only of correct responses.
     pub fn add_outcome(&mut self, phase: usize, caller: usize, outcome: &Outcome) {
         let row = self.row(phase, caller);
         *row.verdicts.entry(outcome.verdict).or_default() += 1;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the lines by phase and kind of work.
+    /// Returns one line for each phase and caller.
     pub fn lines(&self, phases: &[&str], callers: &[&str]) -> Vec<ReportLine> {
         let lines = self.rows.iter().map(|((phase, caller), row)| ReportLine {
             phase: phases[*phase].to_owned(),
@@ -154,7 +154,7 @@
     }
 }
 
-/// Writes lines as a table, with the codes below.
+/// Formats lines as a table, followed by the result codes.
 pub fn table(lines: &[ReportLine]) -> String {
     let mut text = format!(
         "{:<12} {:<24} {:>6} {:>6} {:>6} {:>7} {:>6} {:>5}  {:>24}  {:>24}  {:>24}\n",
--- a/crates/siskinyoke-standin/src/load/sender.rs
+++ b/crates/siskinyoke-standin/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! Sends one request and judges its answer.
+//! Sends requests and verifies their answers.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -18,46 +18,46 @@
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
 
-/// Text before the data of an event.
+/// Prefix of a data line in a stream of server-sent events.
 const DATA_PREFIX: &str = "data: ";
 
-/// Data of the event that ends a whole stream.
+/// Data of the event that ends a complete stream.
 const DONE_DATA: &str = "[DONE]";
 
-/// How an answer is to be taken.
+/// The classification of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Whole and the caller's own.
+    /// Complete, with the expected answer.
     Correct,
-    /// Refused or ended with an explicit error.
+    /// An error status, or a stream that ended with an error event.
     Refused,
-    /// No answer, or one that breaks off.
+    /// No response, or an incomplete one.
     Failed,
-    /// Looks whole, but is not the caller's own answer or lacks a part of it.
+    /// Looks complete, but lacks the expected answer or a part of it.
     Wrong,
 }
 
-/// What became of one request.
+/// The result and latencies of one request.
 #[derive(Debug)]
 pub struct Outcome {
-    /// How the answer is to be taken.
+    /// Classification of the response.
     pub verdict: Verdict,
-    /// Code and kind, or the HTTP status or error where there is none.
+    /// Result code and kind, or the HTTP status or transport error if there is no code.
     pub code: String,
-    /// Time to the first token of a stream.
+    /// Time from the due time to the first token of a stream.
     pub first_token: Option<Duration>,
-    /// Time to the end.
+    /// Time from the due time to the end of the response.
     pub total: Duration,
-    /// Times between further tokens.
+    /// Times between later tokens.
     pub token_gaps: Vec<Duration>,
 }
 
-/// Where and with what patience requests are sent.
+/// The HTTP client that sends requests.
 pub struct Sender {
     agent: Agent,
 }
 
-/// One request on its way.
+/// A request whose response is being read.
 struct RequestInFlight<'a> {
     planned: &'a PlannedRequest,
     due: Instant,
@@ -67,8 +67,8 @@
 }
 
 impl Sender {
-    /// Prepares sending; each request opens a connection, as the callers of many small
-    /// instances do.
+    /// Creates a sender with a timeout per request; each request opens its own connection, as
+    /// the callers of many small instances do.
     pub fn new(timeout: Millis) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Sends a request that was due at a time, and judges its answer.
+    /// Sends a request, verifies its answer and measures latencies from the due time.
     pub fn send(
         &self,
         address: &str,
@@ -173,7 +173,7 @@
                 continue;
             };
             if data == DONE_DATA {
-                // The head of a stream only says that it has begun.
+                // The response headers precede the result of a stream, so they do not contain it.
                 let code = Code::Complete;
                 self.outcome.code = format!("{} {}", code.number(), code.kind());
                 return self.check_answer();
@@ -202,14 +202,14 @@
         self.text.push_str(content);
     }
 
-    /// Takes an explicit error at the end of a stream.
+    /// Records an error event that ends a stream.
     fn record_error(&mut self, error: &Value) {
         self.outcome.verdict = Verdict::Refused;
         let kind = error["type"].as_str().unwrap_or_default();
         self.outcome.code = format!("{} {kind}", error["code"]);
     }
 
-    /// Compares an answer that looks whole with the one that the request must get.
+    /// Compares the text of a complete response with the expected answer.
     fn check_answer(&mut self) {
         let expected = Answer::of(&self.planned.content, Some(self.planned.output_tokens));
         let matches = self.text == expected.text();
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine and service as their callers see them.
+//! The stand-in engine and service over HTTP.
 
 use std::io;
 use std::io::BufRead;
@@ -26,13 +26,13 @@
 
 const QUESTION: &str = "the boat sailed at dawn";
 
-/// Events of an answer besides its words: the role, the reason of its end, and the terminator.
+/// Events of a stream besides its words: the role, the finish reason and the terminator.
 const NON_WORD_EVENTS: usize = 3;
 
-/// Streams that begin at once.
+/// Streams that are opened concurrently.
 const BURST_STREAMS: usize = 24;
 
-/// Fresh engines that meet the burst, since the library's race is not lost each time.
+/// New engines that each receive the burst, since the library's race does not occur every time.
 const BURST_ROUNDS: usize = 40;
 
 fn engine(config: &EngineConfig) -> Engine {
@@ -79,7 +79,7 @@
     request.send_json(body)
 }
 
-/// Reads events until the end of the stream, and how the stream ended.
+/// Returns the events of a stream and how it ended.
 fn events(response: Response<Body>) -> (Vec<String>, io::Result<()>) {
     let mut events = Vec::new();
     for line in BufReader::new(response.into_body().into_reader()).lines() {
@@ -129,8 +129,8 @@
 
 #[test]
 fn a_resumed_stream_repeats_and_loses_no_event() {
-    // A stream breaks half way, and the rest is asked for from the next event on. If the engine
-    // counted other events than the caller did, the text would have a word twice or a hole.
+    // A stream breaks half way and is resumed from the next event. If engine and caller numbered
+    // events differently, the text would repeat or lose a word.
     let engine = engine(&fast_config());
     let request = body(QUESTION, 20, true);
     engine.control(&EngineControl {
@@ -141,7 +141,7 @@
         ..EngineControl::default()
     });
     let (mut received, end) = events(send(&engine, "a", 0, &request).expect("a stream"));
-    assert!(end.is_err(), "a broken stream must not look whole");
+    assert!(end.is_err(), "a broken stream must not look complete");
     assert_eq!(received.len(), 7);
     let (rest, end) = events(send(&engine, "a", received.len(), &request).expect("a stream"));
     assert!(end.is_ok());
@@ -153,8 +153,8 @@
 
 #[test]
 fn a_request_with_the_crash_marker_fails_all_requests_in_flight() {
-    // One request crashes the process, and an innocent one beside it loses its connection too.
-    // Both callers see a broken connection, and new ones are refused until the engine is back.
+    // One request crashes the engine, and an unrelated request in flight loses its connection.
+    // Both callers see a broken connection, and new ones are refused until the engine restarts.
     let engine = engine(&EngineConfig {
         speed: 20.0,
         crash_marker: Some("poison".to_owned()),
@@ -177,15 +177,18 @@
     };
     let response = order(engine.address(), 60_000).expect("an answer");
     assert_eq!(response.status(), 200);
-    assert!(order(engine.address(), 0).is_err(), "it is down");
+    assert!(
+        order(engine.address(), 0).is_err(),
+        "the engine should be down"
+    );
     assert!(order(engine.control_address(), 0).is_ok());
     wait_for(|| order(engine.address(), 0).is_ok());
 }
 
 #[test]
 fn a_disconnected_caller_frees_its_slot() {
-    // A caller gives up in the middle of a long answer. If the engine went on, its only slot
-    // would be held for minutes by an answer that nobody reads.
+    // A caller disconnects during a long response. If the engine continued, the unread response
+    // would occupy its only slot for minutes.
     let engine = engine(&EngineConfig {
         slots: 1,
         speed: 20.0,
@@ -201,9 +204,9 @@
 
 #[test]
 fn a_burst_of_streams_starts_before_any_has_ended() {
-    // Many callers connect at once and hold their streams open. The HTTP library may queue two
+    // Many callers connect at once and keep their streams open. The HTTP library may queue two
     // new connections for one idle thread; the second then waits until any stream ends, which
-    // shows as a first token that comes seconds late. Here none ends, so it would never come.
+    // delays its first token by seconds. Here no stream ends, so the token would never arrive.
     for _ in 0..BURST_ROUNDS {
         let engine = engine(&EngineConfig {
             slots: 1000,
@@ -218,7 +221,7 @@
             let streams = callers
                 .into_iter()
                 .map(|caller| caller.join().ok().flatten());
-            // Collected first, so that each stays open until the last has begun.
+            // Collected first, so that each stays open until the last has started.
             let streams: Vec<_> = streams.collect();
             streams.into_iter().flatten().count()
         });
@@ -226,7 +229,7 @@
     }
 }
 
-/// Opens a stream and reads its first line; the stream stays open with what is returned.
+/// Opens a stream and reads its first line; the stream stays open until the reader is dropped.
 fn open_stream(engine: &Engine, start: &Barrier) -> Option<BufReader<BodyReader<'static>>> {
     start.wait();
     let response = send(engine, "", 0, &body(QUESTION, 5, true)).ok()?;
@@ -243,7 +246,8 @@
         freeze: Some(Millis(200)),
         ..EngineControl::default()
     });
-    let response = send(&engine, "a", 0, &body(QUESTION, 3, true)).expect("an answer at last");
+    let response =
+        send(&engine, "a", 0, &body(QUESTION, 3, true)).expect("a response after the freeze");
     assert_eq!(events(response).0.len(), 3 + NON_WORD_EVENTS);
 }
 
@@ -257,7 +261,7 @@
     }
     wait_for(|| engine.counts().completed == 2);
     let counts = engine.counts();
-    assert_eq!(counts.cached, 512, "all whole blocks of 16 tokens");
+    assert_eq!(counts.cached, 512, "all full blocks of 16 tokens");
 }
 
 #[test]
@@ -291,8 +295,8 @@
 
 #[test]
 fn a_service_counts_an_execution_whose_response_was_cut() {
-    // A booking is made and the connection breaks before the confirmation. A caller that takes
-    // this for "not run" books a second time; the serial numbers show that both ran.
+    // A booking is executed and the connection breaks before the response. A caller that assumes
+    // it did not run books a second time; the serial numbers show that both ran.
     let service = Service::start(&ServiceConfig::default()).expect("a free port");
     service.control(&ServiceControl {
         lose_answers: Some(1),
@@ -315,7 +319,7 @@
     assert_eq!(service.counts()["seat-4"], 2);
 }
 
-/// Tries again until something holds that other threads bring about.
+/// Polls until a condition holds that other threads bring about.
 fn wait_for(mut condition: impl FnMut() -> bool) {
     for _ in 0..500 {
         if condition() {
@@ -323,5 +327,5 @@
         }
         thread::sleep(Millis(10).into());
     }
-    panic!("it never came about");
+    panic!("condition did not hold within 5 s");
 }
--- a/crates/siskinyoke-standin/tests/load.rs
+++ b/crates/siskinyoke-standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load driver: what it sends, and what it takes for a whole answer.
+//! The load driver: planned requests and the verification of answers.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use siskinyoke_standin::web::Web;
 
 const LOAD_FILE: &str = r#"{
-    // Short and long work beside each other.
+    // Short and long requests in one mix.
     "seed": 7,
     "patience": 10000,
     "callers": [
@@ -34,7 +34,7 @@
 }"#;
 
 fn load_to(address: &str) -> LoadFile {
-    let mut load = LoadFile::parse(LOAD_FILE).expect("a good load");
+    let mut load = LoadFile::parse(LOAD_FILE).expect("a valid load file");
     load.addresses = vec![address.to_owned()];
     load
 }
@@ -50,7 +50,7 @@
     assert_eq!(requests, plan::plan(&load));
     assert!(
         requests.iter().all(|request| request.phase != 1),
-        "nothing is due in the pause"
+        "no request is due in the pause phase"
     );
     assert!(
         requests
@@ -71,11 +71,11 @@
         (
             "[\"paragraph\"]",
             "[\"nobody\"]",
-            "no caller is called nobody",
+            "no caller is named nobody",
         ),
         ("\"seed\"", "\"sead\"", "unknown field `sead`"),
     ] {
-        let err = LoadFile::parse(&LOAD_FILE.replace(from, to)).expect_err("a fault");
+        let err = LoadFile::parse(&LOAD_FILE.replace(from, to)).expect_err("an invalid load file");
         assert!(err.to_string().contains(expected), "{err}");
     }
 }
@@ -111,8 +111,8 @@
 
 #[test]
 fn an_answer_to_another_request_counts_as_wrong() {
-    // Two answers are mixed up on their way, and each caller reads a whole, well-formed answer to
-    // someone else's question. Only a check of the content itself tells it from its own.
+    // Responses are swapped in transit, and each caller receives a complete, well-formed answer to
+    // another request. Only a check of the content detects this.
     let web = Web::start(ANY_PORT, ANY_PORT, Arc::new(FixedAnswer)).expect("a free port");
     let lines = load::run(&load_to(&web.address().to_string())).expect("a run");
     assert_eq!(sum(&lines, |line| line.correct), 0);
@@ -139,7 +139,7 @@
     }
 }
 
-/// Answers everyone with the same text, in the form that they ask for.
+/// Answers every request with the same text, streamed if requested.
 struct FixedAnswer;
 
 impl Handler for FixedAnswer {
