--- a/crates/siskinyoke-standin/src/chunked.rs
+++ b/crates/siskinyoke-standin/src/chunked.rs
@@ -5,19 +5,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::proxy::Gate;
+use crate::proxy::Proxy;
 
 /// A chunked answer under way.
 ///
 /// `tiny_http`'s own responder holds chunks back until they fill a buffer, so the pieces are
 /// written through the request's writer with a flush each.
-pub struct Pieces {
+pub struct ChunkedResponse {
     writer: Box<dyn Write + Send>,
-    gate: Arc<Gate>,
-    link: Option<SocketAddr>,
+    proxy: Arc<Proxy>,
+    peer: Option<SocketAddr>,
 }
 
-impl Pieces {
+impl ChunkedResponse {
     /// Writes the head of the answer.
     ///
     /// # Errors
@@ -25,7 +25,7 @@
     /// What the system says if the caller broke off.
     pub fn start(
         mut writer: Box<dyn Write + Send>,
-        gate: Arc<Gate>,
+        gate: Arc<Proxy>,
         link: Option<SocketAddr>,
         content: &str,
     ) -> io::Result<Self> {
@@ -35,12 +35,16 @@
             "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n\r\n"
         )?;
         writer.flush()?;
-        Ok(Self { writer, gate, link })
+        Ok(Self {
+            writer,
+            proxy: gate,
+            peer: link,
+        })
     }
 
     /// Says whether the caller still holds the connection.
-    pub fn alive(&self) -> bool {
-        self.link.is_none_or(|link| self.gate.holds(link))
+    pub fn is_connected(&self) -> bool {
+        self.peer.is_none_or(|link| self.proxy.is_open(link))
     }
 
     /// Sends one piece.
@@ -49,7 +53,7 @@
     ///
     /// What the system says if the caller broke off.
     pub fn send(&mut self, piece: &str) -> io::Result<()> {
-        if !self.alive() {
+        if !self.is_connected() {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         write!(self.writer, "{:x}\r\n{piece}\r\n", piece.len())?;
@@ -61,15 +65,15 @@
     /// # Errors
     ///
     /// What the system says if the caller broke off.
-    pub fn end(mut self) -> io::Result<()> {
+    pub fn finish(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
     }
 
     /// Cuts the connection in the middle of the answer.
     pub fn cut(self) {
-        if let Some(link) = self.link {
-            self.gate.finish(link);
+        if let Some(link) = self.peer {
+            self.proxy.close_after_flush(link);
         }
     }
 }
--- a/crates/siskinyoke-standin/src/engine/chat.rs
+++ b/crates/siskinyoke-standin/src/engine/chat.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::cache::CacheLookup;
-use crate::completion::Answer;
+use crate::completion::Completion;
 
 /// The end of every whole stream.
 pub const STREAM_TERMINATOR: &str = "data: [DONE]\n\n";
@@ -82,14 +82,14 @@
     }
 
     /// Draws the answer.
-    pub fn answer(&self) -> Answer {
+    pub fn answer(&self) -> Completion {
         let limit = self.max_completion_tokens.or(self.max_tokens);
-        Answer::of(&self.last_user_message(), limit)
+        Completion::generate(&self.last_user_message(), limit)
     }
 }
 
 /// Writes the answer as one object.
-pub fn completion(request: &ChatRequest, answer: &Answer, lookup: CacheLookup) -> Value {
+pub fn completion(request: &ChatRequest, answer: &Completion, lookup: CacheLookup) -> Value {
     json!({
         "id": answer.id,
         "object": "chat.completion",
@@ -105,7 +105,11 @@
 }
 
 /// Writes the answer as server-sent events, the terminator last.
-pub fn stream_events(request: &ChatRequest, answer: &Answer, lookup: CacheLookup) -> Vec<String> {
+pub fn stream_events(
+    request: &ChatRequest,
+    answer: &Completion,
+    lookup: CacheLookup,
+) -> Vec<String> {
     let chunk = |delta: Value, reason: Value| {
         let choice = json!({ "index": 0, "delta": delta, "finish_reason": reason });
         json!({
@@ -137,11 +141,11 @@
     events
 }
 
-fn finish_reason(answer: &Answer) -> &'static str {
-    if answer.cut { "length" } else { "stop" }
+fn finish_reason(answer: &Completion) -> &'static str {
+    if answer.truncated { "length" } else { "stop" }
 }
 
-fn usage(answer: &Answer, lookup: CacheLookup) -> Value {
+fn usage(answer: &Completion, lookup: CacheLookup) -> Value {
     let completion_tokens = answer.words.len();
     json!({
         "prompt_tokens": lookup.prompt_tokens,
--- a/crates/siskinyoke-standin/src/engine/completion.rs
+++ b/crates/siskinyoke-standin/src/engine/completion.rs
@@ -7,7 +7,7 @@
 use super::cache::CacheLookup;
 use super::chat;
 use super::chat::ChatRequest;
-use crate::completion::Answer;
+use crate::completion::Completion;
 use crate::http::Exchange;
 
 /// Names the request towards the engine.
@@ -80,7 +80,7 @@
         &self,
         exchange: Exchange,
         request: &ChatRequest,
-        answer: &Answer,
+        answer: &Completion,
         lookup: CacheLookup,
     ) -> Outcome {
         let events = chat::stream_events(request, answer, lookup);
@@ -88,7 +88,7 @@
         let last: Option<usize> = last_event.and_then(|id| id.parse().ok());
         let skipped = last.map_or(0, |id| id + 1);
         let break_after = self.lock().faults.next_break();
-        let Ok(mut pieces) = exchange.pieces("text/event-stream") else {
+        let Ok(mut pieces) = exchange.start_chunked("text/event-stream") else {
             return Outcome::Cancelled;
         };
         for (sent, event) in events.iter().skip(skipped).enumerate() {
@@ -99,7 +99,7 @@
             // The first word comes with the end of prefill, and what follows the last at once.
             let index = skipped + sent;
             let delayed = sent > 0 && index > 1 && index <= answer.words.len();
-            if delayed && !self.wait_for_token(&|| pieces.alive()) {
+            if delayed && !self.wait_for_token(&|| pieces.is_connected()) {
                 return Outcome::Cancelled;
             }
             if pieces.send(event).is_err() {
@@ -107,7 +107,7 @@
             }
         }
         // The caller has every event; it may close without waiting for the end of the body.
-        let _ = pieces.end();
+        let _ = pieces.finish();
         Outcome::Completed
     }
 
--- a/crates/siskinyoke-standin/src/engine/config.rs
+++ b/crates/siskinyoke-standin/src/engine/config.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::ANY_PORT;
+use crate::LOOPBACK_ANY_PORT;
 use siskinyoke_base::Millis;
 
 /// The make of an engine.
@@ -37,8 +37,8 @@
 impl Default for EngineConfig {
     fn default() -> Self {
         Self {
-            listen: ANY_PORT.to_owned(),
-            control: ANY_PORT.to_owned(),
+            listen: LOOPBACK_ANY_PORT.to_owned(),
+            control: LOOPBACK_ANY_PORT.to_owned(),
             models: vec!["small".to_owned()],
             slots: 16,
             speed: 100.0,
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -19,8 +19,8 @@
 use crate::error::StandinError;
 use crate::http::Exchange;
 use crate::http::Handler;
-use crate::http::Web;
-use crate::proxy::Gate;
+use crate::http::HttpServer;
+use crate::proxy::Proxy;
 
 pub use self::config::EngineConfig;
 
@@ -33,7 +33,7 @@
 
 /// A running stand-in engine; it stops when dropped.
 pub struct Engine {
-    web: Web,
+    web: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -46,7 +46,7 @@
     pub fn start(config: &EngineConfig) -> Result<Self, StandinError> {
         let shared = Arc::new(Shared::new(config.clone()));
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = Web::start(&config.listen, &config.control, handler)?;
+        let web = HttpServer::start(&config.listen, &config.control, handler)?;
         Ok(Self { web, shared })
     }
 
@@ -179,8 +179,8 @@
         .concat()
     }
 
-    fn control(&self, gate: &Gate, command: &EngineControl) {
+    fn control(&self, gate: &Proxy, command: &EngineControl) {
         self.lock().faults.apply(command);
-        gate.order(command.down, command.freeze);
+        gate.apply_faults(command.down, command.freeze);
     }
 }
--- a/crates/siskinyoke-standin/src/etcd/control.rs
+++ b/crates/siskinyoke-standin/src/etcd/control.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub struct Faults {
     /// The wait before each call.
-    pub slow: Millis,
+    pub call_delay: Millis,
     /// Writes still to lose the answers of.
     pub lost: u32,
 }
--- a/crates/siskinyoke-standin/src/etcd/gateway.rs
+++ b/crates/siskinyoke-standin/src/etcd/gateway.rs
@@ -15,31 +15,31 @@
 use siskinyoke_base::Millis;
 
 /// Most bytes of one value, as the platform has it.
-pub const VALUE_LIMIT: usize = 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// Why a call was refused: it had no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum CallError {
     /// The value is over the limit.
-    TooLarge,
+    ValueTooLarge,
     /// The lease is not alive.
-    NoLease,
+    LeaseNotFound,
 }
 
-impl Refusal {
+impl CallError {
     /// Returns the HTTP status that etcd's gateway gives.
     pub const fn status(self) -> u16 {
         match self {
-            Self::TooLarge => 400,
-            Self::NoLease => 404,
+            Self::ValueTooLarge => 400,
+            Self::LeaseNotFound => 404,
         }
     }
 
     /// Returns the body that etcd's gateway gives.
     pub fn body(self) -> Value {
         let (code, text) = match self {
-            Self::TooLarge => (3, "etcdserver: request is too large"),
-            Self::NoLease => (5, "etcdserver: requested lease not found"),
+            Self::ValueTooLarge => (3, "etcdserver: request is too large"),
+            Self::LeaseNotFound => (5, "etcdserver: requested lease not found"),
         };
         json!({ "error": text, "code": code, "message": text })
     }
@@ -47,8 +47,8 @@
 
 /// Reads a range.
 pub fn range(store: &Store, request: &Range) -> Value {
-    let mut answer = found(store, request);
-    answer["header"] = wire::header(store.revision());
+    let mut answer = range_response(store, request);
+    answer["header"] = wire::response_header(store.revision());
     answer
 }
 
@@ -57,22 +57,22 @@
 /// # Errors
 ///
 /// A [`Refusal`] if the value is too large or the lease is not alive.
-pub fn put(store: &mut Store, request: Put) -> Result<Value, Refusal> {
-    check(store, &request)?;
-    let revision = store.begin();
+pub fn put(store: &mut Store, request: Put) -> Result<Value, CallError> {
+    check_put(store, &request)?;
+    let revision = store.next_revision();
     store.put(revision, request.key, request.value, request.lease);
-    Ok(json!({ "header": wire::header(revision) }))
+    Ok(json!({ "header": wire::response_header(revision) }))
 }
 
 /// Removes a range.
 pub fn delete(store: &mut Store, request: &Range) -> Value {
-    let span = request.span();
+    let span = request.key_range();
     let mut removed = 0;
     if !store.range(&span).is_empty() {
-        let revision = store.begin();
-        removed = store.remove(revision, &span);
+        let revision = store.next_revision();
+        removed = store.delete_range(revision, &span);
     }
-    json!({ "header": wire::header(store.revision()), "deleted": removed.to_string() })
+    json!({ "header": wire::response_header(store.revision()), "deleted": removed.to_string() })
 }
 
 /// Carries out a transaction.
@@ -80,7 +80,7 @@
 /// # Errors
 ///
 /// A [`Refusal`] if one of its writes is refused; then none took.
-pub fn txn(store: &mut Store, request: Txn) -> Result<Value, Refusal> {
+pub fn txn(store: &mut Store, request: Txn) -> Result<Value, CallError> {
     let holds = |compare: &wire::Compare| compare.holds(store.get(&compare.key));
     let succeeded = request.compare.iter().all(holds);
     let ops = if succeeded {
@@ -90,20 +90,20 @@
     };
     for op in &ops {
         if let Some(put) = &op.request_put {
-            check(store, put)?;
+            check_put(store, put)?;
         }
     }
     let writes = ops.iter().any(|op| op.request_range.is_none());
     let revision = if writes {
-        store.begin()
+        store.next_revision()
     } else {
         store.revision()
     };
     let responses: Vec<Value> = ops
         .into_iter()
-        .map(|op| step(store, revision, op))
+        .map(|op| apply_op(store, revision, op))
         .collect();
-    let mut answer = json!({ "header": wire::header(revision), "responses": responses });
+    let mut answer = json!({ "header": wire::response_header(revision), "responses": responses });
     if succeeded {
         answer["succeeded"] = true.into();
     }
@@ -111,17 +111,17 @@
 }
 
 /// Makes a lease.
-pub fn grant(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
+pub fn grant_lease(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
     let span = Millis::from_secs(u64::try_from(request.ttl).unwrap_or_default());
     let name = store.grant(now, request.id, span);
-    lease(store.revision(), name, request.ttl)
+    lease_response(store.revision(), name, request.ttl)
 }
 
 /// Keeps a lease alive; one that has lapsed shows without a span.
-pub fn keep(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
+pub fn keep_alive(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
     let span = store.keep(now, request.id).unwrap_or_default();
     let secs = i64::try_from(span.0 / 1000).unwrap_or_default();
-    json!({ "result": lease(store.revision(), request.id, secs) })
+    json!({ "result": lease_response(store.revision(), request.id, secs) })
 }
 
 /// Gives a lease up.
@@ -129,68 +129,68 @@
 /// # Errors
 ///
 /// [`Refusal::NoLease`] if it is not alive.
-pub fn revoke(store: &mut Store, request: &LeaseRequest) -> Result<Value, Refusal> {
+pub fn revoke_lease(store: &mut Store, request: &LeaseRequest) -> Result<Value, CallError> {
     if !store.revoke(request.id) {
-        return Err(Refusal::NoLease);
+        return Err(CallError::LeaseNotFound);
     }
-    Ok(json!({ "header": wire::header(store.revision()) }))
+    Ok(json!({ "header": wire::response_header(store.revision()) }))
 }
 
 /// Writes the changes that a watch sends, as one line.
-pub fn events(store: &Store, events: &[Event]) -> String {
-    let events: Vec<Value> = events.iter().map(event).collect();
-    let header = wire::header(store.revision());
-    line(&json!({ "header": header, "events": events }))
+pub fn watch_events(store: &Store, events: &[Event]) -> String {
+    let events: Vec<Value> = events.iter().map(encode_event).collect();
+    let header = wire::response_header(store.revision());
+    encode_line(&json!({ "header": header, "events": events }))
 }
 
 /// Writes the line that begins a watch.
-pub fn created(header: &Value) -> String {
-    line(&json!({ "header": header, "created": true }))
+pub fn watch_created(header: &Value) -> String {
+    encode_line(&json!({ "header": header, "created": true }))
 }
 
 /// Writes the line that refuses a watch whose start is no longer kept.
-pub fn canceled(header: &Value, compacted: i64) -> String {
+pub fn watch_canceled(header: &Value, compacted: i64) -> String {
     let first = (compacted + 1).to_string();
-    line(&json!({ "header": header, "canceled": true, "compact_revision": first }))
+    encode_line(&json!({ "header": header, "canceled": true, "compact_revision": first }))
 }
 
-fn line(result: &Value) -> String {
+fn encode_line(result: &Value) -> String {
     format!("{}\n", json!({ "result": result }))
 }
 
-fn event(event: &Event) -> Value {
-    if event.removed {
+fn encode_event(event: &Event) -> Value {
+    if event.deleted {
         let kept = Entry {
             version: 0,
             lease: 0,
             ..event.entry.clone()
         };
-        return json!({ "type": "DELETE", "kv": wire::key_value(&kept) });
+        return json!({ "type": "DELETE", "kv": wire::encode_entry(&kept) });
     }
-    json!({ "kv": wire::key_value(&event.entry) })
+    json!({ "kv": wire::encode_entry(&event.entry) })
 }
 
-fn step(store: &mut Store, revision: i64, op: Op) -> Value {
+fn apply_op(store: &mut Store, revision: i64, op: Op) -> Value {
     if let Some(put) = op.request_put {
         store.put(revision, put.key, put.value, put.lease);
-        return json!({ "response_put": { "header": wire::header(revision) } });
+        return json!({ "response_put": { "header": wire::response_header(revision) } });
     }
     if let Some(range) = op.request_delete_range {
-        let removed = store.remove(revision, &range.span());
+        let removed = store.delete_range(revision, &range.key_range());
         return json!({ "response_delete_range": { "deleted": removed.to_string() } });
     }
     let range = op.request_range.unwrap_or_default();
-    json!({ "response_range": found(store, &range) })
+    json!({ "response_range": range_response(store, &range) })
 }
 
-fn found(store: &Store, request: &Range) -> Value {
-    let entries = store.range(&request.span());
+fn range_response(store: &Store, request: &Range) -> Value {
+    let entries = store.range(&request.key_range());
     let limit = usize::try_from(request.limit).unwrap_or_default();
     let shown = if limit == 0 { entries.len() } else { limit };
     let kvs: Vec<Value> = entries
         .iter()
         .take(shown)
-        .map(|entry| wire::key_value(entry))
+        .map(|entry| wire::encode_entry(entry))
         .collect();
     let mut answer = json!({});
     if !kvs.is_empty() {
@@ -203,18 +203,18 @@
     answer
 }
 
-fn check(store: &Store, put: &Put) -> Result<(), Refusal> {
-    if put.value.len() > VALUE_LIMIT {
-        return Err(Refusal::TooLarge);
+fn check_put(store: &Store, put: &Put) -> Result<(), CallError> {
+    if put.value.len() > MAX_VALUE_BYTES {
+        return Err(CallError::ValueTooLarge);
     }
-    if put.lease != 0 && !store.leased(put.lease) {
-        return Err(Refusal::NoLease);
+    if put.lease != 0 && !store.has_lease(put.lease) {
+        return Err(CallError::LeaseNotFound);
     }
     Ok(())
 }
 
-fn lease(revision: i64, name: i64, secs: i64) -> Value {
-    let mut answer = json!({ "header": wire::header(revision), "ID": name.to_string() });
+fn lease_response(revision: i64, name: i64, secs: i64) -> Value {
+    let mut answer = json!({ "header": wire::response_header(revision), "ID": name.to_string() });
     if secs > 0 {
         answer["TTL"] = secs.to_string().into();
     }
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -17,10 +17,10 @@
 
 use self::control::EtcdControl;
 use self::server::Shared;
-use crate::ANY_PORT;
+use crate::LOOPBACK_ANY_PORT;
 use crate::error::StandinError;
 use crate::http::Handler;
-use crate::http::Web;
+use crate::http::HttpServer;
 use siskinyoke_base::clock::SystemClock;
 
 /// How a stand-in store is started.
@@ -36,15 +36,15 @@
 impl Default for EtcdConfig {
     fn default() -> Self {
         Self {
-            listen: ANY_PORT.to_owned(),
-            control: ANY_PORT.to_owned(),
+            listen: LOOPBACK_ANY_PORT.to_owned(),
+            control: LOOPBACK_ANY_PORT.to_owned(),
         }
     }
 }
 
 /// A running stand-in store; it stops when dropped.
 pub struct Etcd {
-    web: Web,
+    web: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -61,7 +61,7 @@
             changed: Condvar::new(),
         });
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = Web::start(&config.listen, &config.control, handler)?;
+        let web = HttpServer::start(&config.listen, &config.control, handler)?;
         Ok(Self { web, shared })
     }
 
@@ -83,7 +83,7 @@
     /// Writes a value, as operators and endpoints do.
     pub fn put(&self, key: &str, value: &str) {
         let mut state = self.shared.lock();
-        let revision = state.store.begin();
+        let revision = state.store.next_revision();
         state.store.put(revision, key.into(), value.into(), 0);
         drop(state);
         self.shared.changed.notify_all();
--- a/crates/siskinyoke-standin/src/etcd/server.rs
+++ b/crates/siskinyoke-standin/src/etcd/server.rs
@@ -17,19 +17,19 @@
 use super::control::Faults;
 use super::control::Lapse;
 use super::gateway;
-use super::gateway::Refusal;
-use super::store::Span;
+use super::gateway::CallError;
+use super::store::KeyRange;
 use super::store::Store;
 use super::wire;
-use crate::chunked::Pieces;
+use crate::chunked::ChunkedResponse;
 use crate::http::Exchange;
 use crate::http::Handler;
-use crate::proxy::Gate;
+use crate::proxy::Proxy;
 use siskinyoke_base::Clock;
 use siskinyoke_base::clock::SystemClock;
 
 /// How often a waiting watch looks for lapsed leases and for a caller that went away.
-const WATCH_PACE: Duration = Duration::from_millis(20);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What the threads of a stand-in share.
 pub(super) struct Shared {
@@ -48,33 +48,33 @@
 /// How a call ended.
 enum Outcome {
     Answer(u16, Value),
-    Lost,
+    ResponseLost,
 }
 
 impl Handler for Shared {
     fn handle(&self, mut exchange: Exchange) {
         let path = exchange.path().to_owned();
         if path.starts_with("/control") {
-            self.controlled(exchange, &path);
+            self.handle_control(exchange, &path);
             return;
         }
-        let Some(kind) = kind(&path) else {
+        let Some(kind) = call_kind(&path) else {
             exchange.reply_json(404, &json!({ "error": "not found", "code": 5 }));
             return;
         };
         let slow = {
             let mut state = self.lock();
             *state.counts.entry(kind.to_owned()).or_default() += 1;
-            state.faults.slow
+            state.faults.call_delay
         };
         thread::sleep(slow.into());
         if kind == "watch" {
             self.watch(exchange);
             return;
         }
-        match self.call(kind, &mut exchange) {
+        match self.execute(kind, &mut exchange) {
             Outcome::Answer(status, value) => exchange.reply_json(status, &value),
-            Outcome::Lost => exchange.cut(),
+            Outcome::ResponseLost => exchange.cut(),
         }
     }
 }
@@ -82,14 +82,14 @@
 impl Shared {
     pub(super) fn lock(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.store.expire(self.clock.now());
+        state.store.expire_leases(self.clock.now());
         state
     }
 
-    fn call(&self, kind: &str, exchange: &mut Exchange) -> Outcome {
+    fn execute(&self, kind: &str, exchange: &mut Exchange) -> Outcome {
         let body = match exchange.body() {
             Ok(body) => body,
-            Err(err) => return malformed(&err.to_string()),
+            Err(err) => return malformed_request(&err.to_string()),
         };
         let now = self.clock.now();
         let mut state = self.lock();
@@ -99,19 +99,19 @@
             "put" => read(&body).map(|request| gateway::put(store, request)),
             "delete" => read(&body).map(|request| Ok(gateway::delete(store, &request))),
             "txn" => read(&body).map(|request| gateway::txn(store, request)),
-            "grant" => read(&body).map(|request| Ok(gateway::grant(store, now, &request))),
-            "keep" => read(&body).map(|request| Ok(gateway::keep(store, now, &request))),
-            _ => read(&body).map(|request| gateway::revoke(store, &request)),
+            "grant" => read(&body).map(|request| Ok(gateway::grant_lease(store, now, &request))),
+            "keep" => read(&body).map(|request| Ok(gateway::keep_alive(store, now, &request))),
+            _ => read(&body).map(|request| gateway::revoke_lease(store, &request)),
         };
         self.changed.notify_all();
         let value = match result {
             Ok(Ok(value)) => value,
             Ok(Err(refusal)) => return refused(refusal),
-            Err(detail) => return malformed(&detail),
+            Err(detail) => return malformed_request(&detail),
         };
-        if writes(kind) && state.faults.lost > 0 {
+        if is_write(kind) && state.faults.lost > 0 {
             state.faults.lost -= 1;
-            return Outcome::Lost;
+            return Outcome::ResponseLost;
         }
         Outcome::Answer(200, value)
     }
@@ -125,15 +125,19 @@
                 return;
             }
         };
-        let Ok(pieces) = exchange.pieces("application/json") else {
+        let Ok(pieces) = exchange.start_chunked("application/json") else {
             return;
         };
         // A caller that goes away ends its watch; there is nobody left to tell.
-        let _ = self.follow(pieces, request.create_request);
+        let _ = self.stream_events(pieces, request.create_request);
     }
 
-    fn follow(&self, mut pieces: Pieces, request: wire::WatchCreate) -> io::Result<()> {
-        let span = Span {
+    fn stream_events(
+        &self,
+        mut pieces: ChunkedResponse,
+        request: wire::WatchCreate,
+    ) -> io::Result<()> {
+        let span = KeyRange {
             key: request.key,
             end: request.range_end,
         };
@@ -143,30 +147,34 @@
                 0 => store.revision() + 1,
                 start => start,
             };
-            (next, store.compacted(), wire::header(store.revision()))
+            (
+                next,
+                store.compacted(),
+                wire::response_header(store.revision()),
+            )
         };
         if next <= compacted {
-            pieces.send(&gateway::canceled(&header, compacted))?;
-            return pieces.end();
+            pieces.send(&gateway::watch_canceled(&header, compacted))?;
+            return pieces.finish();
         }
-        pieces.send(&gateway::created(&header))?;
-        while pieces.alive() {
+        pieces.send(&gateway::watch_created(&header))?;
+        while pieces.is_connected() {
             let state = self.lock();
             let events = state.store.events(&span, next);
             if events.is_empty() {
-                let waited = self.changed.wait_timeout(state, WATCH_PACE);
+                let waited = self.changed.wait_timeout(state, WATCH_POLL_INTERVAL);
                 drop(waited.unwrap_or_else(PoisonError::into_inner));
                 continue;
             }
             next = state.store.revision() + 1;
-            let line = gateway::events(&state.store, &events);
+            let line = gateway::watch_events(&state.store, &events);
             drop(state);
             pieces.send(&line)?;
         }
         Ok(())
     }
 
-    fn controlled(&self, exchange: Exchange, path: &str) {
+    fn handle_control(&self, exchange: Exchange, path: &str) {
         match (exchange.method().as_str(), path) {
             ("GET", "/control/counts") => {
                 let counts = self.lock().counts.clone();
@@ -177,20 +185,20 @@
         }
     }
 
-    pub(super) fn control(&self, gate: &Gate, orders: &EtcdControl) {
-        gate.order(orders.down, orders.freeze);
+    pub(super) fn control(&self, gate: &Proxy, orders: &EtcdControl) {
+        gate.apply_faults(orders.down, orders.freeze);
         if orders.cut {
-            gate.cut_all();
+            gate.close_all_after_flush();
         }
         let mut state = self.lock();
         if let Some(slow) = orders.slow {
-            state.faults.slow = slow;
+            state.faults.call_delay = slow;
         }
         if let Some(count) = orders.lose_answers {
             state.faults.lost = count;
         }
         match orders.lapse {
-            Some(Lapse::All) => state.store.revoke_all(),
+            Some(Lapse::All) => state.store.revoke_all_leases(),
             Some(Lapse::One(name)) => {
                 state.store.revoke(name);
             }
@@ -201,7 +209,7 @@
     }
 }
 
-fn kind(path: &str) -> Option<&'static str> {
+fn call_kind(path: &str) -> Option<&'static str> {
     match path {
         "/v3/kv/range" => Some("range"),
         "/v3/kv/put" => Some("put"),
@@ -215,7 +223,7 @@
     }
 }
 
-fn writes(kind: &str) -> bool {
+fn is_write(kind: &str) -> bool {
     !matches!(kind, "range" | "watch")
 }
 
@@ -223,13 +231,13 @@
     serde_json::from_slice(body).map_err(|err| err.to_string())
 }
 
-fn malformed(detail: &str) -> Outcome {
+fn malformed_request(detail: &str) -> Outcome {
     Outcome::Answer(
         400,
         json!({ "error": detail, "code": 3, "message": detail }),
     )
 }
 
-fn refused(refusal: Refusal) -> Outcome {
+fn refused(refusal: CallError) -> Outcome {
     Outcome::Answer(refusal.status(), refusal.body())
 }
--- a/crates/siskinyoke-standin/src/etcd/store.rs
+++ b/crates/siskinyoke-standin/src/etcd/store.rs
@@ -6,7 +6,7 @@
 use siskinyoke_base::Millis;
 
 /// Events kept for watches that start in the past; older ones count as compacted.
-const HISTORY: usize = 4096;
+const MAX_HISTORY_EVENTS: usize = 4096;
 
 /// A key with its value and numbers.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// Revision of the write that made the key.
     pub created: i64,
     /// Revision of the last write.
-    pub modified: i64,
+    pub mod_revision: i64,
     /// Writes since it was made.
     pub version: i64,
     /// The lease that it lives under, or 0.
@@ -31,19 +31,19 @@
     /// The key after the change; a removed one has no value.
     pub entry: Entry,
     /// Whether it was removed.
-    pub removed: bool,
+    pub deleted: bool,
 }
 
 /// A range of keys: one key, or all from it up to an end.
 #[derive(Debug, Clone, Default)]
-pub struct Span {
+pub struct KeyRange {
     /// The first key.
     pub key: Vec<u8>,
     /// Empty for the one key, `[0]` for all that follow.
     pub end: Vec<u8>,
 }
 
-impl Span {
+impl KeyRange {
     /// Says whether a key lies within the range.
     pub fn holds(&self, key: &[u8]) -> bool {
         if self.end.is_empty() {
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Millis,
-    lapse: Millis,
+    expires_at: Millis,
 }
 
 /// The store; time comes in from outside.
@@ -66,8 +66,8 @@
     entries: BTreeMap<Vec<u8>, Entry>,
     leases: BTreeMap<i64, Lease>,
     events: VecDeque<Event>,
-    compacted: i64,
-    granted: i64,
+    compacted_revision: i64,
+    lease_count: i64,
 }
 
 impl Default for Store {
@@ -77,8 +77,8 @@
             entries: BTreeMap::new(),
             leases: BTreeMap::new(),
             events: VecDeque::new(),
-            compacted: 0,
-            granted: 0,
+            compacted_revision: 0,
+            lease_count: 0,
         }
     }
 }
@@ -91,7 +91,7 @@
 
     /// Returns the last revision whose events are no longer kept.
     pub fn compacted(&self) -> i64 {
-        self.compacted
+        self.compacted_revision
     }
 
     /// Returns one key.
@@ -100,14 +100,14 @@
     }
 
     /// Returns the keys of a range in their order.
-    pub fn range(&self, span: &Span) -> Vec<&Entry> {
+    pub fn range(&self, span: &KeyRange) -> Vec<&Entry> {
         let from = self.entries.range(span.key.clone()..);
         let within = from.take_while(|(key, _)| span.holds(key));
         within.map(|(_, entry)| entry).collect()
     }
 
     /// Begins a write, and returns its revision.
-    pub fn begin(&mut self) -> i64 {
+    pub fn next_revision(&mut self) -> i64 {
         self.revision += 1;
         self.revision
     }
@@ -118,53 +118,63 @@
         let entry = Entry {
             created: before.map_or(revision, |entry| entry.created),
             version: before.map_or(0, |entry| entry.version) + 1,
-            modified: revision,
+            mod_revision: revision,
             key: key.clone(),
             value,
             lease,
         };
-        self.note(entry.clone(), false);
+        self.record_event(entry.clone(), false);
         self.entries.insert(key, entry);
     }
 
     /// Removes the keys of a range under a revision, and returns how many there were.
-    pub fn remove(&mut self, revision: i64, span: &Span) -> usize {
+    pub fn delete_range(&mut self, revision: i64, span: &KeyRange) -> usize {
         let found = self.range(span);
         let keys: Vec<Vec<u8>> = found.iter().map(|entry| entry.key.clone()).collect();
         for key in &keys {
-            self.remove_key(revision, key);
+            self.delete_key(revision, key);
         }
         keys.len()
     }
 
     /// Returns the changes of a range from a revision on.
-    pub fn events(&self, span: &Span, from: i64) -> Vec<Event> {
+    pub fn events(&self, span: &KeyRange, from: i64) -> Vec<Event> {
         let later = self
             .events
             .iter()
-            .filter(|event| event.entry.modified >= from);
+            .filter(|event| event.entry.mod_revision >= from);
         let within = later.filter(|event| span.holds(&event.entry.key));
         within.cloned().collect()
     }
 
     /// Makes a lease and returns its name; `wanted` of 0 leaves the name to the store.
     pub fn grant(&mut self, now: Millis, wanted: i64, ttl: Millis) -> i64 {
-        self.granted += 1;
-        let name = if wanted == 0 { self.granted } else { wanted };
+        self.lease_count += 1;
+        let name = if wanted == 0 {
+            self.lease_count
+        } else {
+            wanted
+        };
         let lapse = now + ttl;
-        self.leases.insert(name, Lease { ttl, lapse });
+        self.leases.insert(
+            name,
+            Lease {
+                ttl,
+                expires_at: lapse,
+            },
+        );
         name
     }
 
     /// Keeps a lease alive and returns its span, unless it has lapsed.
     pub fn keep(&mut self, now: Millis, name: i64) -> Option<Millis> {
         let lease = self.leases.get_mut(&name)?;
-        lease.lapse = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
     /// Says whether a lease is alive.
-    pub fn leased(&self, name: i64) -> bool {
+    pub fn has_lease(&self, name: i64) -> bool {
         self.leases.contains_key(&name)
     }
 
@@ -178,16 +188,19 @@
         if keys.is_empty() {
             return true;
         }
-        let revision = self.begin();
+        let revision = self.next_revision();
         for key in &keys {
-            self.remove_key(revision, key);
+            self.delete_key(revision, key);
         }
         true
     }
 
     /// Ends the leases whose time is over, and says whether there were any.
-    pub fn expire(&mut self, now: Millis) -> bool {
-        let over = self.leases.iter().filter(|(_, lease)| lease.lapse <= now);
+    pub fn expire_leases(&mut self, now: Millis) -> bool {
+        let over = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now);
         let names: Vec<i64> = over.map(|(name, _)| *name).collect();
         for name in &names {
             self.revoke(*name);
@@ -196,28 +209,31 @@
     }
 
     /// Ends all leases.
-    pub fn revoke_all(&mut self) {
+    pub fn revoke_all_leases(&mut self) {
         let names: Vec<i64> = self.leases.keys().copied().collect();
         for name in names {
             self.revoke(name);
         }
     }
 
-    fn remove_key(&mut self, revision: i64, key: &[u8]) {
+    fn delete_key(&mut self, revision: i64, key: &[u8]) {
         let Some(mut entry) = self.entries.remove(key) else {
             return;
         };
-        entry.modified = revision;
+        entry.mod_revision = revision;
         entry.value.clear();
-        self.note(entry, true);
+        self.record_event(entry, true);
     }
 
-    fn note(&mut self, entry: Entry, removed: bool) {
-        self.events.push_back(Event { entry, removed });
-        if self.events.len() > HISTORY
+    fn record_event(&mut self, entry: Entry, removed: bool) {
+        self.events.push_back(Event {
+            entry,
+            deleted: removed,
+        });
+        if self.events.len() > MAX_HISTORY_EVENTS
             && let Some(old) = self.events.pop_front()
         {
-            self.compacted = old.entry.modified;
+            self.compacted_revision = old.entry.mod_revision;
         }
     }
 }
--- a/crates/siskinyoke-standin/src/etcd/wire.rs
+++ b/crates/siskinyoke-standin/src/etcd/wire.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use super::store::Entry;
-use super::store::Span;
+use super::store::KeyRange;
 
 /// `POST /v3/kv/range`, and a read within a transaction.
 #[derive(Debug, Default, Deserialize)]
@@ -31,8 +31,8 @@
 
 impl Range {
     /// Returns the range of keys.
-    pub fn span(&self) -> Span {
-        Span {
+    pub fn key_range(&self) -> KeyRange {
+        KeyRange {
             key: self.key.clone(),
             end: self.range_end.clone(),
         }
@@ -137,7 +137,7 @@
         let (found, wanted) = match self.target {
             Target::Version => (entry.map(|entry| entry.version), self.version),
             Target::Create => (entry.map(|entry| entry.created), self.create_revision),
-            Target::Mod => (entry.map(|entry| entry.modified), self.mod_revision),
+            Target::Mod => (entry.map(|entry| entry.mod_revision), self.mod_revision),
         };
         let found = found.unwrap_or_default();
         match self.result {
@@ -186,7 +186,7 @@
 }
 
 /// Writes the head of every answer.
-pub fn header(revision: i64) -> Value {
+pub fn response_header(revision: i64) -> Value {
     json!({
         "cluster_id": "1",
         "member_id": "1",
@@ -196,10 +196,10 @@
 }
 
 /// Writes a key as answers hold it.
-pub fn key_value(entry: &Entry) -> Value {
+pub fn encode_entry(entry: &Entry) -> Value {
     let mut value = json!({
         "key": STANDARD.encode(&entry.key),
-        "mod_revision": entry.modified.to_string(),
+        "mod_revision": entry.mod_revision.to_string(),
     });
     if entry.version > 0 {
         value["create_revision"] = entry.created.to_string().into();
--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -29,16 +29,16 @@
 use siskinyoke_gateway::settings::Settings;
 
 /// The bearer key of the fleet's only organisation.
-pub const KEY: &str = "trial-school";
+pub const API_KEY: &str = "trial-school";
 
 /// The model that both engines offer.
-pub const MODEL: &str = "qalam-small";
+pub const MODEL_NAME: &str = "qalam-small";
 
 /// The plain service.
-pub const SERVICE: &str = "portal";
+pub const SERVICE_NAME: &str = "portal";
 
 /// The configuration of the fleet.
-pub const CONFIGURATION: &str = r#"{
+pub const CONFIGURATION_TEMPLATE: &str = r#"{
     "revision": 1,
     "preset": "ordinary",
     "presets": { "ordinary": {}, "peak": { "closed": ["portal"] } },
@@ -53,10 +53,10 @@
 }"#;
 
 /// How long the fleet may take until it serves, in steps of [`LOOK`].
-const LOOKS: usize = 400;
+const MAX_POLLS: usize = 400;
 
 /// Pause between two looks at the fleet.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A whole small system in one process.
 pub struct Fleet {
@@ -67,11 +67,11 @@
     /// The plain service.
     pub service: Service,
     /// Where callers reach each instance.
-    pub callers: Vec<SocketAddr>,
+    pub caller_addresses: Vec<SocketAddr>,
     /// Where each instance says which ones to use.
-    pub directories: Vec<SocketAddr>,
-    files: Vec<PathBuf>,
-    ended: Arc<Mutex<Option<String>>>,
+    pub directory_addresses: Vec<SocketAddr>,
+    settings_files: Vec<PathBuf>,
+    instance_error: Arc<Mutex<Option<String>>>,
 }
 
 impl Fleet {
@@ -81,14 +81,14 @@
     ///
     /// [`StandinError`] if a part cannot be started or does not serve in time.
     pub fn start(instances: usize) -> Result<Self, StandinError> {
-        let mut fleet = Self::empty()?;
-        let digest = blake3::hash(KEY.as_bytes()).to_hex();
-        let configuration = CONFIGURATION.replace("KEY", &digest);
+        let mut fleet = Self::without_instances()?;
+        let digest = blake3::hash(API_KEY.as_bytes()).to_hex();
+        let configuration = CONFIGURATION_TEMPLATE.replace("KEY", &digest);
         fleet.etcd.put("siskinyoke/configuration", &configuration);
         for number in 1..=instances {
             fleet.start_instance(number)?;
         }
-        fleet.wait()?;
+        fleet.wait_until_serving()?;
         Ok(fleet)
     }
 
@@ -97,44 +97,44 @@
     /// # Errors
     ///
     /// [`StandinError`] if a part cannot be started or does not listen in time.
-    pub fn unconfigured() -> Result<Self, StandinError> {
-        let mut fleet = Self::empty()?;
+    pub fn start_unconfigured() -> Result<Self, StandinError> {
+        let mut fleet = Self::without_instances()?;
         fleet.start_instance(1)?;
-        for _ in 0..LOOKS {
-            if TcpStream::connect(fleet.callers[0]).is_ok() {
+        for _ in 0..MAX_POLLS {
+            if TcpStream::connect(fleet.caller_addresses[0]).is_ok() {
                 return Ok(fleet);
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         Err(StandinError::Fleet(
             "the instance does not listen".to_owned(),
         ))
     }
 
-    fn empty() -> Result<Self, StandinError> {
+    fn without_instances() -> Result<Self, StandinError> {
         let etcd = Etcd::start(&EtcdConfig::default())?;
         let engines = vec![engine(120.0, 16)?, engine(40.0, 4)?];
         let service = Service::start(&ServiceConfig::default())?;
         for (at, engine) in engines.iter().enumerate() {
-            put(&etcd, &format!("engine-{at}"), "engines", engine.address());
+            register_endpoint(&etcd, &format!("engine-{at}"), "engines", engine.address());
         }
-        put(&etcd, "portal", SERVICE, service.address());
+        register_endpoint(&etcd, "portal", SERVICE_NAME, service.address());
         Ok(Self {
             etcd,
             engines,
             service,
-            callers: Vec::new(),
-            directories: Vec::new(),
-            files: Vec::new(),
-            ended: Arc::default(),
+            caller_addresses: Vec::new(),
+            directory_addresses: Vec::new(),
+            settings_files: Vec::new(),
+            instance_error: Arc::default(),
         })
     }
 
     /// Makes a client that asks an instance where to go.
     pub fn client(&self, place: usize) -> Client {
         Client::new(ClientSettings {
-            addresses: vec![self.directories[place].to_string()],
-            key: KEY.to_owned(),
+            addresses: vec![self.directory_addresses[place].to_string()],
+            key: API_KEY.to_owned(),
             max_attempts: 5,
             max_delay: Millis::from_secs(5),
             attempt_timeout: Millis::from_secs(30),
@@ -142,7 +142,7 @@
     }
 
     fn start_instance(&mut self, number: usize) -> Result<(), StandinError> {
-        let [callers, health, directory, peers, metrics] = own_addresses();
+        let [callers, health, directory, peers, metrics] = allocate_addresses();
         let settings = json!({
             "instance": format!("instance-{number}"),
             "ip": callers.ip(),
@@ -162,10 +162,10 @@
         let fault = |err: String| StandinError::Fleet(format!("{}: {err}", path.display()));
         fs::write(&path, settings.to_string()).map_err(|err| fault(err.to_string()))?;
         let settings = Settings::load(&path).map_err(|err| fault(err.to_string()))?;
-        self.callers.push(callers);
-        self.directories.push(directory);
-        self.files.push(path.clone());
-        let ended = Arc::clone(&self.ended);
+        self.caller_addresses.push(callers);
+        self.directory_addresses.push(directory);
+        self.settings_files.push(path.clone());
+        let ended = Arc::clone(&self.instance_error);
         thread::spawn(move || {
             if let Err(err) = gateway::run_without_log(settings, path) {
                 let mut ended = ended.lock().unwrap_or_else(PoisonError::into_inner);
@@ -175,21 +175,24 @@
         Ok(())
     }
 
-    fn wait(&self) -> Result<(), StandinError> {
-        for place in 0..self.directories.len() {
+    fn wait_until_serving(&self) -> Result<(), StandinError> {
+        for place in 0..self.directory_addresses.len() {
             let mut client = self.client(place);
             let known = |client: &mut Client| {
                 let located = client.locate();
-                located.is_ok_and(|it| it.addresses.len() == self.directories.len())
+                located.is_ok_and(|it| it.addresses.len() == self.directory_addresses.len())
             };
             let mut looks = 0;
             while !known(&mut client) {
-                let ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner);
+                let ended = self
+                    .instance_error
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
                 if let Some(err) = &*ended {
                     return Err(StandinError::Fleet(err.clone()));
                 }
                 drop(ended);
-                if looks == LOOKS {
+                if looks == MAX_POLLS {
                     return Err(StandinError::Fleet(format!(
                         "instance {} does not know the others",
                         place + 1
@@ -197,7 +200,7 @@
                 }
                 looks += 1;
                 client = self.client(place);
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
             }
         }
         Ok(())
@@ -206,7 +209,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for path in &self.files {
+        for path in &self.settings_files {
             // It lies among temporary files and may be gone.
             drop(fs::remove_file(path));
         }
@@ -215,14 +218,14 @@
 
 fn engine(speed: f64, slots: u32) -> Result<Engine, StandinError> {
     Engine::start(&EngineConfig {
-        models: vec![MODEL.to_owned()],
+        models: vec![MODEL_NAME.to_owned()],
         speed,
         slots,
         ..EngineConfig::default()
     })
 }
 
-fn put(etcd: &Etcd, id: &str, service: &str, address: SocketAddr) {
+fn register_endpoint(etcd: &Etcd, id: &str, service: &str, address: SocketAddr) {
     let entry = json!({
         "service": service, "address": address, "centre": "muscat-a", "slots": 4,
     });
@@ -231,9 +234,14 @@
 
 // Each instance has a loopback address of its own: a free port could be taken by a connection of
 // this machine before the instance listens on it.
-fn own_addresses() -> [SocketAddr; 5] {
-    static NEXT: AtomicU8 = AtomicU8::new(1);
+fn allocate_addresses() -> [SocketAddr; 5] {
+    static NEXT_INSTANCE: AtomicU8 = AtomicU8::new(1);
     let process = u8::try_from(std::process::id() % 200).unwrap_or(0) + 20;
-    let ip = Ipv4Addr::new(127, process, NEXT.fetch_add(1, Ordering::Relaxed), 2);
+    let ip = Ipv4Addr::new(
+        127,
+        process,
+        NEXT_INSTANCE.fetch_add(1, Ordering::Relaxed),
+        2,
+    );
     [7101, 7102, 7100, 7103, 7109].map(|port| SocketAddr::new(ip.into(), port))
 }
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -16,17 +16,17 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
-use crate::chunked::Pieces;
+use crate::chunked::ChunkedResponse;
 use crate::error::StandinError;
-use crate::proxy::Gate;
+use crate::proxy::Proxy;
 use crate::proxy::listen;
 use siskinyoke_base::Millis;
 
 /// Most bytes of a body that are read; the largest value of the platform fits coded.
-const BODY_LIMIT: u64 = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 8 * 1024 * 1024;
 
 /// How often the serving thread looks whether it is to stop.
-const IDLE: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Answers exchanges, each on a thread of its own.
 pub trait Handler: Send + Sync + 'static {
@@ -35,12 +35,12 @@
 }
 
 /// A running server with its gate.
-pub struct Web {
-    gate: Arc<Gate>,
-    control: SocketAddr,
+pub struct HttpServer {
+    gate: Arc<Proxy>,
+    control_address: SocketAddr,
 }
 
-impl Web {
+impl HttpServer {
     /// Starts a server behind a gate at an address; `control` is reachable also while the gate is shut.
     ///
     /// # Errors
@@ -51,15 +51,17 @@
         control: &str,
         handler: Arc<dyn Handler>,
     ) -> Result<Self, StandinError> {
-        let inner = listen(control).map_err(|err| refused(control, &err))?;
-        let seen = inner.local_addr().map_err(|err| refused(control, &err))?;
+        let inner = listen(control).map_err(|err| listen_error(control, &err))?;
+        let seen = inner
+            .local_addr()
+            .map_err(|err| listen_error(control, &err))?;
         let server = serve(control, inner)?;
-        let gate = Gate::open(address, seen).map_err(|err| refused(address, &err))?;
+        let gate = Proxy::open(address, seen).map_err(|err| listen_error(address, &err))?;
         let own = Arc::clone(&gate);
-        thread::spawn(move || run(&server, &own, &handler));
+        thread::spawn(move || mark_handled(&server, &own, &handler));
         Ok(Self {
             gate,
-            control: seen,
+            control_address: seen,
         })
     }
 
@@ -70,16 +72,16 @@
 
     /// Returns the address that is reachable also while the gate is shut.
     pub fn control(&self) -> SocketAddr {
-        self.control
+        self.control_address
     }
 
     /// Returns the gate.
-    pub fn gate(&self) -> &Gate {
+    pub fn gate(&self) -> &Proxy {
         &self.gate
     }
 }
 
-impl Drop for Web {
+impl Drop for HttpServer {
     fn drop(&mut self) {
         self.gate.stop();
     }
@@ -88,7 +90,7 @@
 /// One request that waits for its answer.
 pub struct Exchange {
     request: Request,
-    gate: Arc<Gate>,
+    gate: Arc<Proxy>,
     link: Option<SocketAddr>,
 }
 
@@ -118,7 +120,7 @@
 
     /// Says whether the caller still holds the connection.
     pub fn alive(&self) -> bool {
-        self.link.is_none_or(|link| self.gate.holds(link))
+        self.link.is_none_or(|link| self.gate.is_open(link))
     }
 
     /// Reads the body.
@@ -129,7 +131,7 @@
     pub fn body(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         let reader = self.request.as_reader();
-        reader.take(BODY_LIMIT).read_to_end(&mut body)?;
+        reader.take(MAX_BODY_BYTES).read_to_end(&mut body)?;
         Ok(body)
     }
 
@@ -158,7 +160,7 @@
     }
 
     /// Answers an order and carries it out, in this sequence: the order may shut the gate.
-    pub fn control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Gate, &T)) {
+    pub fn control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
         match self.json() {
             Ok(orders) => {
                 let gate = Arc::clone(&self.gate);
@@ -189,14 +191,14 @@
     /// # Errors
     ///
     /// What the system says if the caller broke off.
-    pub fn pieces(self, content: &str) -> io::Result<Pieces> {
-        Pieces::start(self.request.into_writer(), self.gate, self.link, content)
+    pub fn start_chunked(self, content: &str) -> io::Result<ChunkedResponse> {
+        ChunkedResponse::start(self.request.into_writer(), self.gate, self.link, content)
     }
 
     /// Cuts the connection without an answer.
     pub fn cut(self) {
         if let Some(link) = self.link {
-            self.gate.finish(link);
+            self.gate.close_after_flush(link);
         }
     }
 }
@@ -206,23 +208,23 @@
         .map_err(|err| StandinError::Listen(address.to_owned(), err.to_string()))
 }
 
-fn run(server: &Server, gate: &Arc<Gate>, handler: &Arc<dyn Handler>) {
-    while !gate.stopped() {
-        let Ok(Some(request)) = server.recv_timeout(IDLE) else {
+fn mark_handled(server: &Server, proxy: &Arc<Proxy>, handler: &Arc<dyn Handler>) {
+    while !proxy.is_stopped() {
+        let Ok(Some(request)) = server.recv_timeout(STOP_POLL_INTERVAL) else {
             continue;
         };
         let link = request.remote_addr().copied();
-        let link = link.filter(|seen| gate.serve(*seen));
+        let link = link.filter(|seen| proxy.mark_handled(*seen));
         let exchange = Exchange {
             request,
-            gate: Arc::clone(gate),
+            gate: Arc::clone(proxy),
             link,
         };
         let handler = Arc::clone(handler);
-        gate.workers().run(move || handler.handle(exchange));
+        proxy.workers().run(move || handler.handle(exchange));
     }
 }
 
-fn refused(address: &str, err: &io::Error) -> StandinError {
+fn listen_error(address: &str, err: &io::Error) -> StandinError {
     StandinError::Listen(address.to_owned(), err.to_string())
 }
--- a/crates/siskinyoke-standin/src/lib.rs
+++ b/crates/siskinyoke-standin/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod trial;
 
 /// Any free port of this machine.
-pub const ANY_PORT: &str = "127.0.0.1:0";
+pub const LOOPBACK_ANY_PORT: &str = "127.0.0.1:0";
--- a/crates/siskinyoke-standin/src/load/sender.rs
+++ b/crates/siskinyoke-standin/src/load/sender.rs
@@ -14,7 +14,7 @@
 use super::file::CallerProfile;
 use super::plan::PlannedRequest;
 use super::plan::shared_prefix;
-use crate::completion::Answer;
+use crate::completion::Completion;
 use siskinyoke_base::Code;
 use siskinyoke_base::Millis;
 
@@ -211,7 +211,8 @@
 
     /// Compares an answer that looks whole with the one that the request must get.
     fn check_answer(&mut self) {
-        let expected = Answer::of(&self.planned.content, Some(self.planned.output_tokens));
+        let expected =
+            Completion::generate(&self.planned.content, Some(self.planned.output_tokens));
         let matches = self.text == expected.text();
         self.outcome.verdict = if matches {
             Verdict::Correct
--- a/crates/siskinyoke-standin/src/main.rs
+++ b/crates/siskinyoke-standin/src/main.rs
@@ -107,7 +107,7 @@
 }
 
 /// Exit code of a load that got an answer which looks whole and is not the caller's own.
-const WRONG: u8 = 1;
+const WRONG_RESPONSE_EXIT_CODE: u8 = 1;
 
 fn main() -> ExitCode {
     env_logger::init();
@@ -122,25 +122,25 @@
 
 fn run(command: Command) -> Result<ExitCode, StandinError> {
     match command {
-        Command::Etcd(args) => etcd(args),
-        Command::Engine(args) => engine(args),
-        Command::Service(args) => service(args),
+        Command::Etcd(args) => run_etcd(args),
+        Command::Engine(args) => run_engine(args),
+        Command::Service(args) => run_service(args),
         Command::Trial => trial::run().map(|whole| ExitCode::from(u8::from(!whole))),
-        Command::Load(args) => drive(args),
+        Command::Load(args) => run_load(args),
     }
 }
 
-fn etcd(args: Addresses) -> Result<ExitCode, StandinError> {
+fn run_etcd(args: Addresses) -> Result<ExitCode, StandinError> {
     let etcd = Etcd::start(&EtcdConfig {
         listen: args.listen,
         control: args.control,
     })?;
     println!("{}", etcd.address());
     println!("control {}", etcd.control_address());
-    stay()
+    serve_forever()
 }
 
-fn engine(args: EngineArgs) -> Result<ExitCode, StandinError> {
+fn run_engine(args: EngineArgs) -> Result<ExitCode, StandinError> {
     let engine = Engine::start(&EngineConfig {
         listen: args.addresses.listen,
         control: args.addresses.control,
@@ -156,10 +156,10 @@
     })?;
     println!("{}", engine.address());
     println!("control {}", engine.control_address());
-    stay()
+    serve_forever()
 }
 
-fn service(args: ServiceArgs) -> Result<ExitCode, StandinError> {
+fn run_service(args: ServiceArgs) -> Result<ExitCode, StandinError> {
     let service = Service::start(&ServiceConfig {
         listen: args.addresses.listen,
         control: args.addresses.control,
@@ -167,11 +167,11 @@
     })?;
     println!("{}", service.address());
     println!("control {}", service.control_address());
-    stay()
+    serve_forever()
 }
 
-fn drive(args: LoadArgs) -> Result<ExitCode, StandinError> {
-    let mut file = LoadFile::parse(&read(&args.file)?)?;
+fn run_load(args: LoadArgs) -> Result<ExitCode, StandinError> {
+    let mut file = LoadFile::parse(&read_file(&args.file)?)?;
     if !args.addresses.is_empty() {
         file.addresses = args.addresses;
     }
@@ -185,19 +185,19 @@
     }
     let wrong = lines.iter().any(|line| line.wrong > 0);
     Ok(if wrong {
-        ExitCode::from(WRONG)
+        ExitCode::from(WRONG_RESPONSE_EXIT_CODE)
     } else {
         ExitCode::SUCCESS
     })
 }
 
-fn read(path: &Path) -> Result<String, StandinError> {
+fn read_file(path: &Path) -> Result<String, StandinError> {
     let text = fs::read_to_string(path);
     text.map_err(|err| StandinError::File(format!("{}: {err}", path.display())))
 }
 
 /// Serves until the process is ended.
-fn stay() -> ! {
+fn serve_forever() -> ! {
     loop {
         thread::park();
     }
--- a/crates/siskinyoke-standin/src/proxy.rs
+++ b/crates/siskinyoke-standin/src/proxy.rs
@@ -6,7 +6,7 @@
 mod connection;
 mod listen;
 
-use self::listen::Reserved;
+use self::listen::ReservedAddress;
 pub use self::listen::listen;
 
 use std::io;
@@ -25,47 +25,47 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use self::connection::Link;
-use self::connection::Way;
-use crate::thread_pool::Workers;
+use self::connection::Connection;
+use self::connection::Direction;
+use crate::thread_pool::ThreadPool;
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
 /// Bytes passed on at once; a piece of a stream is far smaller.
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// Pause before an address that is still held is tried again.
-const REBIND_PAUSE: Duration = Duration::from_millis(5);
+const REBIND_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Wait before a server that has not begun with a connection is nudged: some times as long as it
 /// takes to begin.
-const NUDGE: Duration = Duration::from_millis(20);
+const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Longest wait before a further nudge.
-const LONGEST_NUDGE: Duration = Duration::from_secs(1);
+const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest span that a fault may last, a day, so that the sum of instants cannot overflow.
 const LONGEST: Millis = Millis::from_secs(86_400);
 
 /// Passes connections to a stand-in's server, and breaks them when told to.
-pub struct Gate {
-    outer: SocketAddr,
-    inner: SocketAddr,
-    workers: Arc<Workers>,
+pub struct Proxy {
+    public_address: SocketAddr,
+    server_address: SocketAddr,
+    thread_pool: Arc<ThreadPool>,
     state: Mutex<State>,
     changed: Condvar,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    links: Map<SocketAddr, Link>,
-    down: Option<Instant>,
-    frozen: Option<Instant>,
-    away: bool,
+    connections: Map<SocketAddr, Connection>,
+    down_until: Option<Instant>,
+    frozen_until: Option<Instant>,
+    unbound: bool,
     stopped: bool,
 }
 
-impl Gate {
+impl Proxy {
     /// Opens the gate on an address before a server's own.
     ///
     /// # Errors
@@ -74,39 +74,39 @@
     pub fn open(address: &str, inner: SocketAddr) -> io::Result<Arc<Self>> {
         let listener = self::listen(address)?;
         let gate = Arc::new(Self {
-            outer: listener.local_addr()?,
-            inner,
-            workers: Arc::default(),
+            public_address: listener.local_addr()?,
+            server_address: inner,
+            thread_pool: Arc::default(),
             state: Mutex::default(),
             changed: Condvar::new(),
         });
         let own = Arc::clone(&gate);
-        thread::spawn(move || own.accept(listener));
+        thread::spawn(move || own.run_acceptor(listener));
         Ok(gate)
     }
 
     /// Returns the threads of the stand-in.
-    pub fn workers(&self) -> &Arc<Workers> {
-        &self.workers
+    pub fn workers(&self) -> &Arc<ThreadPool> {
+        &self.thread_pool
     }
 
     /// Returns the address that others know.
     pub fn address(&self) -> SocketAddr {
-        self.outer
+        self.public_address
     }
 
     /// Cuts every connection behind all that the server has sent, and refuses new ones for a span;
     /// returns once they are refused.
     pub fn down(&self, span: Millis) {
         let mut state = self.lock();
-        state.down = Some(after(span));
-        state.frozen = None;
-        shut_all(&state);
+        state.down_until = Some(deadline_after(span));
+        state.frozen_until = None;
+        shut_down_servers(&state);
         drop(state);
-        self.wake();
+        self.wake_acceptor();
         let mut state = self.lock();
-        while let Some(rest) = state.down.and_then(left)
-            && !state.away
+        while let Some(rest) = state.down_until.and_then(remaining)
+            && !state.unbound
             && !state.stopped
         {
             state = self.wait(state, rest);
@@ -114,30 +114,30 @@
     }
 
     /// Takes connections again; returns once they are taken.
-    pub fn up(&self) {
+    pub fn bring_up(&self) {
         let mut state = self.lock();
-        state.down = None;
+        state.down_until = None;
         self.changed.notify_all();
-        while state.away && !state.stopped {
-            state = self.wait(state, REBIND_PAUSE);
+        while state.unbound && !state.stopped {
+            state = self.wait(state, REBIND_INTERVAL);
         }
     }
 
     /// Passes nothing on for a span while connections stay open.
     pub fn freeze(&self, span: Millis) {
-        self.lock().frozen = Some(after(span));
+        self.lock().frozen_until = Some(deadline_after(span));
     }
 
     /// Passes everything on again.
     pub fn thaw(&self) {
-        self.lock().frozen = None;
+        self.lock().frozen_until = None;
         self.changed.notify_all();
     }
 
     /// Carries out the orders that every stand-in takes; a span of zero ends a fault.
-    pub fn order(&self, down: Option<Millis>, freeze: Option<Millis>) {
+    pub fn apply_faults(&self, down: Option<Millis>, freeze: Option<Millis>) {
         match down {
-            Some(Millis::ZERO) => self.up(),
+            Some(Millis::ZERO) => self.bring_up(),
             Some(span) => self.down(span),
             None => {}
         }
@@ -153,29 +153,29 @@
     /// Closing both sides at once would lose what the gate has not passed on yet, which shows as
     /// a broken stream that is shorter than it was told to be. What has arrived from the server
     /// can still be read after its side is shut, and only then is the client's side closed.
-    pub fn finish(&self, seen: SocketAddr) {
-        if let Some(link) = self.lock().links.get(&seen) {
-            link.shut_server();
+    pub fn close_after_flush(&self, seen: SocketAddr) {
+        if let Some(link) = self.lock().connections.get(&seen) {
+            link.shut_down_server();
         }
     }
 
     /// Cuts the connection that the server sees under an address at once.
     fn cut(&self, seen: SocketAddr) {
-        let link = self.lock().links.remove(&seen);
+        let link = self.lock().connections.remove(&seen);
         if let Some(link) = link {
             link.close();
         }
     }
 
     /// Cuts every connection once, behind all that the server has sent.
-    pub fn cut_all(&self) {
-        shut_all(&self.lock());
+    pub fn close_all_after_flush(&self) {
+        shut_down_servers(&self.lock());
     }
 
     /// Notes that the server has begun with a connection, and says whether it is one of the gate's.
-    pub fn serve(&self, seen: SocketAddr) -> bool {
+    pub fn mark_handled(&self, seen: SocketAddr) -> bool {
         let mut state = self.lock();
-        let link = state.links.get_mut(&seen);
+        let link = state.connections.get_mut(&seen);
         link.is_some_and(|link| {
             link.served = true;
             true
@@ -183,12 +183,12 @@
     }
 
     /// Says whether the connection that the server sees under an address is open.
-    pub fn holds(&self, seen: SocketAddr) -> bool {
-        self.lock().links.contains_key(&seen)
+    pub fn is_open(&self, seen: SocketAddr) -> bool {
+        self.lock().connections.contains_key(&seen)
     }
 
     /// Says whether the gate is closed for good.
-    pub fn stopped(&self) -> bool {
+    pub fn is_stopped(&self) -> bool {
         self.lock().stopped
     }
 
@@ -198,11 +198,11 @@
         state.stopped = true;
         close_all(&mut state);
         drop(state);
-        self.wake();
+        self.wake_acceptor();
     }
 
     /// Takes connections until the gate is stopped, away from the address while it is down.
-    fn accept(self: Arc<Self>, first: TcpListener) {
+    fn run_acceptor(self: Arc<Self>, first: TcpListener) {
         let mut listener = Some(first);
         let mut reserved = None;
         loop {
@@ -211,20 +211,20 @@
             }
             if self.is_down() {
                 listener = None;
-                reserved = Reserved::new(&self.outer.to_string()).ok();
-                self.set_away(true);
-                self.wait_up();
+                reserved = ReservedAddress::new(&self.public_address.to_string()).ok();
+                self.set_unbound(true);
+                self.wait_while_down();
                 continue;
             }
             let Some(open) = &listener else {
                 listener = match reserved.take() {
                     Some(reserved) => reserved.listen().ok(),
-                    None => listen(&self.outer.to_string()).ok(),
+                    None => listen(&self.public_address.to_string()).ok(),
                 };
                 if listener.is_some() {
-                    self.set_away(false);
+                    self.set_unbound(false);
                 } else {
-                    thread::sleep(REBIND_PAUSE);
+                    thread::sleep(REBIND_INTERVAL);
                 }
                 continue;
             };
@@ -232,38 +232,38 @@
                 continue;
             };
             let gate = Arc::clone(&self);
-            self.workers.run(move || gate.join(client));
+            self.thread_pool.run(move || gate.forward(client));
         }
     }
 
     /// Joins a client with the server and passes bytes both ways.
-    fn join(self: Arc<Self>, client: TcpStream) {
+    fn forward(self: Arc<Self>, client: TcpStream) {
         // Without a connection to the server the client sees its own closed.
-        let Ok(link) = Link::open(client, self.inner) else {
+        let Ok(link) = Connection::connect(client, self.server_address) else {
             return;
         };
-        let (Ok(seen), Ok(up), Ok(down)) = (link.seen(), link.up(), link.down()) else {
+        let (Ok(seen), Ok(up), Ok(down)) = (link.peer(), link.up(), link.down()) else {
             return;
         };
         {
             let mut state = self.lock();
-            if state.stopped || state.down.and_then(left).is_some() {
+            if state.stopped || state.down_until.and_then(remaining).is_some() {
                 link.close();
                 return;
             }
-            state.links.insert(seen, link);
+            state.connections.insert(seen, link);
         }
         let gate = Arc::clone(&self);
-        self.workers.run(move || gate.pass_up(up, seen));
-        self.pass(down, seen);
+        self.thread_pool.run(move || gate.copy_to_server(up, seen));
+        self.copy(down, seen);
     }
 
     /// Passes bytes one way until either side closes, then closes the connection.
-    fn pass(&self, mut way: Way, seen: SocketAddr) {
-        let mut buffer = vec![0; BUFFER];
-        while let Ok(count) = way.from.read(&mut buffer) {
-            self.wait_thawed();
-            if count == 0 || way.to.write_all(&buffer[..count]).is_err() {
+    fn copy(&self, mut way: Direction, seen: SocketAddr) {
+        let mut buffer = vec![0; BUFFER_BYTES];
+        while let Ok(count) = way.source.read(&mut buffer) {
+            self.wait_while_frozen();
+            if count == 0 || way.destination.write_all(&buffer[..count]).is_err() {
                 break;
             }
         }
@@ -276,66 +276,66 @@
     /// read until any other connection ends, which shows as a first token that comes as late as
     /// someone else's stream is long. A connection that opens and closes at once gets a thread,
     /// which takes the queued one up when it is done.
-    fn pass_up(&self, mut way: Way, seen: SocketAddr) {
-        let mut buffer = vec![0; BUFFER];
-        let mut pause = NUDGE;
+    fn copy_to_server(&self, mut way: Direction, seen: SocketAddr) {
+        let mut buffer = vec![0; BUFFER_BYTES];
+        let mut pause = MIN_WAKE_INTERVAL;
         let mut sent = false;
-        while !self.served(seen) && way.set_pause(Some(pause)) {
-            match way.from.read(&mut buffer) {
+        while !self.is_handled(seen) && way.set_read_timeout(Some(pause)) {
+            match way.source.read(&mut buffer) {
                 Ok(count) if count > 0 => {
-                    self.wait_thawed();
-                    if way.to.write_all(&buffer[..count]).is_err() {
+                    self.wait_while_frozen();
+                    if way.destination.write_all(&buffer[..count]).is_err() {
                         return self.cut(seen);
                     }
                     sent = true;
-                    pause = NUDGE;
+                    pause = MIN_WAKE_INTERVAL;
                 }
                 Err(err) if err.kind() == ErrorKind::WouldBlock => {
                     if sent {
-                        drop(TcpStream::connect(self.inner));
+                        drop(TcpStream::connect(self.server_address));
                     }
-                    pause = (pause * 2).min(LONGEST_NUDGE);
+                    pause = (pause * 2).min(MAX_WAKE_INTERVAL);
                 }
                 // A process that was stopped and goes on finds its waits interrupted.
                 Err(err) if err.kind() == ErrorKind::Interrupted => {}
                 _ => return self.cut(seen),
             }
         }
-        if way.set_pause(None) {
-            self.pass(way, seen);
+        if way.set_read_timeout(None) {
+            self.copy(way, seen);
         }
     }
 
     /// Says whether there is no need to wait for the server: it has begun, or the link is gone.
-    fn served(&self, seen: SocketAddr) -> bool {
+    fn is_handled(&self, seen: SocketAddr) -> bool {
         let state = self.lock();
-        state.links.get(&seen).is_none_or(|link| link.served)
+        state.connections.get(&seen).is_none_or(|link| link.served)
     }
 
     fn is_down(&self) -> bool {
         let state = self.lock();
-        state.down.and_then(left).is_some()
+        state.down_until.and_then(remaining).is_some()
     }
 
-    fn set_away(&self, away: bool) {
-        self.lock().away = away;
+    fn set_unbound(&self, away: bool) {
+        self.lock().unbound = away;
         self.changed.notify_all();
     }
 
-    fn wait_up(&self) {
+    fn wait_while_down(&self) {
         let mut state = self.lock();
-        while let Some(rest) = state.down.and_then(left) {
+        while let Some(rest) = state.down_until.and_then(remaining) {
             if state.stopped {
                 return;
             }
             state = self.wait(state, rest);
         }
-        state.down = None;
+        state.down_until = None;
     }
 
-    fn wait_thawed(&self) {
+    fn wait_while_frozen(&self) {
         let mut state = self.lock();
-        while let Some(rest) = state.frozen.and_then(left) {
+        while let Some(rest) = state.frozen_until.and_then(remaining) {
             if state.stopped {
                 return;
             }
@@ -349,9 +349,9 @@
     }
 
     /// Makes the accepting thread look at the state again, also while it waits for a client.
-    fn wake(&self) {
+    fn wake_acceptor(&self) {
         self.changed.notify_all();
-        let _ = TcpStream::connect(self.outer);
+        let _ = TcpStream::connect(self.public_address);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -359,23 +359,23 @@
     }
 }
 
-fn shut_all(state: &State) {
-    for link in state.links.values() {
-        link.shut_server();
+fn shut_down_servers(state: &State) {
+    for link in state.connections.values() {
+        link.shut_down_server();
     }
 }
 
 fn close_all(state: &mut State) {
-    for (_, link) in state.links.drain() {
+    for (_, link) in state.connections.drain() {
         link.close();
     }
 }
 
-fn after(span: Millis) -> Instant {
+fn deadline_after(span: Millis) -> Instant {
     Instant::now() + Duration::from(span.min(LONGEST))
 }
 
-fn left(until: Instant) -> Option<Duration> {
+fn remaining(until: Instant) -> Option<Duration> {
     until
         .checked_duration_since(Instant::now())
         .filter(|rest| !rest.is_zero())
--- a/crates/siskinyoke-standin/src/proxy/connection.rs
+++ b/crates/siskinyoke-standin/src/proxy/connection.rs
@@ -8,7 +8,7 @@
 
 /// A client's connection and the one that carries it on to the server.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     client: TcpStream,
     server: TcpStream,
     /// Whether the server has begun with it.
@@ -17,16 +17,16 @@
 
 /// One direction of a connection.
 #[derive(Debug)]
-pub struct Way {
+pub struct Direction {
     /// Where bytes come from.
-    pub from: TcpStream,
+    pub source: TcpStream,
     /// Where they go.
-    pub to: TcpStream,
+    pub destination: TcpStream,
 }
 
-impl Link {
+impl Connection {
     /// Connects a client on to a server.
-    pub fn open(client: TcpStream, inner: SocketAddr) -> io::Result<Self> {
+    pub fn connect(client: TcpStream, inner: SocketAddr) -> io::Result<Self> {
         let server = TcpStream::connect(inner)?;
         client.set_nodelay(true)?;
         server.set_nodelay(true)?;
@@ -38,22 +38,28 @@
     }
 
     /// Returns the address under which the server sees the connection.
-    pub fn seen(&self) -> io::Result<SocketAddr> {
+    pub fn peer(&self) -> io::Result<SocketAddr> {
         self.server.local_addr()
     }
 
     /// Returns the direction to the server.
-    pub fn up(&self) -> io::Result<Way> {
+    pub fn up(&self) -> io::Result<Direction> {
         let from = self.client.try_clone()?;
         let to = self.server.try_clone()?;
-        Ok(Way { from, to })
+        Ok(Direction {
+            source: from,
+            destination: to,
+        })
     }
 
     /// Returns the direction to the client.
-    pub fn down(&self) -> io::Result<Way> {
+    pub fn down(&self) -> io::Result<Direction> {
         let from = self.server.try_clone()?;
         let to = self.client.try_clone()?;
-        Ok(Way { from, to })
+        Ok(Direction {
+            source: from,
+            destination: to,
+        })
     }
 
     /// Closes both sides at once.
@@ -64,15 +70,15 @@
     }
 
     /// Closes the server's side; what it has sent can still be read.
-    pub fn shut_server(&self) {
+    pub fn shut_down_server(&self) {
         // The server may have closed already, which is what is wanted.
         let _ = self.server.shutdown(Shutdown::Both);
     }
 }
 
-impl Way {
+impl Direction {
     /// Sets how long a read waits; false if the connection is gone.
-    pub fn set_pause(&self, pause: Option<Duration>) -> bool {
-        self.from.set_read_timeout(pause).is_ok()
+    pub fn set_read_timeout(&self, pause: Option<Duration>) -> bool {
+        self.source.set_read_timeout(pause).is_ok()
     }
 }
--- a/crates/siskinyoke-standin/src/proxy/listen.rs
+++ b/crates/siskinyoke-standin/src/proxy/listen.rs
@@ -13,14 +13,14 @@
 /// The standard library's 128 overflow when a few hundred callers connect at once; the system
 /// then drops the rest, which shows as a first token exactly a second late. This is what Linux
 /// allows by default.
-const BACKLOG: u32 = 4096;
+const LISTEN_BACKLOG: u32 = 4096;
 
 /// An address that is taken and not listened on, so that connections to it are refused.
 ///
 /// Guards against another server that is given the same free port while a stand-in is down: its
 /// caller would be answered by a stranger, and the stand-in could not come back.
 #[derive(Debug)]
-pub struct Reserved {
+pub struct ReservedAddress {
     socket: TcpSocket,
 }
 
@@ -30,10 +30,10 @@
 ///
 /// What the system says if the address cannot be listened on.
 pub fn listen(address: &str) -> io::Result<TcpListener> {
-    Reserved::new(address)?.listen()
+    ReservedAddress::new(address)?.listen()
 }
 
-impl Reserved {
+impl ReservedAddress {
     /// Takes an address.
     ///
     /// # Errors
@@ -66,7 +66,7 @@
     pub fn listen(self) -> io::Result<TcpListener> {
         let runtime = Builder::new_current_thread().enable_io().build()?;
         let _guard = runtime.enter();
-        let listener = self.socket.listen(BACKLOG)?.into_std()?;
+        let listener = self.socket.listen(LISTEN_BACKLOG)?.into_std()?;
         listener.set_nonblocking(false)?;
         Ok(listener)
     }
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -12,16 +12,16 @@
 use serde::Serialize;
 use serde_json::json;
 
-use crate::ANY_PORT;
+use crate::LOOPBACK_ANY_PORT;
 use crate::error::StandinError;
 use crate::http::Exchange;
 use crate::http::Handler;
-use crate::http::Web;
-use crate::proxy::Gate;
+use crate::http::HttpServer;
+use crate::proxy::Proxy;
 use siskinyoke_base::Millis;
 
 /// Names the request towards the service.
-const NAME_HEADER: &str = "X-Request-Id";
+const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
 /// How a stand-in service is started.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -38,8 +38,8 @@
 impl Default for ServiceConfig {
     fn default() -> Self {
         Self {
-            listen: ANY_PORT.to_owned(),
-            control: ANY_PORT.to_owned(),
+            listen: LOOPBACK_ANY_PORT.to_owned(),
+            control: LOOPBACK_ANY_PORT.to_owned(),
             time: Millis(2),
         }
     }
@@ -61,7 +61,7 @@
 
 /// A running stand-in service; it stops when dropped.
 pub struct Service {
-    web: Web,
+    server: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -73,30 +73,33 @@
     /// [`StandinError::Listen`] if an address cannot be listened on.
     pub fn start(config: &ServiceConfig) -> Result<Self, StandinError> {
         let shared = Arc::new(Shared::default());
-        shared.lock().time = config.time;
+        shared.lock().service_time = config.time;
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = Web::start(&config.listen, &config.control, handler)?;
-        Ok(Self { web, shared })
+        let web = HttpServer::start(&config.listen, &config.control, handler)?;
+        Ok(Self {
+            server: web,
+            shared,
+        })
     }
 
     /// Returns the address of the service.
     pub fn address(&self) -> SocketAddr {
-        self.web.address()
+        self.server.address()
     }
 
     /// Returns the address that stays reachable while the service is down.
     pub fn control_address(&self) -> SocketAddr {
-        self.web.control()
+        self.server.control()
     }
 
     /// Carries out orders, as `POST /control` does.
     pub fn control(&self, orders: &ServiceControl) {
-        self.shared.control(self.web.gate(), orders);
+        self.shared.control(self.server.gate(), orders);
     }
 
     /// Returns how often each request was executed.
     pub fn counts(&self) -> BTreeMap<String, u64> {
-        self.shared.lock().counts.clone()
+        self.shared.lock().executions.clone()
     }
 
     /// Stops it, cutting every connection.
@@ -112,10 +115,10 @@
 
 #[derive(Default)]
 struct State {
-    time: Millis,
-    lost: u32,
+    service_time: Millis,
+    lost_responses: u32,
     serial: u64,
-    counts: BTreeMap<String, u64>,
+    executions: BTreeMap<String, u64>,
 }
 
 impl Handler for Shared {
@@ -123,7 +126,7 @@
         match (exchange.method().as_str(), exchange.path()) {
             ("POST", "/control") => exchange.control(|gate, orders| self.control(gate, orders)),
             ("GET", "/control/counts") => {
-                let counts = self.lock().counts.clone();
+                let counts = self.lock().executions.clone();
                 exchange.reply_json(200, &counts);
             }
             _ => {
@@ -142,14 +145,17 @@
     }
 
     fn execute(&self, exchange: Exchange, body: &[u8]) {
-        let name = exchange.header(NAME_HEADER).unwrap_or_default().to_owned();
+        let name = exchange
+            .header(REQUEST_ID_HEADER)
+            .unwrap_or_default()
+            .to_owned();
         let (serial, time, lost) = {
             let mut state = self.lock();
             state.serial += 1;
-            *state.counts.entry(name.clone()).or_default() += 1;
-            let lost = state.lost > 0;
-            state.lost = state.lost.saturating_sub(1);
-            (state.serial, state.time, lost)
+            *state.executions.entry(name.clone()).or_default() += 1;
+            let lost = state.lost_responses > 0;
+            state.lost_responses = state.lost_responses.saturating_sub(1);
+            (state.serial, state.service_time, lost)
         };
         thread::sleep(time.into());
         if lost {
@@ -165,11 +171,11 @@
         exchange.reply_json(200, &echo);
     }
 
-    fn control(&self, gate: &Gate, orders: &ServiceControl) {
+    fn control(&self, gate: &Proxy, orders: &ServiceControl) {
         let mut state = self.lock();
-        state.time = orders.time.unwrap_or(state.time);
-        state.lost = orders.lose_answers.unwrap_or(state.lost);
+        state.service_time = orders.time.unwrap_or(state.service_time);
+        state.lost_responses = orders.lose_answers.unwrap_or(state.lost_responses);
         drop(state);
-        gate.order(orders.down, orders.freeze);
+        gate.apply_faults(orders.down, orders.freeze);
     }
 }
--- a/crates/siskinyoke-standin/src/thread_pool.rs
+++ b/crates/siskinyoke-standin/src/thread_pool.rs
@@ -17,11 +17,11 @@
 
 /// Threads that wait for something to do; they end when this is dropped.
 #[derive(Default)]
-pub struct Workers {
-    idle: Mutex<Vec<Sender<Job>>>,
+pub struct ThreadPool {
+    idle_threads: Mutex<Vec<Sender<Job>>>,
 }
 
-impl Workers {
+impl ThreadPool {
     /// Runs a job at once, on a thread that waits or on a new one.
     ///
     /// Each job is handed to one thread that is known to wait for it, so none is ever queued
@@ -36,15 +36,17 @@
             }
         }
         let workers = Arc::downgrade(self);
-        thread::spawn(move || work(&workers, job));
+        thread::spawn(move || run_jobs(&workers, job));
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Sender<Job>>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle_threads
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn work(workers: &Weak<Workers>, first: Job) {
+fn run_jobs(workers: &Weak<ThreadPool>, first: Job) {
     let mut job = first;
     loop {
         job();
--- a/crates/siskinyoke-standin/src/trial.rs
+++ b/crates/siskinyoke-standin/src/trial.rs
@@ -5,17 +5,17 @@
 
 use crate::error::StandinError;
 use crate::fleet::Fleet;
-use crate::fleet::MODEL;
-use crate::fleet::SERVICE;
+use crate::fleet::MODEL_NAME;
+use crate::fleet::SERVICE_NAME;
 use siskinyoke_base::Kind;
 use siskinyoke_client::Client;
 use siskinyoke_client::Request;
 
 /// Instances of the trial.
-const INSTANCES: usize = 3;
+const INSTANCE_COUNT: usize = 3;
 
 /// Tokens of each answer.
-const OUTPUT: u32 = 24;
+const OUTPUT_TOKENS: u32 = 24;
 
 /// Runs the trial; returns whether every request got its whole answer.
 ///
@@ -23,18 +23,23 @@
 ///
 /// [`StandinError`] if a part cannot be started.
 pub fn run() -> Result<bool, StandinError> {
-    println!("starting a store, two engines, a plain service and {INSTANCES} instances …");
-    let fleet = Fleet::start(INSTANCES)?;
+    println!("starting a store, two engines, a plain service and {INSTANCE_COUNT} instances …");
+    let fleet = Fleet::start(INSTANCE_COUNT)?;
     let mut whole = true;
-    for place in 0..INSTANCES {
+    for place in 0..INSTANCE_COUNT {
         let mut client = fleet.client(place);
         println!("\nasking instance {} to mark a composition:", place + 1);
-        let request = Request::chat(MODEL, &format!("composition {place}"), true, OUTPUT);
-        whole &= send(&mut client, &request);
-        let request = Request::service(SERVICE, "POST", "/submissions", b"{}".to_vec());
-        whole &= send(&mut client, &request);
+        let request = Request::chat(
+            MODEL_NAME,
+            &format!("composition {place}"),
+            true,
+            OUTPUT_TOKENS,
+        );
+        whole &= send_and_print(&mut client, &request);
+        let request = Request::service(SERVICE_NAME, "POST", "/submissions", b"{}".to_vec());
+        whole &= send_and_print(&mut client, &request);
     }
-    report(&fleet);
+    print_counts(&fleet);
     println!(
         "{}",
         if whole {
@@ -46,7 +51,7 @@
     Ok(whole)
 }
 
-fn send(client: &mut Client, request: &Request) -> bool {
+fn send_and_print(client: &mut Client, request: &Request) -> bool {
     let outcome = client.send(request, &mut |data| {
         let event: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
         print!(
@@ -75,7 +80,7 @@
     }
 }
 
-fn report(fleet: &Fleet) {
+fn print_counts(fleet: &Fleet) {
     println!("\nwhat each part did:");
     println!("  store: calls {:?}", fleet.etcd.counts());
     for (place, engine) in fleet.engines.iter().enumerate() {
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -15,7 +15,7 @@
 use ureq::http::Response;
 
 use siskinyoke_base::Millis;
-use siskinyoke_standin::completion::Answer;
+use siskinyoke_standin::completion::Completion;
 use siskinyoke_standin::engine::Engine;
 use siskinyoke_standin::engine::EngineConfig;
 use siskinyoke_standin::engine::control::Breaks;
@@ -108,7 +108,10 @@
     assert!(end.is_ok());
     assert_eq!(events.len(), 12 + NON_WORD_EVENTS);
     assert_eq!(events.last().map(String::as_str), Some("data: [DONE]"));
-    assert_eq!(text(&events), Answer::of(QUESTION, Some(12)).text());
+    assert_eq!(
+        text(&events),
+        Completion::generate(QUESTION, Some(12)).text()
+    );
     wait_for(|| engine.counts().requests["a"].completed == 1);
     assert_eq!(engine.counts().requests["a"].dispatched, 1);
 }
@@ -123,7 +126,7 @@
         .read_json()
         .expect("JSON");
     let content = &answer["choices"][0]["message"]["content"];
-    assert_eq!(*content, Answer::of(QUESTION, Some(12)).text());
+    assert_eq!(*content, Completion::generate(QUESTION, Some(12)).text());
     assert_eq!(answer["usage"]["completion_tokens"], 12);
 }
 
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -20,7 +20,7 @@
 
 const KEY: &str = "siskinyoke/configuration";
 
-fn start() -> Etcd {
+fn start_etcd() -> Etcd {
     Etcd::start(&EtcdConfig::default()).expect("a free port")
 }
 
@@ -34,13 +34,13 @@
     answer.body_mut().read_to_vec()
 }
 
-fn all(etcd: &Etcd) -> Batch {
+fn read_all(etcd: &Etcd) -> Batch {
     let body = call(etcd, &Calls.range("", Consistency::Linearizable)).expect("an answer");
     Calls.decode_range(&body).expect("a page")
 }
 
 // Reads a watch as far as it has come within a span.
-fn watched(etcd: &Etcd, revision: u64) -> Result<Option<Batch>, FormatError> {
+fn read_watch(etcd: &Etcd, revision: u64) -> Result<Option<Batch>, FormatError> {
     let config = Agent::config_builder()
         .timeout_global(Some(Duration::from_millis(600)))
         .build();
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn what_was_written_is_read_back() {
-    let etcd = start();
+fn written_values_are_read_back() {
+    let etcd = start_etcd();
     etcd.put(KEY, "one");
     etcd.put("elsewhere", "two");
-    let page = all(&etcd);
+    let page = read_all(&etcd);
     assert_eq!(page.items.len(), 1);
     assert_eq!(page.items[0].key, KEY);
     assert_eq!(page.items[0].value.as_deref(), Some(&b"one"[..]));
@@ -78,10 +78,10 @@
 // the first, which was told that it is in force.
 #[test]
 fn the_later_of_two_writes_over_the_same_revision_fails() {
-    let etcd = start();
+    let etcd = start_etcd();
     let first = call(&etcd, &etcd::compare_and_swap(KEY, b"one", 0)).unwrap();
     assert!(etcd::decode_txn(&first).unwrap());
-    let revision = all(&etcd).items[0].revision;
+    let revision = read_all(&etcd).items[0].revision;
     for (value, takes) in [("two", true), ("three", false)] {
         let answer = call(
             &etcd,
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_took_effect() {
-    let etcd = start();
+fn a_write_whose_response_is_lost_takes_effect() {
+    let etcd = start_etcd();
     etcd.control(&EtcdControl {
         lose_answers: Some(1),
         ..EtcdControl::default()
@@ -105,62 +105,62 @@
 }
 
 #[test]
-fn a_watch_tells_of_writes_and_removals_after_a_revision() {
-    let etcd = start();
+fn a_watch_reports_writes_and_deletions_after_a_revision() {
+    let etcd = start_etcd();
     etcd.put(KEY, "one");
-    let revision = all(&etcd).revision;
-    assert_eq!(watched(&etcd, revision).unwrap(), None);
+    let revision = read_all(&etcd).revision;
+    assert_eq!(read_watch(&etcd, revision).unwrap(), None);
     etcd.put("siskinyoke/endpoints/e", "{}");
     call(&etcd, &etcd::remove(KEY)).unwrap();
-    let batch = watched(&etcd, revision).unwrap().expect("changes");
+    let batch = read_watch(&etcd, revision).unwrap().expect("changes");
     let told: Vec<_> = batch
         .items
         .iter()
         .map(|it| (it.key.as_str(), it.value.is_some()))
         .collect();
     assert_eq!(told, [("siskinyoke/endpoints/e", true), (KEY, false)]);
-    assert_eq!(batch.revision, all(&etcd).revision);
+    assert_eq!(batch.revision, read_all(&etcd).revision);
 }
 
 // The service keeps a bounded history. A watch from before it has to fail, or changes are missed for
 // good and nobody knows.
 #[test]
-fn a_watch_from_before_the_kept_history_fails() {
-    let etcd = start();
-    let revision = all(&etcd).revision;
+fn a_watch_from_a_compacted_revision_fails() {
+    let etcd = start_etcd();
+    let revision = read_all(&etcd).revision;
     for number in 0..20_000 {
         etcd.put(KEY, &number.to_string());
     }
-    let err = watched(&etcd, revision).unwrap_err();
+    let err = read_watch(&etcd, revision).unwrap_err();
     assert!(matches!(err, FormatError::Compacted), "{err}");
 }
 
 #[test]
-fn what_hangs_on_a_lease_goes_with_it() {
-    let etcd = start();
+fn the_keys_of_a_lease_are_deleted_with_it() {
+    let etcd = start_etcd();
     let granted = call(&etcd, &Calls.grant_lease(Millis(4_500))).unwrap();
     let lease = Calls.decode_lease(&granted).unwrap();
     call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
     let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
     assert!(Calls.decode_renewal(&kept).unwrap());
-    assert_eq!(all(&etcd).items.len(), 1);
+    assert_eq!(read_all(&etcd).items.len(), 1);
     etcd.control(&EtcdControl {
         lapse: Some(Lapse::All),
         ..EtcdControl::default()
     });
-    assert_eq!(all(&etcd).items, []);
+    assert_eq!(read_all(&etcd).items, []);
     let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
     assert!(!Calls.decode_renewal(&kept).unwrap());
 }
 
 #[test]
-fn a_lease_ends_by_itself() {
-    let etcd = start();
+fn a_lease_expires_after_its_ttl() {
+    let etcd = start_etcd();
     let granted = call(&etcd, &Calls.grant_lease(Millis(1))).unwrap();
     let lease = Calls.decode_lease(&granted).unwrap();
     call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
     for _ in 0..400 {
-        if all(&etcd).items.is_empty() {
+        if read_all(&etcd).items.is_empty() {
             return;
         }
         thread::sleep(Duration::from_millis(10));
@@ -169,12 +169,12 @@
 }
 
 #[test]
-fn many_items_come_in_pages() {
-    let etcd = start();
+fn many_items_are_returned_in_pages() {
+    let etcd = start_etcd();
     for number in 0..1_500 {
         etcd.put(&format!("siskinyoke/endpoints/{number:04}"), "{}");
     }
-    let first = all(&etcd);
+    let first = read_all(&etcd);
     assert!(first.has_more);
     let after = &first.items.last().unwrap().key;
     let body = call(&etcd, &Calls.range(after, Consistency::Linearizable)).unwrap();
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -13,14 +13,14 @@
 use siskinyoke_base::Millis;
 use siskinyoke_client::Outcome;
 use siskinyoke_client::Request;
-use siskinyoke_standin::completion::Answer;
+use siskinyoke_standin::completion::Completion;
 use siskinyoke_standin::engine::control::Breaks;
 use siskinyoke_standin::engine::control::EngineControl;
 use siskinyoke_standin::etcd::control::EtcdControl;
+use siskinyoke_standin::fleet::API_KEY;
 use siskinyoke_standin::fleet::Fleet;
-use siskinyoke_standin::fleet::KEY;
-use siskinyoke_standin::fleet::MODEL;
-use siskinyoke_standin::fleet::SERVICE;
+use siskinyoke_standin::fleet::MODEL_NAME;
+use siskinyoke_standin::fleet::SERVICE_NAME;
 use siskinyoke_standin::service::ServiceControl;
 
 const CONFIGURATION: &str = "siskinyoke/configuration";
@@ -30,15 +30,15 @@
     client.send(request, &mut |_| {}).expect("an answer")
 }
 
-fn chat(text: &str) -> Request {
-    Request::chat(MODEL, text, true, 12)
+fn chat_request(text: &str) -> Request {
+    Request::chat(MODEL_NAME, text, true, 12)
 }
 
-fn book() -> Request {
-    Request::service(SERVICE, "POST", "/seats", b"two".to_vec())
+fn booking_request() -> Request {
+    Request::service(SERVICE_NAME, "POST", "/seats", b"two".to_vec())
 }
 
-fn spoken(outcome: &Outcome) -> String {
+fn completion_text(outcome: &Outcome) -> String {
     let words = outcome.body.iter().filter_map(|data| {
         let event: Value = serde_json::from_str(data).ok()?;
         Some(event["choices"][0]["delta"]["content"].as_str()?.to_owned())
@@ -64,7 +64,7 @@
         .expect("an answer")
 }
 
-fn code(answer: &Response<Body>) -> (u16, &str) {
+fn result_code(answer: &Response<Body>) -> (u16, &str) {
     let header = |name: &str| answer.headers()[name].to_str().unwrap();
     (
         header("siskinyoke-code").parse().unwrap(),
@@ -72,13 +72,13 @@
     )
 }
 
-fn change(fleet: &Fleet, from: &str, to: &str) {
+fn edit_configuration(fleet: &Fleet, from: &str, to: &str) {
     let text = fleet.etcd.get(CONFIGURATION).unwrap();
     assert!(text.contains(from), "{from}");
     fleet.etcd.put(CONFIGURATION, &text.replace(from, to));
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..400 {
         if holds() {
             return;
@@ -89,16 +89,21 @@
 }
 
 #[test]
-fn every_caller_gets_the_whole_answer_to_its_own_request() {
+fn every_caller_receives_the_complete_response_to_its_own_request() {
     let fleet = Fleet::start(3).expect("a fleet");
     for number in 0..6 {
         let text = format!("composition {number}");
         let mut client = fleet.client(number % 3);
-        let outcome = client.send(&chat(&text), &mut |_| {}).expect("an answer");
+        let outcome = client
+            .send(&chat_request(&text), &mut |_| {})
+            .expect("an answer");
         assert_eq!(outcome.kind, Kind::Done);
-        assert_eq!(spoken(&outcome), Answer::of(&text, Some(12)).text());
+        assert_eq!(
+            completion_text(&outcome),
+            Completion::generate(&text, Some(12)).text()
+        );
     }
-    let mut request = chat("composition");
+    let mut request = chat_request("composition");
     request.body = String::from_utf8(request.body)
         .unwrap()
         .replace("\"stream\":true", "\"stream\":false")
@@ -107,30 +112,33 @@
     assert_eq!((whole.kind, whole.code), (Kind::Done, 1000));
     let answer: Value = serde_json::from_str(&whole.body[0]).unwrap();
     let content = &answer["choices"][0]["message"]["content"];
-    assert_eq!(*content, Answer::of("composition", Some(12)).text());
+    assert_eq!(
+        *content,
+        Completion::generate("composition", Some(12)).text()
+    );
 }
 
 #[test]
-fn what_cannot_be_served_is_refused_with_its_code() {
+fn rejected_requests_have_a_result_code() {
     let fleet = Fleet::start(1).expect("a fleet");
     let chat = "/v1/chat/completions";
     let good = r#"{ "model": "qalam-small", "messages": [] }"#;
     let cases = [
-        (chat, KEY, r#"{ "model": 7 }"#, 400, Code::Malformed),
+        (chat, API_KEY, r#"{ "model": 7 }"#, 400, Code::Malformed),
         (chat, "nobody", good, 401, Code::WrongKey),
         (
             chat,
-            KEY,
+            API_KEY,
             r#"{ "model": "x", "messages": [] }"#,
             404,
             Code::UnknownRoute,
         ),
-        ("/v1/services/none/", KEY, "", 404, Code::UnknownRoute),
+        ("/v1/services/none/", API_KEY, "", 404, Code::UnknownRoute),
     ];
     for (path, key, body, status, wanted) in cases {
         let mut answer = post(&fleet, path, key, body);
         assert_eq!(answer.status().as_u16(), status, "{path} {body}");
-        assert_eq!(code(&answer), (wanted.number(), "not-run"));
+        assert_eq!(result_code(&answer), (wanted.number(), "not-run"));
         let told: Value = answer.body_mut().read_json().unwrap();
         assert_eq!(told["error"]["message"], wanted.text());
     }
@@ -139,19 +147,22 @@
 // The store is empty on a first start. A caller told that its request came too slowly would look for
 // the fault in its own line.
 #[test]
-fn an_instance_without_a_configuration_says_so() {
-    let fleet = Fleet::unconfigured().expect("a fleet");
+fn an_instance_without_a_configuration_responds_with_its_code() {
+    let fleet = Fleet::start_unconfigured().expect("a fleet");
     let path = "/v1/chat/completions";
     let body = r#"{ "model": "qalam-small", "messages": [] }"#;
-    let answer = post_to(&fleet.callers[0].to_string(), path, KEY, body);
+    let answer = post_to(&fleet.caller_addresses[0].to_string(), path, API_KEY, body);
     assert_eq!(answer.status().as_u16(), 503);
-    assert_eq!(code(&answer), (Code::NoConfiguration.number(), "not-run"));
+    assert_eq!(
+        result_code(&answer),
+        (Code::NoConfiguration.number(), "not-run")
+    );
 }
 
 // An engine dies in the middle of a composition. Its caller would get a word twice, a hole, or
 // nothing; the other engine goes on after the last event that came.
 #[test]
-fn a_stream_that_breaks_goes_on_at_another_engine() {
+fn a_broken_stream_is_resumed_at_another_engine() {
     let fleet = Fleet::start(1).expect("a fleet");
     for engine in &fleet.engines {
         engine.control(&EngineControl {
@@ -164,12 +175,12 @@
     }
     // Each engine breaks once, so the second sending may break as well; then it is cut and said so.
     let outcomes: Vec<_> = (0..3)
-        .map(|number| send(&fleet, &chat(&format!("composition {number}"))))
+        .map(|number| send(&fleet, &chat_request(&format!("composition {number}"))))
         .collect();
     for (number, outcome) in outcomes.iter().enumerate() {
-        let wanted = Answer::of(&format!("composition {number}"), Some(12)).text();
+        let wanted = Completion::generate(&format!("composition {number}"), Some(12)).text();
         if outcome.kind == Kind::Done {
-            assert_eq!(spoken(outcome), wanted);
+            assert_eq!(completion_text(outcome), wanted);
         }
     }
     assert_eq!(outcomes.last().unwrap().kind, Kind::Done);
@@ -178,7 +189,7 @@
 // A booking is made and the connection breaks before its confirmation. Sent again, two troupes stand
 // in one room; called "not run", the caller sends it again.
 #[test]
-fn a_booking_whose_answer_is_lost_runs_once_and_is_told_unknown() {
+fn a_call_whose_response_is_lost_runs_once_and_is_reported_unknown() {
     let fleet = Fleet::start(1).expect("a fleet");
     fleet.service.control(&ServiceControl {
         lose_answers: Some(1),
@@ -186,7 +197,7 @@
     });
     let request = Request {
         id: Some("seat-4".to_owned()),
-        ..book()
+        ..booking_request()
     };
     let outcome = send(&fleet, &request);
     assert_eq!((outcome.kind, outcome.attempts), (Kind::Unknown, 1));
@@ -197,34 +208,36 @@
 #[test]
 fn a_preset_closes_a_tier_and_opens_it_again() {
     let fleet = Fleet::start(2).expect("a fleet");
-    assert_eq!(send(&fleet, &book()).kind, Kind::Done);
-    change(&fleet, r#""revision": 1"#, r#""revision": 2"#);
-    change(&fleet, r#""preset": "ordinary""#, r#""preset": "peak""#);
-    change(&fleet, r#""revision": 2"#, r#""revision": 3"#);
+    assert_eq!(send(&fleet, &booking_request()).kind, Kind::Done);
+    edit_configuration(&fleet, r#""revision": 1"#, r#""revision": 2"#);
+    edit_configuration(&fleet, r#""preset": "ordinary""#, r#""preset": "peak""#);
+    edit_configuration(&fleet, r#""revision": 2"#, r#""revision": 3"#);
     let path = "/v1/services/portal/seats";
-    until("closed", || {
-        code(&post(&fleet, path, KEY, "")) == (Code::NoEndpoint.number(), "not-run")
+    wait_until("closed", || {
+        result_code(&post(&fleet, path, API_KEY, "")) == (Code::NoEndpoint.number(), "not-run")
     });
-    let refused = post(&fleet, path, KEY, "");
+    let refused = post(&fleet, path, API_KEY, "");
     assert_eq!(refused.headers()["retry-after"], "1");
-    assert_eq!(send(&fleet, &chat("still marked")).kind, Kind::Done);
-    change(&fleet, r#""preset": "peak""#, r#""preset": "ordinary""#);
-    change(&fleet, r#""revision": 3"#, r#""revision": 4"#);
-    until("open again", || post(&fleet, path, KEY, "").status() == 200);
+    assert_eq!(send(&fleet, &chat_request("still marked")).kind, Kind::Done);
+    edit_configuration(&fleet, r#""preset": "peak""#, r#""preset": "ordinary""#);
+    edit_configuration(&fleet, r#""revision": 3"#, r#""revision": 4"#);
+    wait_until("open again", || {
+        post(&fleet, path, API_KEY, "").status() == 200
+    });
 }
 
 // An operator restores an old copy of the store. A revoked key would be good again, at some
 // instances only.
 #[test]
-fn a_lower_revision_never_comes_into_force() {
+fn a_lower_configuration_revision_is_never_applied() {
     let fleet = Fleet::start(1).expect("a fleet");
     let old = fleet.etcd.get(CONFIGURATION).unwrap();
-    let digest = blake3::hash(KEY.as_bytes()).to_hex().to_string();
-    change(&fleet, &digest, "0000");
-    change(&fleet, r#""revision": 1"#, r#""revision": 2"#);
+    let digest = blake3::hash(API_KEY.as_bytes()).to_hex().to_string();
+    edit_configuration(&fleet, &digest, "0000");
+    edit_configuration(&fleet, r#""revision": 1"#, r#""revision": 2"#);
     let path = "/v1/services/portal/seats";
-    let revoked = || post(&fleet, path, KEY, "").status() == 401;
-    until("revoked", revoked);
+    let revoked = || post(&fleet, path, API_KEY, "").status() == 401;
+    wait_until("revoked", revoked);
     fleet.etcd.put(CONFIGURATION, &old);
     for _ in 0..20 {
         assert!(revoked());
@@ -234,37 +247,38 @@
 
 // The store is away for a while. Instances that need it for each request would serve nothing.
 #[test]
-fn an_outage_of_the_store_stops_no_request_and_what_changed_meanwhile_counts() {
+fn requests_succeed_during_a_store_outage_and_later_changes_are_applied() {
     let fleet = Fleet::start(2).expect("a fleet");
     fleet.etcd.control(&EtcdControl {
         down: Some(Millis::from_secs(60)),
         ..EtcdControl::default()
     });
     for _ in 0..10 {
-        assert_eq!(send(&fleet, &chat("in an outage")).kind, Kind::Done);
+        assert_eq!(send(&fleet, &chat_request("in an outage")).kind, Kind::Done);
         thread::sleep(Duration::from_millis(200));
     }
-    change(&fleet, r#""preset": "ordinary""#, r#""preset": "peak""#);
-    change(&fleet, r#""revision": 1"#, r#""revision": 2"#);
+    edit_configuration(&fleet, r#""preset": "ordinary""#, r#""preset": "peak""#);
+    edit_configuration(&fleet, r#""revision": 1"#, r#""revision": 2"#);
     fleet.etcd.control(&EtcdControl {
         down: Some(Millis::ZERO),
         ..EtcdControl::default()
     });
-    until("in force", || {
-        code(&post(&fleet, "/v1/services/portal/seats", KEY, "")).0 == Code::NoEndpoint.number()
+    wait_until("in force", || {
+        result_code(&post(&fleet, "/v1/services/portal/seats", API_KEY, "")).0
+            == Code::NoEndpoint.number()
     });
 }
 
 // Leases end before their time, and every instance's entry goes with its own. Callers that ask then
 // would be told that nobody is there.
 #[test]
-fn instances_come_back_after_their_leases_ended() {
+fn instances_register_again_after_their_leases_expire() {
     let fleet = Fleet::start(2).expect("a fleet");
     fleet.etcd.control(&EtcdControl {
         lapse: Some(siskinyoke_standin::etcd::control::Lapse::All),
         ..EtcdControl::default()
     });
-    until("both entries", || {
+    wait_until("both entries", || {
         let name = |number| format!("siskinyoke/instances/instance-{number}");
         fleet.etcd.get(&name(1)).is_some() && fleet.etcd.get(&name(2)).is_some()
     });
--- a/crates/siskinyoke-standin/tests/load.rs
+++ b/crates/siskinyoke-standin/tests/load.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
-use siskinyoke_standin::ANY_PORT;
-use siskinyoke_standin::completion::Answer;
+use siskinyoke_standin::LOOPBACK_ANY_PORT;
+use siskinyoke_standin::completion::Completion;
 use siskinyoke_standin::engine::Engine;
 use siskinyoke_standin::engine::EngineConfig;
 use siskinyoke_standin::engine::control::Breaks;
 use siskinyoke_standin::engine::control::EngineControl;
 use siskinyoke_standin::http::Exchange;
 use siskinyoke_standin::http::Handler;
-use siskinyoke_standin::http::Web;
+use siskinyoke_standin::http::HttpServer;
 use siskinyoke_standin::load;
 use siskinyoke_standin::load::file::LoadFile;
 use siskinyoke_standin::load::plan;
@@ -113,7 +113,8 @@
 fn an_answer_to_another_request_counts_as_wrong() {
     // Two answers are mixed up on their way, and each caller reads a whole, well-formed answer to
     // someone else's question. Only a check of the content itself tells it from its own.
-    let web = Web::start(ANY_PORT, ANY_PORT, Arc::new(FixedAnswer)).expect("a free port");
+    let web = HttpServer::start(LOOPBACK_ANY_PORT, LOOPBACK_ANY_PORT, Arc::new(FixedAnswer))
+        .expect("a free port");
     let lines = load::run(&load_to(&web.address().to_string())).expect("a run");
     assert_eq!(sum(&lines, |line| line.correct), 0);
     assert!(
@@ -145,7 +146,7 @@
 impl Handler for FixedAnswer {
     fn handle(&self, mut exchange: Exchange) {
         let request: serde_json::Value = exchange.json().expect("JSON");
-        let text = Answer::of("another question", Some(4)).text();
+        let text = Completion::generate("another question", Some(4)).text();
         let delta = serde_json::json!({ "content": text });
         if request["stream"] == true {
             let chunk = serde_json::json!({ "choices": [{ "delta": delta }] });
