--- a/crates/siskinyoke-dispatch/src/report.rs
+++ b/crates/siskinyoke-dispatch/src/report.rs
@@ -13,7 +13,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Identifies the sending process; drawn at random when it starts.
-    pub source: u64,
+    #[serde(rename = "source")]
+    pub incarnation: u64,
     /// How long the process has run, in ms.
     pub age: u64,
     /// The sequence number; a report with a lower one than the last is dropped.
@@ -21,6 +22,7 @@
     /// Whether the instance accepts callers.
     pub ready: bool,
     /// Whether the instance is shutting down.
+    #[serde(rename = "leaving")]
     pub leaving: bool,
     /// The version of the active configuration.
     pub configuration: u64,
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -17,10 +17,10 @@
 use serde_json::json;
 
 use crate::error::StandinError;
-use crate::gate::Gate;
-use crate::web::Exchange;
-use crate::web::Handler;
-use crate::web::Web;
+use crate::http::Exchange;
+use crate::http::Handler;
+use crate::http::HttpServer;
+use crate::proxy::Proxy;
 
 pub use self::config::EngineConfig;
 
@@ -33,7 +33,7 @@
 
 /// A running stand-in engine, stopped on drop.
 pub struct Engine {
-    web: Web,
+    web: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -46,7 +46,7 @@
     pub fn start(config: &EngineConfig) -> Result<Self, StandinError> {
         let shared = Arc::new(Shared::new(config.clone()));
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = Web::start(&config.listen, &config.control, handler)?;
+        let web = HttpServer::start(&config.listen, &config.control, handler)?;
         Ok(Self { web, shared })
     }
 
@@ -171,8 +171,8 @@
         .concat()
     }
 
-    fn control(&self, gate: &Gate, command: &EngineControl) {
+    fn control(&self, gate: &Proxy, command: &EngineControl) {
         self.lock().faults.apply(command);
-        gate.order(command.down, command.freeze);
+        gate.apply_faults(command.down, command.freeze);
     }
 }
