--- a/crates/siskinyoke-standin/src/chunked.rs
+++ b/crates/siskinyoke-standin/src/chunked.rs
@@ -25,8 +25,8 @@
     /// What the system says if the caller broke off.
     pub fn start(
         mut writer: Box<dyn Write + Send>,
-        gate: Arc<Proxy>,
-        link: Option<SocketAddr>,
+        proxy: Arc<Proxy>,
+        peer: Option<SocketAddr>,
         content: &str,
     ) -> io::Result<Self> {
         write!(writer, "HTTP/1.1 200 OK\r\nContent-Type: {content}\r\n")?;
@@ -37,8 +37,8 @@
         writer.flush()?;
         Ok(Self {
             writer,
-            proxy: gate,
-            peer: link,
+            proxy: proxy,
+            peer: peer,
         })
     }
 
--- a/crates/siskinyoke-standin/src/engine/completion.rs
+++ b/crates/siskinyoke-standin/src/engine/completion.rs
@@ -42,7 +42,7 @@
         if !self.config.models.contains(&request.model) {
             return exchange.reply_error(404, "the model is not loaded here");
         }
-        let Some(slot) = self.batch.acquire_slot(&|| exchange.alive()) else {
+        let Some(slot) = self.batch.acquire_slot(&|| exchange.is_connected()) else {
             self.lock().counts.cancelled += 1;
             return;
         };
@@ -61,14 +61,14 @@
         let answer = request.answer();
         let seconds = f64::from(lookup.prompt_tokens - lookup.cached_tokens) / self.config.prefill;
         let duration = Duration::from_secs_f64(seconds * self.slowdown());
-        if !self.batch.prefill(duration, &|| exchange.alive()) {
+        if !self.batch.prefill(duration, &|| exchange.is_connected()) {
             return Outcome::Cancelled;
         }
         if request.stream {
             return self.stream(exchange, request, &answer, lookup);
         }
         for _ in 1..answer.words.len() {
-            if !self.wait_for_token(&|| exchange.alive()) {
+            if !self.wait_for_token(&|| exchange.is_connected()) {
                 return Outcome::Cancelled;
             }
         }
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -57,7 +57,7 @@
 
     /// Returns the address that stays reachable while the engine is down.
     pub fn control_address(&self) -> SocketAddr {
-        self.web.control()
+        self.web.control_address()
     }
 
     /// Carries out orders, as `POST /control` does.
--- a/crates/siskinyoke-standin/src/etcd/control.rs
+++ b/crates/siskinyoke-standin/src/etcd/control.rs
@@ -39,5 +39,5 @@
     /// The wait before each call.
     pub call_delay: Millis,
     /// Writes still to lose the answers of.
-    pub lost: u32,
+    pub lost_responses: u32,
 }
--- a/crates/siskinyoke-standin/src/etcd/gateway.rs
+++ b/crates/siskinyoke-standin/src/etcd/gateway.rs
@@ -113,13 +113,13 @@
 /// Makes a lease.
 pub fn grant_lease(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
     let span = Millis::from_secs(u64::try_from(request.ttl).unwrap_or_default());
-    let name = store.grant(now, request.id, span);
+    let name = store.grant_lease(now, request.id, span);
     lease_response(store.revision(), name, request.ttl)
 }
 
 /// Keeps a lease alive; one that has lapsed shows without a span.
 pub fn keep_alive(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
-    let span = store.keep(now, request.id).unwrap_or_default();
+    let span = store.keep_alive(now, request.id).unwrap_or_default();
     let secs = i64::try_from(span.0 / 1000).unwrap_or_default();
     json!({ "result": lease_response(store.revision(), request.id, secs) })
 }
@@ -130,7 +130,7 @@
 ///
 /// [`Refusal::NoLease`] if it is not alive.
 pub fn revoke_lease(store: &mut Store, request: &LeaseRequest) -> Result<Value, CallError> {
-    if !store.revoke(request.id) {
+    if !store.revoke_lease(request.id) {
         return Err(CallError::LeaseNotFound);
     }
     Ok(json!({ "header": wire::response_header(store.revision()) }))
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -44,7 +44,7 @@
 
 /// A running stand-in store; it stops when dropped.
 pub struct Etcd {
-    web: HttpServer,
+    server: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -62,22 +62,25 @@
         });
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
         let web = HttpServer::start(&config.listen, &config.control, handler)?;
-        Ok(Self { web, shared })
+        Ok(Self {
+            server: web,
+            shared,
+        })
     }
 
     /// Returns the address of the store.
     pub fn address(&self) -> SocketAddr {
-        self.web.address()
+        self.server.address()
     }
 
     /// Returns the address that stays reachable while the store is down.
     pub fn control_address(&self) -> SocketAddr {
-        self.web.control()
+        self.server.control_address()
     }
 
     /// Carries out orders, as `POST /control` does.
     pub fn control(&self, orders: &EtcdControl) {
-        self.shared.control(self.web.gate(), orders);
+        self.shared.control(self.server.gate(), orders);
     }
 
     /// Writes a value, as operators and endpoints do.
--- a/crates/siskinyoke-standin/src/etcd/server.rs
+++ b/crates/siskinyoke-standin/src/etcd/server.rs
@@ -47,7 +47,7 @@
 
 /// How a call ended.
 enum Outcome {
-    Answer(u16, Value),
+    Response(u16, Value),
     ResponseLost,
 }
 
@@ -73,7 +73,7 @@
             return;
         }
         match self.execute(kind, &mut exchange) {
-            Outcome::Answer(status, value) => exchange.reply_json(status, &value),
+            Outcome::Response(status, value) => exchange.reply_json(status, &value),
             Outcome::ResponseLost => exchange.cut(),
         }
     }
@@ -95,25 +95,25 @@
         let mut state = self.lock();
         let store = &mut state.store;
         let result = match kind {
-            "range" => read(&body).map(|request| Ok(gateway::range(store, &request))),
-            "put" => read(&body).map(|request| gateway::put(store, request)),
-            "delete" => read(&body).map(|request| Ok(gateway::delete(store, &request))),
-            "txn" => read(&body).map(|request| gateway::txn(store, request)),
-            "grant" => read(&body).map(|request| Ok(gateway::grant_lease(store, now, &request))),
-            "keep" => read(&body).map(|request| Ok(gateway::keep_alive(store, now, &request))),
-            _ => read(&body).map(|request| gateway::revoke_lease(store, &request)),
+            "range" => parse(&body).map(|request| Ok(gateway::range(store, &request))),
+            "put" => parse(&body).map(|request| gateway::put(store, request)),
+            "delete" => parse(&body).map(|request| Ok(gateway::delete(store, &request))),
+            "txn" => parse(&body).map(|request| gateway::txn(store, request)),
+            "grant" => parse(&body).map(|request| Ok(gateway::grant_lease(store, now, &request))),
+            "keep" => parse(&body).map(|request| Ok(gateway::keep_alive(store, now, &request))),
+            _ => parse(&body).map(|request| gateway::revoke_lease(store, &request)),
         };
         self.changed.notify_all();
         let value = match result {
             Ok(Ok(value)) => value,
-            Ok(Err(refusal)) => return refused(refusal),
+            Ok(Err(refusal)) => return error_response(refusal),
             Err(detail) => return malformed_request(&detail),
         };
-        if is_write(kind) && state.faults.lost > 0 {
-            state.faults.lost -= 1;
+        if is_write(kind) && state.faults.lost_responses > 0 {
+            state.faults.lost_responses -= 1;
             return Outcome::ResponseLost;
         }
-        Outcome::Answer(200, value)
+        Outcome::Response(200, value)
     }
 
     /// Sends the changes of a range as they come, until the caller goes away.
@@ -149,7 +149,7 @@
             };
             (
                 next,
-                store.compacted(),
+                store.compacted_revision(),
                 wire::response_header(store.revision()),
             )
         };
@@ -160,7 +160,7 @@
         pieces.send(&gateway::watch_created(&header))?;
         while pieces.is_connected() {
             let state = self.lock();
-            let events = state.store.events(&span, next);
+            let events = state.store.events_since(&span, next);
             if events.is_empty() {
                 let waited = self.changed.wait_timeout(state, WATCH_POLL_INTERVAL);
                 drop(waited.unwrap_or_else(PoisonError::into_inner));
@@ -195,12 +195,12 @@
             state.faults.call_delay = slow;
         }
         if let Some(count) = orders.lose_answers {
-            state.faults.lost = count;
+            state.faults.lost_responses = count;
         }
         match orders.lapse {
             Some(Lapse::All) => state.store.revoke_all_leases(),
             Some(Lapse::One(name)) => {
-                state.store.revoke(name);
+                state.store.revoke_lease(name);
             }
             None => {}
         }
@@ -227,17 +227,17 @@
     !matches!(kind, "range" | "watch")
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
     serde_json::from_slice(body).map_err(|err| err.to_string())
 }
 
 fn malformed_request(detail: &str) -> Outcome {
-    Outcome::Answer(
+    Outcome::Response(
         400,
         json!({ "error": detail, "code": 3, "message": detail }),
     )
 }
 
-fn refused(refusal: CallError) -> Outcome {
-    Outcome::Answer(refusal.status(), refusal.body())
+fn error_response(refusal: CallError) -> Outcome {
+    Outcome::Response(refusal.status(), refusal.body())
 }
--- a/crates/siskinyoke-standin/src/etcd/store.rs
+++ b/crates/siskinyoke-standin/src/etcd/store.rs
@@ -16,7 +16,7 @@
     /// The value.
     pub value: Vec<u8>,
     /// Revision of the write that made the key.
-    pub created: i64,
+    pub create_revision: i64,
     /// Revision of the last write.
     pub mod_revision: i64,
     /// Writes since it was made.
@@ -45,7 +45,7 @@
 
 impl KeyRange {
     /// Says whether a key lies within the range.
-    pub fn holds(&self, key: &[u8]) -> bool {
+    pub fn contains(&self, key: &[u8]) -> bool {
         if self.end.is_empty() {
             return key == self.key;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Returns the last revision whose events are no longer kept.
-    pub fn compacted(&self) -> i64 {
+    pub fn compacted_revision(&self) -> i64 {
         self.compacted_revision
     }
 
@@ -102,7 +102,7 @@
     /// Returns the keys of a range in their order.
     pub fn range(&self, span: &KeyRange) -> Vec<&Entry> {
         let from = self.entries.range(span.key.clone()..);
-        let within = from.take_while(|(key, _)| span.holds(key));
+        let within = from.take_while(|(key, _)| span.contains(key));
         within.map(|(_, entry)| entry).collect()
     }
 
@@ -116,7 +116,7 @@
     pub fn put(&mut self, revision: i64, key: Vec<u8>, value: Vec<u8>, lease: i64) {
         let before = self.entries.get(&key);
         let entry = Entry {
-            created: before.map_or(revision, |entry| entry.created),
+            create_revision: before.map_or(revision, |entry| entry.create_revision),
             version: before.map_or(0, |entry| entry.version) + 1,
             mod_revision: revision,
             key: key.clone(),
@@ -138,17 +138,17 @@
     }
 
     /// Returns the changes of a range from a revision on.
-    pub fn events(&self, span: &KeyRange, from: i64) -> Vec<Event> {
+    pub fn events_since(&self, span: &KeyRange, from: i64) -> Vec<Event> {
         let later = self
             .events
             .iter()
             .filter(|event| event.entry.mod_revision >= from);
-        let within = later.filter(|event| span.holds(&event.entry.key));
+        let within = later.filter(|event| span.contains(&event.entry.key));
         within.cloned().collect()
     }
 
     /// Makes a lease and returns its name; `wanted` of 0 leaves the name to the store.
-    pub fn grant(&mut self, now: Millis, wanted: i64, ttl: Millis) -> i64 {
+    pub fn grant_lease(&mut self, now: Millis, wanted: i64, ttl: Millis) -> i64 {
         self.lease_count += 1;
         let name = if wanted == 0 {
             self.lease_count
@@ -167,7 +167,7 @@
     }
 
     /// Keeps a lease alive and returns its span, unless it has lapsed.
-    pub fn keep(&mut self, now: Millis, name: i64) -> Option<Millis> {
+    pub fn keep_alive(&mut self, now: Millis, name: i64) -> Option<Millis> {
         let lease = self.leases.get_mut(&name)?;
         lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
@@ -179,7 +179,7 @@
     }
 
     /// Ends a lease with its keys, and says whether it was alive.
-    pub fn revoke(&mut self, name: i64) -> bool {
+    pub fn revoke_lease(&mut self, name: i64) -> bool {
         if self.leases.remove(&name).is_none() {
             return false;
         }
@@ -203,7 +203,7 @@
             .filter(|(_, lease)| lease.expires_at <= now);
         let names: Vec<i64> = over.map(|(name, _)| *name).collect();
         for name in &names {
-            self.revoke(*name);
+            self.revoke_lease(*name);
         }
         !names.is_empty()
     }
@@ -212,7 +212,7 @@
     pub fn revoke_all_leases(&mut self) {
         let names: Vec<i64> = self.leases.keys().copied().collect();
         for name in names {
-            self.revoke(name);
+            self.revoke_lease(name);
         }
     }
 
--- a/crates/siskinyoke-standin/src/etcd/wire.rs
+++ b/crates/siskinyoke-standin/src/etcd/wire.rs
@@ -136,7 +136,10 @@
     pub fn holds(&self, entry: Option<&Entry>) -> bool {
         let (found, wanted) = match self.target {
             Target::Version => (entry.map(|entry| entry.version), self.version),
-            Target::Create => (entry.map(|entry| entry.created), self.create_revision),
+            Target::Create => (
+                entry.map(|entry| entry.create_revision),
+                self.create_revision,
+            ),
             Target::Mod => (entry.map(|entry| entry.mod_revision), self.mod_revision),
         };
         let found = found.unwrap_or_default();
@@ -202,7 +205,7 @@
         "mod_revision": entry.mod_revision.to_string(),
     });
     if entry.version > 0 {
-        value["create_revision"] = entry.created.to_string().into();
+        value["create_revision"] = entry.create_revision.to_string().into();
         value["version"] = entry.version.to_string().into();
         value["value"] = STANDARD.encode(&entry.value).into();
     }
--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -113,7 +113,7 @@
 
     fn without_instances() -> Result<Self, StandinError> {
         let etcd = Etcd::start(&EtcdConfig::default())?;
-        let engines = vec![engine(120.0, 16)?, engine(40.0, 4)?];
+        let engines = vec![start_engine(120.0, 16)?, start_engine(40.0, 4)?];
         let service = Service::start(&ServiceConfig::default())?;
         for (at, engine) in engines.iter().enumerate() {
             register_endpoint(&etcd, &format!("engine-{at}"), "engines", engine.address());
@@ -216,7 +216,7 @@
     }
 }
 
-fn engine(speed: f64, slots: u32) -> Result<Engine, StandinError> {
+fn start_engine(speed: f64, slots: u32) -> Result<Engine, StandinError> {
     Engine::start(&EngineConfig {
         models: vec![MODEL_NAME.to_owned()],
         speed,
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -55,7 +55,7 @@
         let seen = inner
             .local_addr()
             .map_err(|err| listen_error(control, &err))?;
-        let server = serve(control, inner)?;
+        let server = new_server(control, inner)?;
         let gate = Proxy::open(address, seen).map_err(|err| listen_error(address, &err))?;
         let own = Arc::clone(&gate);
         thread::spawn(move || mark_handled(&server, &own, &handler));
@@ -71,7 +71,7 @@
     }
 
     /// Returns the address that is reachable also while the gate is shut.
-    pub fn control(&self) -> SocketAddr {
+    pub fn control_address(&self) -> SocketAddr {
         self.control_address
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Says whether the caller still holds the connection.
-    pub fn alive(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.link.is_none_or(|link| self.gate.is_open(link))
     }
 
@@ -173,7 +173,7 @@
 
     /// Cuts every connection and refuses new ones for a span, as a crash does.
     pub fn crash(self, span: Millis) {
-        self.gate.down(span);
+        self.gate.take_down(span);
     }
 
     /// Answers with a text.
@@ -203,7 +203,7 @@
     }
 }
 
-fn serve(address: &str, listener: TcpListener) -> Result<Server, StandinError> {
+fn new_server(address: &str, listener: TcpListener) -> Result<Server, StandinError> {
     Server::from_listener(listener, None)
         .map_err(|err| StandinError::Listen(address.to_owned(), err.to_string()))
 }
@@ -221,7 +221,7 @@
             link,
         };
         let handler = Arc::clone(handler);
-        proxy.workers().run(move || handler.handle(exchange));
+        proxy.thread_pool().run(move || handler.handle(exchange));
     }
 }
 
--- a/crates/siskinyoke-standin/src/proxy.rs
+++ b/crates/siskinyoke-standin/src/proxy.rs
@@ -45,7 +45,7 @@
 const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest span that a fault may last, a day, so that the sum of instants cannot overflow.
-const LONGEST: Millis = Millis::from_secs(86_400);
+const MAX_FAULT_DURATION: Millis = Millis::from_secs(86_400);
 
 /// Passes connections to a stand-in's server, and breaks them when told to.
 pub struct Proxy {
@@ -86,7 +86,7 @@
     }
 
     /// Returns the threads of the stand-in.
-    pub fn workers(&self) -> &Arc<ThreadPool> {
+    pub fn thread_pool(&self) -> &Arc<ThreadPool> {
         &self.thread_pool
     }
 
@@ -97,7 +97,7 @@
 
     /// Cuts every connection behind all that the server has sent, and refuses new ones for a span;
     /// returns once they are refused.
-    pub fn down(&self, span: Millis) {
+    pub fn take_down(&self, span: Millis) {
         let mut state = self.lock();
         state.down_until = Some(deadline_after(span));
         state.frozen_until = None;
@@ -138,7 +138,7 @@
     pub fn apply_faults(&self, down: Option<Millis>, freeze: Option<Millis>) {
         match down {
             Some(Millis::ZERO) => self.bring_up(),
-            Some(span) => self.down(span),
+            Some(span) => self.take_down(span),
             None => {}
         }
         match freeze {
@@ -160,7 +160,7 @@
     }
 
     /// Cuts the connection that the server sees under an address at once.
-    fn cut(&self, seen: SocketAddr) {
+    fn close(&self, seen: SocketAddr) {
         let link = self.lock().connections.remove(&seen);
         if let Some(link) = link {
             link.close();
@@ -177,7 +177,7 @@
         let mut state = self.lock();
         let link = state.connections.get_mut(&seen);
         link.is_some_and(|link| {
-            link.served = true;
+            link.handled = true;
             true
         })
     }
@@ -242,7 +242,7 @@
         let Ok(link) = Connection::connect(client, self.server_address) else {
             return;
         };
-        let (Ok(seen), Ok(up), Ok(down)) = (link.peer(), link.up(), link.down()) else {
+        let (Ok(seen), Ok(up), Ok(down)) = (link.peer(), link.to_server(), link.down()) else {
             return;
         };
         {
@@ -267,7 +267,7 @@
                 break;
             }
         }
-        self.cut(seen);
+        self.close(seen);
     }
 
     /// Passes a client's bytes on, and nudges the server until it has begun with them.
@@ -285,7 +285,7 @@
                 Ok(count) if count > 0 => {
                     self.wait_while_frozen();
                     if way.destination.write_all(&buffer[..count]).is_err() {
-                        return self.cut(seen);
+                        return self.close(seen);
                     }
                     sent = true;
                     pause = MIN_WAKE_INTERVAL;
@@ -298,7 +298,7 @@
                 }
                 // A process that was stopped and goes on finds its waits interrupted.
                 Err(err) if err.kind() == ErrorKind::Interrupted => {}
-                _ => return self.cut(seen),
+                _ => return self.close(seen),
             }
         }
         if way.set_read_timeout(None) {
@@ -309,7 +309,7 @@
     /// Says whether there is no need to wait for the server: it has begun, or the link is gone.
     fn is_handled(&self, seen: SocketAddr) -> bool {
         let state = self.lock();
-        state.connections.get(&seen).is_none_or(|link| link.served)
+        state.connections.get(&seen).is_none_or(|link| link.handled)
     }
 
     fn is_down(&self) -> bool {
@@ -372,7 +372,7 @@
 }
 
 fn deadline_after(span: Millis) -> Instant {
-    Instant::now() + Duration::from(span.min(LONGEST))
+    Instant::now() + Duration::from(span.min(MAX_FAULT_DURATION))
 }
 
 fn remaining(until: Instant) -> Option<Duration> {
--- a/crates/siskinyoke-standin/src/proxy/connection.rs
+++ b/crates/siskinyoke-standin/src/proxy/connection.rs
@@ -12,7 +12,7 @@
     client: TcpStream,
     server: TcpStream,
     /// Whether the server has begun with it.
-    pub served: bool,
+    pub handled: bool,
 }
 
 /// One direction of a connection.
@@ -33,7 +33,7 @@
         Ok(Self {
             client,
             server,
-            served: false,
+            handled: false,
         })
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Returns the direction to the server.
-    pub fn up(&self) -> io::Result<Direction> {
+    pub fn to_server(&self) -> io::Result<Direction> {
         let from = self.client.try_clone()?;
         let to = self.server.try_clone()?;
         Ok(Direction {
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -89,7 +89,7 @@
 
     /// Returns the address that stays reachable while the service is down.
     pub fn control_address(&self) -> SocketAddr {
-        self.server.control()
+        self.server.control_address()
     }
 
     /// Carries out orders, as `POST /control` does.
@@ -98,7 +98,7 @@
     }
 
     /// Returns how often each request was executed.
-    pub fn counts(&self) -> BTreeMap<String, u64> {
+    pub fn executions(&self) -> BTreeMap<String, u64> {
         self.shared.lock().executions.clone()
     }
 
--- a/crates/siskinyoke-standin/src/trial.rs
+++ b/crates/siskinyoke-standin/src/trial.rs
@@ -92,6 +92,6 @@
     }
     println!(
         "  service: calls {}",
-        fleet.service.counts().values().sum::<u64>()
+        fleet.service.executions().values().sum::<u64>()
     );
 }
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -315,7 +315,7 @@
     assert_eq!(answer["serial"], 2);
     assert_eq!(answer["path"], "/seats?hall=2");
     assert_eq!(answer["body"], "two seats");
-    assert_eq!(service.counts()["seat-4"], 2);
+    assert_eq!(service.executions()["seat-4"], 2);
 }
 
 /// Tries again until something holds that other threads bring about.
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -18,13 +18,13 @@
 use siskinyoke_standin::etcd::control::EtcdControl;
 use siskinyoke_standin::etcd::control::Lapse;
 
-const KEY: &str = "siskinyoke/configuration";
+const CONFIGURATION_KEY: &str = "siskinyoke/configuration";
 
 fn start_etcd() -> Etcd {
     Etcd::start(&EtcdConfig::default()).expect("a free port")
 }
 
-fn call(etcd: &Etcd, call: &Call) -> Result<Vec<u8>, ureq::Error> {
+fn send_call(etcd: &Etcd, call: &Call) -> Result<Vec<u8>, ureq::Error> {
     let config = Agent::config_builder()
         .max_idle_connections(0)
         .timeout_global(Some(Duration::from_secs(5)))
@@ -35,7 +35,7 @@
 }
 
 fn read_all(etcd: &Etcd) -> Batch {
-    let body = call(etcd, &Calls.range("", Consistency::Linearizable)).expect("an answer");
+    let body = send_call(etcd, &Calls.range("", Consistency::Linearizable)).expect("an answer");
     Calls.decode_range(&body).expect("a page")
 }
 
@@ -65,11 +65,11 @@
 #[test]
 fn written_values_are_read_back() {
     let etcd = start_etcd();
-    etcd.put(KEY, "one");
+    etcd.put(CONFIGURATION_KEY, "one");
     etcd.put("elsewhere", "two");
     let page = read_all(&etcd);
     assert_eq!(page.items.len(), 1);
-    assert_eq!(page.items[0].key, KEY);
+    assert_eq!(page.items[0].key, CONFIGURATION_KEY);
     assert_eq!(page.items[0].value.as_deref(), Some(&b"one"[..]));
     assert!(page.revision > page.items[0].revision);
 }
@@ -79,18 +79,18 @@
 #[test]
 fn the_later_of_two_writes_over_the_same_revision_fails() {
     let etcd = start_etcd();
-    let first = call(&etcd, &etcd::compare_and_swap(KEY, b"one", 0)).unwrap();
+    let first = send_call(&etcd, &etcd::compare_and_swap(CONFIGURATION_KEY, b"one", 0)).unwrap();
     assert!(etcd::decode_txn(&first).unwrap());
     let revision = read_all(&etcd).items[0].revision;
     for (value, takes) in [("two", true), ("three", false)] {
-        let answer = call(
+        let answer = send_call(
             &etcd,
-            &etcd::compare_and_swap(KEY, value.as_bytes(), revision),
+            &etcd::compare_and_swap(CONFIGURATION_KEY, value.as_bytes(), revision),
         )
         .unwrap();
         assert_eq!(etcd::decode_txn(&answer).unwrap(), takes);
     }
-    assert_eq!(etcd.get(KEY).as_deref(), Some("two"));
+    assert_eq!(etcd.get(CONFIGURATION_KEY).as_deref(), Some("two"));
 }
 
 #[test]
@@ -100,25 +100,28 @@
         lose_answers: Some(1),
         ..EtcdControl::default()
     });
-    assert!(call(&etcd, &etcd::compare_and_swap(KEY, b"one", 0)).is_err());
-    assert_eq!(etcd.get(KEY).as_deref(), Some("one"));
+    assert!(send_call(&etcd, &etcd::compare_and_swap(CONFIGURATION_KEY, b"one", 0)).is_err());
+    assert_eq!(etcd.get(CONFIGURATION_KEY).as_deref(), Some("one"));
 }
 
 #[test]
 fn a_watch_reports_writes_and_deletions_after_a_revision() {
     let etcd = start_etcd();
-    etcd.put(KEY, "one");
+    etcd.put(CONFIGURATION_KEY, "one");
     let revision = read_all(&etcd).revision;
     assert_eq!(read_watch(&etcd, revision).unwrap(), None);
     etcd.put("siskinyoke/endpoints/e", "{}");
-    call(&etcd, &etcd::remove(KEY)).unwrap();
+    send_call(&etcd, &etcd::remove(CONFIGURATION_KEY)).unwrap();
     let batch = read_watch(&etcd, revision).unwrap().expect("changes");
     let told: Vec<_> = batch
         .items
         .iter()
         .map(|it| (it.key.as_str(), it.value.is_some()))
         .collect();
-    assert_eq!(told, [("siskinyoke/endpoints/e", true), (KEY, false)]);
+    assert_eq!(
+        told,
+        [("siskinyoke/endpoints/e", true), (CONFIGURATION_KEY, false)]
+    );
     assert_eq!(batch.revision, read_all(&etcd).revision);
 }
 
@@ -129,7 +132,7 @@
     let etcd = start_etcd();
     let revision = read_all(&etcd).revision;
     for number in 0..20_000 {
-        etcd.put(KEY, &number.to_string());
+        etcd.put(CONFIGURATION_KEY, &number.to_string());
     }
     let err = read_watch(&etcd, revision).unwrap_err();
     assert!(matches!(err, FormatError::Compacted), "{err}");
@@ -138,10 +141,10 @@
 #[test]
 fn the_keys_of_a_lease_are_deleted_with_it() {
     let etcd = start_etcd();
-    let granted = call(&etcd, &Calls.grant_lease(Millis(4_500))).unwrap();
+    let granted = send_call(&etcd, &Calls.grant_lease(Millis(4_500))).unwrap();
     let lease = Calls.decode_lease(&granted).unwrap();
-    call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
-    let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    send_call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
+    let kept = send_call(&etcd, &Calls.renew_lease(lease)).unwrap();
     assert!(Calls.decode_renewal(&kept).unwrap());
     assert_eq!(read_all(&etcd).items.len(), 1);
     etcd.control(&EtcdControl {
@@ -149,16 +152,16 @@
         ..EtcdControl::default()
     });
     assert_eq!(read_all(&etcd).items, []);
-    let kept = call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    let kept = send_call(&etcd, &Calls.renew_lease(lease)).unwrap();
     assert!(!Calls.decode_renewal(&kept).unwrap());
 }
 
 #[test]
 fn a_lease_expires_after_its_ttl() {
     let etcd = start_etcd();
-    let granted = call(&etcd, &Calls.grant_lease(Millis(1))).unwrap();
+    let granted = send_call(&etcd, &Calls.grant_lease(Millis(1))).unwrap();
     let lease = Calls.decode_lease(&granted).unwrap();
-    call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
+    send_call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
     for _ in 0..400 {
         if read_all(&etcd).items.is_empty() {
             return;
@@ -177,7 +180,7 @@
     let first = read_all(&etcd);
     assert!(first.has_more);
     let after = &first.items.last().unwrap().key;
-    let body = call(&etcd, &Calls.range(after, Consistency::Linearizable)).unwrap();
+    let body = send_call(&etcd, &Calls.range(after, Consistency::Linearizable)).unwrap();
     let second = Calls.decode_range(&body).unwrap();
     assert!(!second.has_more);
     assert_eq!(first.items.len() + second.items.len(), 1_500);
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -23,7 +23,7 @@
 use siskinyoke_standin::fleet::SERVICE_NAME;
 use siskinyoke_standin::service::ServiceControl;
 
-const CONFIGURATION: &str = "siskinyoke/configuration";
+const CONFIGURATION_KEY: &str = "siskinyoke/configuration";
 
 fn send(fleet: &Fleet, request: &Request) -> Outcome {
     let mut client = fleet.client(0);
@@ -73,9 +73,9 @@
 }
 
 fn edit_configuration(fleet: &Fleet, from: &str, to: &str) {
-    let text = fleet.etcd.get(CONFIGURATION).unwrap();
+    let text = fleet.etcd.get(CONFIGURATION_KEY).unwrap();
     assert!(text.contains(from), "{from}");
-    fleet.etcd.put(CONFIGURATION, &text.replace(from, to));
+    fleet.etcd.put(CONFIGURATION_KEY, &text.replace(from, to));
 }
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
@@ -202,7 +202,7 @@
     let outcome = send(&fleet, &request);
     assert_eq!((outcome.kind, outcome.attempts), (Kind::Unknown, 1));
     assert_eq!(outcome.code, Code::Broken.number());
-    assert_eq!(fleet.service.counts()["seat-4"], 1);
+    assert_eq!(fleet.service.executions()["seat-4"], 1);
 }
 
 #[test]
@@ -231,14 +231,14 @@
 #[test]
 fn a_lower_configuration_revision_is_never_applied() {
     let fleet = Fleet::start(1).expect("a fleet");
-    let old = fleet.etcd.get(CONFIGURATION).unwrap();
+    let old = fleet.etcd.get(CONFIGURATION_KEY).unwrap();
     let digest = blake3::hash(API_KEY.as_bytes()).to_hex().to_string();
     edit_configuration(&fleet, &digest, "0000");
     edit_configuration(&fleet, r#""revision": 1"#, r#""revision": 2"#);
     let path = "/v1/services/portal/seats";
     let revoked = || post(&fleet, path, API_KEY, "").status() == 401;
     wait_until("revoked", revoked);
-    fleet.etcd.put(CONFIGURATION, &old);
+    fleet.etcd.put(CONFIGURATION_KEY, &old);
     for _ in 0..20 {
         assert!(revoked());
         thread::sleep(Duration::from_millis(100));
