--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -57,7 +57,7 @@
 
     /// Returns the control address, which stays reachable while the engine is down.
     pub fn control_address(&self) -> SocketAddr {
-        self.web.control()
+        self.web.control_address()
     }
 
     /// Applies a command, as `POST /control` does.
