--- a/crates/siskinyoke-standin/src/engine/completion.rs
+++ b/crates/siskinyoke-standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! The life of one chat completion inside the stand-in engine.
+//! Handles one chat completion, from admission to the end of its response.
 
 use std::process;
 use std::time::Duration;
@@ -7,19 +7,19 @@
 use super::cache::CacheLookup;
 use super::chat;
 use super::chat::ChatRequest;
-use crate::completion::Answer;
+use crate::completion::Completion;
 use crate::http::Exchange;
 
-/// Names the request towards the engine.
+/// Contains the id under which the request is counted.
 const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
-/// Names the last event that the caller has of a broken stream.
+/// Contains the id of the last event that the caller received of a broken stream.
 const LAST_EVENT_HEADER: &str = "Last-Event-ID";
 
-/// Exit code of a process that a marked request crashed.
+/// Exit code after a request with the crash marker.
 const CRASH_EXIT_CODE: i32 = 1;
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     Completed,
@@ -28,7 +28,7 @@
 }
 
 impl Shared {
-    /// Answers a chat completion.
+    /// Handles a chat completion request.
     pub(super) fn chat(&self, mut exchange: Exchange) {
         let request_id = exchange
             .header(REQUEST_ID_HEADER)
@@ -42,7 +42,7 @@
         if !self.config.models.contains(&request.model) {
             return exchange.reply_error(404, "the model is not loaded here");
         }
-        let Some(slot) = self.batch.acquire_slot(&|| exchange.alive()) else {
+        let Some(slot) = self.batch.acquire_slot(&|| exchange.is_connected()) else {
             self.lock().counts.cancelled += 1;
             return;
         };
@@ -61,14 +61,14 @@
         let answer = request.answer();
         let seconds = f64::from(lookup.prompt_tokens - lookup.cached_tokens) / self.config.prefill;
         let duration = Duration::from_secs_f64(seconds * self.slowdown());
-        if !self.batch.prefill(duration, &|| exchange.alive()) {
+        if !self.batch.prefill(duration, &|| exchange.is_connected()) {
             return Outcome::Cancelled;
         }
         if request.stream {
             return self.stream(exchange, request, &answer, lookup);
         }
         for _ in 1..answer.words.len() {
-            if !self.wait_for_token(&|| exchange.alive()) {
+            if !self.wait_for_token(&|| exchange.is_connected()) {
                 return Outcome::Cancelled;
             }
         }
@@ -80,7 +80,7 @@
         &self,
         exchange: Exchange,
         request: &ChatRequest,
-        answer: &Answer,
+        answer: &Completion,
         lookup: CacheLookup,
     ) -> Outcome {
         let events = chat::stream_events(request, answer, lookup);
@@ -88,7 +88,7 @@
         let last: Option<usize> = last_event.and_then(|id| id.parse().ok());
         let skipped = last.map_or(0, |id| id + 1);
         let break_after = self.lock().faults.next_break();
-        let Ok(mut pieces) = exchange.pieces("text/event-stream") else {
+        let Ok(mut pieces) = exchange.start_chunked("text/event-stream") else {
             return Outcome::Cancelled;
         };
         for (sent, event) in events.iter().skip(skipped).enumerate() {
@@ -96,22 +96,23 @@
                 pieces.cut();
                 return Outcome::Broken;
             }
-            // The first word comes with the end of prefill, and what follows the last at once.
+            // The first word is sent when prefill ends, and the events after the last word without
+            // delay.
             let index = skipped + sent;
             let delayed = sent > 0 && index > 1 && index <= answer.words.len();
-            if delayed && !self.wait_for_token(&|| pieces.alive()) {
+            if delayed && !self.wait_for_token(&|| pieces.is_connected()) {
                 return Outcome::Cancelled;
             }
             if pieces.send(event).is_err() {
                 return Outcome::Cancelled;
             }
         }
-        // The caller has every event; it may close without waiting for the end of the body.
-        let _ = pieces.end();
+        // The caller has every event and may close the connection before the end of the body.
+        let _ = pieces.finish();
         Outcome::Completed
     }
 
-    /// Waits for one token; false if the caller has gone away.
+    /// Waits for the duration of one token; returns false if the caller disconnects.
     fn wait_for_token(&self, alive: &dyn Fn() -> bool) -> bool {
         let interval = Duration::from_secs_f64(self.slowdown() / self.config.speed);
         super::batch::sleep_while_alive(interval, alive)
@@ -127,7 +128,7 @@
         crash_marker.is_some_and(|crash_marker| prompt.contains(crash_marker.as_str()))
     }
 
-    /// Goes down with everything in flight.
+    /// Exits the process, or closes all connections and stays down for the crash duration.
     fn crash(&self, exchange: Exchange) {
         if self.config.exit {
             process::exit(CRASH_EXIT_CODE);
--- a/crates/siskinyoke-standin/tests/load.rs
+++ b/crates/siskinyoke-standin/tests/load.rs
@@ -1,23 +1,23 @@
-//! The load driver: what it sends, and what it takes for a whole answer.
+//! The load driver: planned requests and the verification of answers.
 
 use std::sync::Arc;
 
-use siskinyoke_standin::ANY_PORT;
-use siskinyoke_standin::completion::Answer;
+use siskinyoke_standin::LOOPBACK_ANY_PORT;
+use siskinyoke_standin::completion::Completion;
 use siskinyoke_standin::engine::Engine;
 use siskinyoke_standin::engine::EngineConfig;
 use siskinyoke_standin::engine::control::Breaks;
 use siskinyoke_standin::engine::control::EngineControl;
 use siskinyoke_standin::http::Exchange;
 use siskinyoke_standin::http::Handler;
-use siskinyoke_standin::http::Web;
+use siskinyoke_standin::http::HttpServer;
 use siskinyoke_standin::load;
 use siskinyoke_standin::load::file::LoadFile;
 use siskinyoke_standin::load::plan;
 use siskinyoke_standin::load::report::ReportLine;
 
 const LOAD_FILE: &str = r#"{
-    // Short and long work beside each other.
+    // Short and long requests in one mix.
     "seed": 7,
     "patience": 10000,
     "callers": [
@@ -34,7 +34,7 @@
 }"#;
 
 fn load_to(address: &str) -> LoadFile {
-    let mut load = LoadFile::parse(LOAD_FILE).expect("a good load");
+    let mut load = LoadFile::parse(LOAD_FILE).expect("a valid load file");
     load.addresses = vec![address.to_owned()];
     load
 }
@@ -50,7 +50,7 @@
     assert_eq!(requests, plan::plan(&load));
     assert!(
         requests.iter().all(|request| request.phase != 1),
-        "nothing is due in the pause"
+        "no request is due in the pause phase"
     );
     assert!(
         requests
@@ -71,11 +71,11 @@
         (
             "[\"paragraph\"]",
             "[\"nobody\"]",
-            "no caller is called nobody",
+            "no caller is named nobody",
         ),
         ("\"seed\"", "\"sead\"", "unknown field `sead`"),
     ] {
-        let err = LoadFile::parse(&LOAD_FILE.replace(from, to)).expect_err("a fault");
+        let err = LoadFile::parse(&LOAD_FILE.replace(from, to)).expect_err("an invalid load file");
         assert!(err.to_string().contains(expected), "{err}");
     }
 }
@@ -111,9 +111,10 @@
 
 #[test]
 fn an_answer_to_another_request_counts_as_wrong() {
-    // Two answers are mixed up on their way, and each caller reads a whole, well-formed answer to
-    // someone else's question. Only a check of the content itself tells it from its own.
-    let web = Web::start(ANY_PORT, ANY_PORT, Arc::new(FixedAnswer)).expect("a free port");
+    // Responses are swapped in transit, and each caller receives a complete, well-formed answer to
+    // another request. Only a check of the content detects this.
+    let web = HttpServer::start(LOOPBACK_ANY_PORT, LOOPBACK_ANY_PORT, Arc::new(FixedAnswer))
+        .expect("a free port");
     let lines = load::run(&load_to(&web.address().to_string())).expect("a run");
     assert_eq!(sum(&lines, |line| line.correct), 0);
     assert!(
@@ -139,13 +140,13 @@
     }
 }
 
-/// Answers everyone with the same text, in the form that they ask for.
+/// Answers every request with the same text, streamed if requested.
 struct FixedAnswer;
 
 impl Handler for FixedAnswer {
     fn handle(&self, mut exchange: Exchange) {
         let request: serde_json::Value = exchange.json().expect("JSON");
-        let text = Answer::of("another question", Some(4)).text();
+        let text = Completion::generate("another question", Some(4)).text();
         let delta = serde_json::json!({ "content": text });
         if request["stream"] == true {
             let chunk = serde_json::json!({ "choices": [{ "delta": delta }] });
