--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -1,132 +1,138 @@
-//! What callers got, checked against what endpoints saw.
+//! Checks the responses that callers received against the requests that endpoints received.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
 use crate::Endpoint;
 
-/// What may be repeated of a request of the soak.
+/// Whether a request may be repeated, and the form of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// Idempotent: may run more than once.
     Safe,
-    /// It runs once at most.
+    /// Non-idempotent: runs at most once.
     Unsafe,
-    /// A stream that may go on elsewhere.
+    /// A resumable event stream: another endpoint may continue it.
     Stream,
 }
 
-/// What a caller got.
+/// The result of one request, as seen by its caller.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// The request's identity.
+    /// The request's id.
     pub id: String,
-    /// What may be repeated of it.
+    /// The kind of request.
     pub kind: RequestKind,
-    /// All bytes that came back.
+    /// All bytes received, as text.
     pub response: String,
 }
 
 impl Outcome {
-    /// Returns the answer's status, if one came.
+    /// Returns the status code of the response, if one was received.
     pub fn status(&self) -> Option<u16> {
         self.response.get(9..12)?.parse().ok()
     }
 }
 
-/// Gathers what callers got.
+/// Collects the outcomes of all requests.
 #[derive(Debug, Default)]
 pub struct Checker {
     outcomes: Mutex<Vec<Outcome>>,
 }
 
 impl Checker {
-    /// Adds what a caller got.
+    /// Records an outcome.
     ///
     /// # Panics
     ///
-    /// If a caller's thread panicked before.
+    /// If a caller thread has panicked.
     pub fn add(&self, outcome: Outcome) {
         self.outcomes.lock().unwrap().push(outcome);
     }
 
-    /// Returns how many answers were successes, and how many callers got anything else.
+    /// Returns how many requests got a response with status 200, and how many did not.
     ///
     /// # Panics
     ///
-    /// If a caller's thread panicked before.
+    /// If a caller thread has panicked.
     pub fn result_counts(&self) -> (usize, usize) {
         let outcomes = self.outcomes.lock().unwrap();
-        let good = outcomes
+        let served = outcomes
             .iter()
             .filter(|it| it.status() == Some(200))
             .count();
-        (good, outcomes.len() - good)
+        (served, outcomes.len() - served)
     }
 
-    /// Returns each broken promise, in words.
+    /// Returns a description of each violated guarantee.
     ///
     /// # Panics
     ///
-    /// If a caller's thread panicked before.
+    /// If a caller thread has panicked.
     pub fn violations(&self, endpoints: &[Endpoint]) -> Vec<String> {
-        let mut runs: BTreeMap<String, usize> = BTreeMap::new();
-        for arrival in endpoints.iter().flat_map(Endpoint::requests) {
-            if let Some(id) = arrival.header("siskinyoke-request-id") {
-                *runs.entry(id.to_owned()).or_default() += 1;
+        let mut run_counts: BTreeMap<String, usize> = BTreeMap::new();
+        for request in endpoints.iter().flat_map(Endpoint::requests) {
+            if let Some(id) = request.header("siskinyoke-request-id") {
+                *run_counts.entry(id.to_owned()).or_default() += 1;
             }
         }
         let outcomes = self.outcomes.lock().unwrap();
         outcomes
             .iter()
-            .flat_map(|it| check_outcome(it, runs.get(&it.id).copied().unwrap_or(0)))
+            .flat_map(|it| check_outcome(it, run_counts.get(&it.id).copied().unwrap_or(0)))
             .collect()
     }
 }
 
-fn check_outcome(outcome: &Outcome, runs: usize) -> Vec<String> {
+fn check_outcome(outcome: &Outcome, run_count: usize) -> Vec<String> {
     let Outcome { id, kind, response } = outcome;
-    let mut broken = Vec::new();
-    if *kind == RequestKind::Unsafe && runs > 1 {
-        broken.push(format!("{id} runs once at most and ran {runs} times"));
+    let mut violations = Vec::new();
+    if *kind == RequestKind::Unsafe && run_count > 1 {
+        violations.push(format!(
+            "{id}: non-idempotent request ran {run_count} times"
+        ));
     }
     let status = outcome.status();
-    if runs > 0 && *kind == RequestKind::Unsafe && matches!(status, Some(408 | 421 | 429 | 503)) {
-        broken.push(format!(
-            "{id} was told that it had not run and ran: {response:?}"
+    // These status codes guarantee that the request has not run.
+    if run_count > 0
+        && *kind == RequestKind::Unsafe
+        && matches!(status, Some(408 | 421 | 429 | 503))
+    {
+        violations.push(format!(
+            "{id}: response denies execution, but the request ran: {response:?}"
         ));
     }
     if matches!(status, Some(400..=407 | 409..=420)) {
-        broken.push(format!(
-            "{id} was denied though all configurations allow it: {response:?}"
+        violations.push(format!(
+            "{id}: rejected although every configuration allows it: {response:?}"
         ));
     }
     if status != Some(200) {
-        return broken;
+        return violations;
     }
     if !response.contains(&format!("siskinyoke-request-id: {id}\r\n")) {
-        broken.push(format!(
-            "{id} got the answer to another request: {response:?}"
+        violations.push(format!(
+            "{id}: response belongs to another request: {response:?}"
         ));
     }
     if *kind == RequestKind::Stream {
-        broken.extend(check_stream(id, response));
+        violations.extend(check_stream(id, response));
     }
-    broken
+    violations
 }
 
-// The events come in order without a gap, and an end mark only after the last.
-fn check_stream(id: &str, answer: &str) -> Option<String> {
-    let events: Vec<&str> = answer
+// Events must be in order and without gaps, and the final chunk must follow only the last event.
+fn check_stream(id: &str, response: &str) -> Option<String> {
+    let events: Vec<&str> = response
         .lines()
         .filter_map(|it| it.strip_prefix("data: "))
         .collect();
-    let whole = ["1", "2", "3", "4"];
-    let ended = answer.ends_with("0\r\n\r\n");
-    let sound = if ended {
-        events == whole
+    let expected = ["1", "2", "3", "4"];
+    let is_complete = response.ends_with("0\r\n\r\n");
+    let is_valid = if is_complete {
+        events == expected
     } else {
-        whole.starts_with(&events)
+        expected.starts_with(&events)
     };
-    (!sound).then(|| format!("{id} got a stream with a gap, or a false end: {answer:?}"))
+    (!is_valid).then(|| format!("{id}: stream has a gap or ends early: {response:?}"))
 }
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of the tests and the soak.
+//! The configuration used by the soak and the end-to-end tests.
 
 const CONFIGURATION_TEMPLATE: &str = r#"{"Version":VERSION,"Routes":[
  {"Name":"safe","Host":"h.example","Prefix":"/safe/","Kind":"safe","TimeoutMs":4000,
@@ -16,7 +16,7 @@
   "IdleTimeoutMs":15000},
  "Tenants":[{"Name":"school","ApiKeys":["KEY"]}]}"#;
 
-/// Returns a version of the configuration in which one key is known.
+/// Returns the configuration with the given version and a single API key.
 pub fn text(version: u64, key: &str) -> String {
     CONFIGURATION_TEMPLATE
         .replace("VERSION", &version.to_string())
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an endpoint that does what a request's path asks for.
+//! A stand-in for an endpoint whose behaviour is selected by the path of each request.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -12,28 +12,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// The bytes of a large answer.
+/// Length of the body of a large response.
 pub const LARGE_BODY_BYTES: usize = 3 * 1024 * 1024;
 
-/// The events of a long stream.
+/// The number of events in a long stream.
 pub const LONG_STREAM_EVENTS: usize = 1_000;
 
-/// The requests a second that an endpoint asks for whose requests' path says that it is limited.
+/// The rate limit that an endpoint announces if the request's path selects it.
 pub const RATE_LIMIT_PER_SECOND: f64 = 1.5;
 
-/// A request as it reached an endpoint.
+/// A request as received by an endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct ReceivedRequest {
     /// The request line.
     pub request_line: String,
-    /// Its headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl ReceivedRequest {
-    /// Returns a header's value, by its name in lower case.
+    /// Returns the value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -41,26 +41,26 @@
             .map(|row| &*row.1)
     }
 
-    fn line_contains(&self, what: &str) -> bool {
-        self.request_line.contains(what)
+    fn line_contains(&self, text: &str) -> bool {
+        self.request_line.contains(text)
     }
 }
 
-/// A stand-in of an endpoint that does what a request's path asks for.
+/// A stand-in for an endpoint, whose behaviour is selected by the path of each request.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Its identity.
+    /// The endpoint's id.
     pub id: String,
-    /// The version of its software, if its entry names one.
+    /// The version of its software, if its entry in the store states one.
     pub version: Option<String>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     disconnects: Arc<Mutex<u32>>,
 }
 
 impl Endpoint {
-    /// Starts an endpoint.
+    /// Starts an endpoint whose entry states no version.
     ///
     /// # Panics
     ///
@@ -69,7 +69,7 @@
         Self::start_with_version(id, None)
     }
 
-    /// Starts an endpoint whose entry names a version.
+    /// Starts an endpoint whose entry states the given version, if any.
     ///
     /// # Panics
     ///
@@ -87,19 +87,19 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let endpoint = serving.clone();
-                // A connection that ends in the middle of a call is part of the tests.
+                // Some tests close the connection during a request, so errors are expected.
                 thread::spawn(move || drop(endpoint.serve(stream)));
             }
         });
         endpoint
     }
 
-    /// The entry by which it makes itself known.
+    /// Returns its entry in the store.
     pub fn entry(&self, state: &str) -> String {
         self.entry_at(self.address, state)
     }
 
-    /// The entry of an endpoint that is reached by way of another address.
+    /// Returns its entry in the store with another address, such as that of a proxy.
     pub fn entry_at(&self, address: SocketAddr, state: &str) -> String {
         let version = self.version.as_ref();
         let version = version.map_or_else(String::new, |it| format!(r#""Version":"{it}","#));
@@ -108,20 +108,20 @@
         )
     }
 
-    /// Returns the requests that reached it.
+    /// Returns all requests received so far.
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.requests.lock().unwrap().clone()
     }
 
-    /// How often a connection was closed while a request was at work.
+    /// Returns how often a connection was closed while its request was running.
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn disconnect_count(&self) -> u32 {
         *self.disconnects.lock().unwrap()
     }
@@ -129,78 +129,78 @@
     fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut out = stream;
-        while let Some(mut arrival) = read_head(&mut reader)? {
-            let early = arrival.line_contains("early");
+        while let Some(mut request) = read_head(&mut reader)? {
+            let early = request.line_contains("early");
             if early {
-                out.write_all(&self.encode_response(&arrival, "early"))?;
+                out.write_all(&self.encode_response(&request, "early"))?;
             }
-            let length = arrival
+            let length = request
                 .header("content-length")
                 .map_or(0, |it| it.parse().unwrap());
-            arrival.body = vec![0; length];
-            reader.read_exact(&mut arrival.body)?;
-            self.requests.lock().unwrap().push(arrival.clone());
-            if !early && !self.respond(&arrival, &mut out)? {
+            request.body = vec![0; length];
+            reader.read_exact(&mut request.body)?;
+            self.requests.lock().unwrap().push(request.clone());
+            if !early && !self.respond(&request, &mut out)? {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    // Answers, and returns whether the connection is kept.
-    fn respond(&self, arrival: &ReceivedRequest, out: &mut TcpStream) -> std::io::Result<bool> {
-        if arrival.line_contains("cut") {
+    // Responds as selected by the path, and returns whether the connection is kept open.
+    fn respond(&self, request: &ReceivedRequest, out: &mut TcpStream) -> std::io::Result<bool> {
+        if request.line_contains("cut") {
             return Ok(false);
         }
-        if arrival.line_contains("full") && self.id == "e1" {
+        if request.line_contains("full") && self.id == "e1" {
             out.write_all(
                 b"HTTP/1.1 503 Full\r\nSiskinyoke-Not-Executed: 1\r\ncontent-length: 0\r\n\r\n",
             )?;
             return Ok(true);
         }
-        if arrival.line_contains("moved") && self.id == "e1" {
+        if request.line_contains("moved") && self.id == "e1" {
             let head = format!("HTTP/1.1 421 Moved\r\nServer-Limit: {RATE_LIMIT_PER_SECOND}\r\n");
             write!(out, "{head}content-length: 0\r\n\r\n")?;
             return Ok(true);
         }
-        if arrival.line_contains("extra") {
-            out.write_all(&self.encode_response(arrival, "first"))?;
-            out.write_all(&self.encode_response(arrival, "second"))?;
+        if request.line_contains("extra") {
+            out.write_all(&self.encode_response(request, "first"))?;
+            out.write_all(&self.encode_response(request, "second"))?;
             return Ok(true);
         }
-        if arrival.line_contains("slow") {
+        if request.line_contains("slow") {
             self.wait_for_disconnect(out)?;
             return Ok(false);
         }
-        if arrival.line_contains("nap") {
+        if request.line_contains("nap") {
             thread::sleep(Duration::from_millis(1_500));
         }
-        if arrival.line_contains("large") {
-            out.write_all(&self.encode_response(arrival, &"x".repeat(LARGE_BODY_BYTES)))?;
+        if request.line_contains("large") {
+            out.write_all(&self.encode_response(request, &"x".repeat(LARGE_BODY_BYTES)))?;
             return Ok(true);
         }
-        if arrival.line_contains("lost") && arrival.header("last-event-id").is_some() {
-            let id = arrival.header("siskinyoke-request-id").unwrap_or("");
+        if request.line_contains("lost") && request.header("last-event-id").is_some() {
+            let id = request.header("siskinyoke-request-id").unwrap_or("");
             write!(
                 out,
                 "HTTP/1.1 404 Gone\r\nSiskinyoke-Request-Id: {id}\r\ncontent-length: 0\r\n\r\n"
             )?;
             return Ok(true);
         }
-        if arrival.line_contains("many") {
-            return self.write_long_stream(arrival, out);
+        if request.line_contains("many") {
+            return self.write_long_stream(request, out);
         }
-        if arrival.line_contains("events") {
-            return self.write_interrupted_stream(arrival, out);
+        if request.line_contains("events") {
+            return self.write_interrupted_stream(request, out);
         }
-        out.write_all(&self.encode_response(arrival, "whole"))?;
+        out.write_all(&self.encode_response(request, "whole"))?;
         Ok(true)
     }
 
-    fn encode_response(&self, arrival: &ReceivedRequest, body: &str) -> Vec<u8> {
-        let id = arrival.header("siskinyoke-request-id").unwrap_or("");
+    fn encode_response(&self, request: &ReceivedRequest, body: &str) -> Vec<u8> {
+        let id = request.header("siskinyoke-request-id").unwrap_or("");
         let length = body.len();
-        let limit = if arrival.line_contains("limited") {
+        let limit = if request.line_contains("limited") {
             format!("Server-Limit: {RATE_LIMIT_PER_SECOND}\r\n")
         } else {
             String::new()
@@ -213,16 +213,16 @@
         .into_bytes()
     }
 
-    // Four events; the first sending breaks off in the middle of the third.
+    // Writes a stream of four events, interrupted within the third unless it is being resumed.
     fn write_interrupted_stream(
         &self,
-        arrival: &ReceivedRequest,
+        request: &ReceivedRequest,
         out: &mut TcpStream,
     ) -> std::io::Result<bool> {
-        let after: u32 = arrival
+        let after: u32 = request
             .header("last-event-id")
             .map_or(0, |it| it.parse().unwrap());
-        self.write_stream_head(arrival, out)?;
+        self.write_stream_head(request, out)?;
         for number in after + 1..=4 {
             let event = format!("id: {number}\ndata: {number}\n\n");
             if number == 3 && after == 0 {
@@ -235,13 +235,13 @@
         Ok(true)
     }
 
-    // Many long events, more than the buffers on their way hold.
+    // Writes a stream that is too large for the buffers between endpoint and caller.
     fn write_long_stream(
         &self,
-        arrival: &ReceivedRequest,
+        request: &ReceivedRequest,
         out: &mut TcpStream,
     ) -> std::io::Result<bool> {
-        self.write_stream_head(arrival, out)?;
+        self.write_stream_head(request, out)?;
         for number in 0..LONG_STREAM_EVENTS {
             write_chunk(
                 out,
@@ -252,13 +252,13 @@
         Ok(true)
     }
 
-    // Sends the head of a stream.
+    // Writes the response head of a stream.
     fn write_stream_head(
         &self,
-        arrival: &ReceivedRequest,
+        request: &ReceivedRequest,
         out: &mut TcpStream,
     ) -> std::io::Result<()> {
-        let id = arrival.header("siskinyoke-request-id").unwrap_or("");
+        let id = request.header("siskinyoke-request-id").unwrap_or("");
         write!(
             out,
             "HTTP/1.1 200 OK\r\nSiskinyoke-Request-Id: {id}\r\nSiskinyoke-Response-Seal: {}\r\n\
@@ -267,6 +267,7 @@
         )
     }
 
+    // Waits until the connection is closed, and counts it.
     fn wait_for_disconnect(&self, out: &mut TcpStream) -> std::io::Result<()> {
         let mut byte = [0];
         if out.read(&mut byte)? == 0 {
@@ -282,17 +283,17 @@
 }
 
 fn read_head(reader: &mut BufReader<TcpStream>) -> std::io::Result<Option<ReceivedRequest>> {
-    let mut arrival = ReceivedRequest::default();
-    if reader.read_line(&mut arrival.request_line)? == 0 {
+    let mut request = ReceivedRequest::default();
+    if reader.read_line(&mut request.request_line)? == 0 {
         return Ok(None);
     }
     loop {
         let mut line = String::new();
         reader.read_line(&mut line)?;
         let Some((name, value)) = line.trim_end().split_once(": ") else {
-            return Ok(Some(arrival));
+            return Ok(Some(request));
         };
-        arrival
+        request
             .headers
             .push((name.to_ascii_lowercase(), value.to_owned()));
     }
--- a/soak/src/instance.rs
+++ b/soak/src/instance.rs
@@ -1,4 +1,4 @@
-//! A gateway that runs as a process of its own, and calls to it.
+//! A gateway process, and calls to it.
 
 use std::fs;
 use std::io::Read;
@@ -20,57 +20,63 @@
 use rustix::process::Signal;
 use rustix::process::kill_process;
 
-/// A gateway that runs as a process of its own, killed when it is dropped.
+/// A gateway process, killed on drop.
 #[derive(Debug)]
 pub struct Instance {
     child: Child,
     program: PathBuf,
     settings: PathBuf,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where it says whether it is ready.
+    /// The address of the readiness check.
     pub health_address: SocketAddr,
-    /// Where it names instances.
+    /// The address of the instance directory.
     pub directory_address: SocketAddr,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peer_address: SocketAddr,
-    /// Where its metrics are.
+    /// The address of the metrics page.
     pub metrics_address: SocketAddr,
 }
 
 impl Instance {
-    /// Starts a process of this program, over a store.
+    /// Starts a gateway process that uses the given store.
     ///
     /// # Panics
     ///
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start(program: &Path, name: &str, store: SocketAddr) -> Self {
         Self::start_with_seeds(program, name, store, &[])
     }
 
-    /// Starts a process that knows some peers from its settings.
+    /// Starts a gateway process whose settings list some peers as seeds.
     ///
     /// # Panics
     ///
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start_with_seeds(
         program: &Path,
         name: &str,
         store: SocketAddr,
         seeds: &[SocketAddr],
     ) -> Self {
-        let [callers, health, directory, peers, metrics] = unique_addresses();
-        let settings = std::env::temp_dir().join(format!("{name}-{}.jsonc", callers.ip()));
+        let [
+            caller_address,
+            health_address,
+            directory_address,
+            peer_address,
+            metrics_address,
+        ] = unique_addresses();
+        let settings = std::env::temp_dir().join(format!("{name}-{}.jsonc", caller_address.ip()));
         let text = format!(
             r#"{{ "interface": "platform", "instance": "{name}", "ip": "{}", "centre": "a", "metrics": {},
-                "listen": {{ "callers": "{callers}", "health": "{health}",
-                             "directory": "{directory}", "peers": "{peers}" }},
+                "listen": {{ "callers": "{caller_address}", "health": "{health_address}",
+                             "directory": "{directory_address}", "peers": "{peer_address}" }},
                 "store": "{store}", "seeds": {}, "memory_mb": 110, // as on the platform
                 "bounds": {{ "grace_s": 8, "retry_ratio": 0.2, "retry_slack": 54,
                              "quota_window_s": 8, "quota_overage": 0.1, "quota_slack": 110000,
                              "keep_s": 5 }} }}"#,
-            callers.ip(),
-            metrics.port(),
+            caller_address.ip(),
+            metrics_address.port(),
             serde_json::json!(seeds)
         );
         fs::write(&settings, text).unwrap();
@@ -80,90 +86,91 @@
             child,
             program,
             settings,
-            caller_address: callers,
-            health_address: health,
-            directory_address: directory,
-            peer_address: peers,
-            metrics_address: metrics,
+            caller_address,
+            health_address,
+            directory_address,
+            peer_address,
+            metrics_address,
         }
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// Starts it again under its name and addresses.
+    /// Starts the process again with the same name and addresses.
     pub fn restart(&mut self) {
         self.child = spawn(&self.program, &self.settings);
     }
 
-    /// Starts it again if it has ended, and returns whether it had.
+    /// Restarts the process if it has exited, and returns whether it had.
     pub fn restart_if_exited(&mut self) -> bool {
-        let gone = matches!(self.child.try_wait(), Ok(Some(_)));
-        if gone {
+        let exited = matches!(self.child.try_wait(), Ok(Some(_)));
+        if exited {
             self.restart();
         }
-        gone
+        exited
     }
 
-    /// Returns whether it answers a request with a success.
+    /// Returns whether it responds to a request with status 200.
     pub fn serves_requests(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(self.caller_address) else {
             return false;
         };
-        let limit = Some(Duration::from_secs(2));
-        if stream.set_read_timeout(limit).is_err() {
+        let timeout = Some(Duration::from_secs(2));
+        if stream.set_read_timeout(timeout).is_err() {
             return false;
         }
         let head = "GET /safe/a HTTP/1.1\r\nhost: h.example\r\nauthorization: Bearer k1\r\n\
                     siskinyoke-request-id: probe\r\nconnection: close\r\n\r\n";
-        let mut answer = String::new();
-        let done = stream.write_all(head.as_bytes());
-        done.and_then(|()| stream.read_to_string(&mut answer))
+        let mut response = String::new();
+        let written = stream.write_all(head.as_bytes());
+        written
+            .and_then(|()| stream.read_to_string(&mut response))
             .is_ok()
-            && answer.starts_with("HTTP/1.1 200")
+            && response.starts_with("HTTP/1.1 200")
     }
 
-    /// Waits until it takes callers.
+    /// Waits until it is ready for callers.
     ///
     /// # Panics
     ///
-    /// If it does not within half a minute.
+    /// If it is not ready within 30 seconds.
     #[must_use]
     pub fn wait_until_ready(self) -> Self {
-        wait_until("ready", || {
+        wait_until("the instance is ready", || {
             self.http_status(self.health_address, "/api/readyz") == Some(200)
         });
         self
     }
 
-    /// Returns the status of a page.
+    /// Returns the status code of a page, if there is a valid response.
     pub fn http_status(&self, address: SocketAddr, path: &str) -> Option<u16> {
-        let answer = http_get(address, path)?;
-        answer.split(' ').nth(1)?.parse().ok()
+        let response = http_get(address, path)?;
+        response.split(' ').nth(1)?.parse().ok()
     }
 
-    /// Sends it a signal; one that has ended gets none.
+    /// Sends a signal to the process, unless it has exited.
     ///
     /// # Panics
     ///
-    /// If its number is no process number.
+    /// If the process id is invalid or the signal cannot be sent.
     pub fn send_signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).unwrap();
-        // A child that ended stays a process of this number until it is waited for.
+        // The id is not reused: an exited child remains a zombie process until it is waited for.
         if let Err(err) = kill_process(Pid::from_raw(pid).unwrap(), signal) {
             assert_eq!(err, Errno::SRCH);
         }
     }
 
-    /// Waits for its end and returns what it logged.
+    /// Waits until the process exits, and returns its log.
     ///
     /// # Panics
     ///
-    /// If it ended with a failure.
+    /// If the process exits with a failure.
     pub fn into_log(mut self) -> String {
         let mut text = String::new();
         self.child
@@ -176,11 +183,11 @@
         text
     }
 
-    /// Opens a connection of a caller.
+    /// Opens a connection as a caller.
     ///
     /// # Panics
     ///
-    /// If it takes none.
+    /// If the connection is refused.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.caller_address).unwrap();
         stream
@@ -189,52 +196,56 @@
         stream
     }
 
-    /// Sends a request over a connection of its own and returns all that comes back.
-    pub fn call(&self, id: &str, path: &str, more: &str, body: &str) -> String {
+    /// Sends a request over a new connection and returns everything received.
+    ///
+    /// `headers` is a sequence of complete header lines.
+    pub fn call(&self, id: &str, path: &str, headers: &str, body: &str) -> String {
         let mut stream = self.connect();
         send_request(
             &mut stream,
             id,
             path,
-            &format!("connection: close\r\n{more}"),
+            &format!("connection: close\r\n{headers}"),
             body,
         );
-        let mut answer = String::new();
-        // An answer that is cut off ends here, too; the tests look at what came.
-        drop(stream.read_to_string(&mut answer));
-        answer
+        let mut response = String::new();
+        // A response may be truncated; the tests check what was received.
+        drop(stream.read_to_string(&mut response));
+        response
     }
 }
 
 impl Drop for Instance {
     fn drop(&mut self) {
         self.kill();
-        // The file may be gone.
+        // The file may have been removed already.
         drop(fs::remove_file(&self.settings));
     }
 }
 
-/// Sends a request with the key and host that the tests' configuration knows.
+/// Sends a request with the key and host of the test configuration.
+///
+/// `headers` is a sequence of complete header lines.
 ///
 /// # Panics
 ///
 /// If the connection is closed.
-pub fn send_request(stream: &mut TcpStream, id: &str, path: &str, more: &str, body: &str) {
+pub fn send_request(stream: &mut TcpStream, id: &str, path: &str, headers: &str, body: &str) {
     let length = body.len();
     write!(
         stream,
         "POST {path} HTTP/1.1\r\nhost: h.example\r\nauthorization: Bearer k1\r\n\
          siskinyoke-request-id: {id}\r\nsiskinyoke-deadline-ms: 4000\r\n\
-         content-length: {length}\r\n{more}\r\n{body}"
+         content-length: {length}\r\n{headers}\r\n{body}"
     )
     .unwrap();
 }
 
-/// Reads one answer whose body has a length.
+/// Reads one response with a content length.
 ///
 /// # Panics
 ///
-/// If none comes.
+/// If no complete response is received.
 pub fn read_response(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
@@ -256,7 +267,7 @@
     text
 }
 
-/// Gets a page, if it is there.
+/// Returns the response to a GET request, if the server responds.
 pub fn http_get(address: SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     write!(
@@ -264,24 +275,24 @@
         "GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
     )
     .ok()?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).ok()?;
-    Some(answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response).ok()?;
+    Some(response)
 }
 
-/// Waits for something to come true.
+/// Waits until a condition holds.
 ///
 /// # Panics
 ///
-/// If it does not within half a minute.
-pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
+/// If it does not hold within 30 seconds.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..3_000 {
-        if done() {
+        if condition() {
             return;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("not in half a minute: {what}");
+    panic!("timed out after 30 s waiting until {description}");
 }
 
 fn spawn(program: &Path, settings: &Path) -> Child {
@@ -293,10 +304,16 @@
     command.spawn().unwrap()
 }
 
-// Each instance has a loopback address of its own, so that no two ever want the same port.
+// Returns the addresses of a new instance. Each instance has its own loopback IP address, so that
+// the fixed ports never collide.
 fn unique_addresses() -> [SocketAddr; 5] {
     static NEXT_OCTET: AtomicU8 = AtomicU8::new(1);
-    let process = u8::try_from(std::process::id() % 200).unwrap() + 20;
-    let ip = Ipv4Addr::new(127, process, NEXT_OCTET.fetch_add(1, Ordering::Relaxed), 1);
+    let process_octet = u8::try_from(std::process::id() % 200).unwrap() + 20;
+    let ip = Ipv4Addr::new(
+        127,
+        process_octet,
+        NEXT_OCTET.fetch_add(1, Ordering::Relaxed),
+        1,
+    );
     [8221, 8224, 8220, 8229, 9464].map(|port| SocketAddr::new(ip.into(), port))
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins around real gateway processes, and a randomized soak that harms them.
+//! A randomized soak test that injects faults into real gateway processes, and the stand-ins for
+//! the store and the endpoints around them.
 
 pub mod checker;
 pub mod client;
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections it carries.
+//! A loopback proxy that injects network faults.
 
 use std::io::Read;
 use std::io::Write;
@@ -11,31 +11,31 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a proxy does to the bytes it carries.
+/// The fault that a proxy applies to its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// Forwards all bytes.
     None,
-    /// It holds them back for some milliseconds.
+    /// Delays bytes in both directions, by this many milliseconds.
     DelayMs(u64),
-    /// It swallows them, both ways.
+    /// Discards bytes in both directions.
     DropAll,
-    /// It swallows what comes back.
+    /// Discards bytes from the target.
     DropResponses,
-    /// It closes connections, and takes no new ones for long.
+    /// Closes connections when bytes arrive on them, and new ones at once.
     Reset,
 }
 
-/// A loopback proxy that harms the connections it carries.
+/// A loopback proxy that injects network faults.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     fault: Arc<Mutex<Fault>>,
 }
 
 impl Proxy {
-    /// Starts a proxy before an address.
+    /// Starts a proxy that forwards connections to the target.
     ///
     /// # Panics
     ///
@@ -47,62 +47,63 @@
             address,
             fault: Arc::new(Mutex::new(Fault::None)),
         };
-        let carrying = proxy.clone();
+        let accepting = proxy.clone();
         thread::spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                carrying.forward_connection(near, target);
+            for client in listener.incoming().map_while(Result::ok) {
+                accepting.forward_connection(client, target);
             }
         });
         proxy
     }
 
-    /// Sets what is done to all bytes from now on.
+    /// Sets the fault that applies to all connections from now on.
     ///
     /// # Panics
     ///
-    /// If a thread of the proxy panicked before.
-    pub fn set_fault(&self, harm: Fault) {
-        *self.fault.lock().unwrap() = harm;
+    /// If a thread of the proxy has panicked.
+    pub fn set_fault(&self, fault: Fault) {
+        *self.fault.lock().unwrap() = fault;
     }
 
     fn fault(&self) -> Fault {
         *self.fault.lock().unwrap()
     }
 
-    fn forward_connection(&self, near: TcpStream, target: SocketAddr) {
+    fn forward_connection(&self, client: TcpStream, target: SocketAddr) {
         if self.fault() == Fault::Reset {
             return;
         }
-        let Ok(far) = TcpStream::connect(target) else {
+        let Ok(server) = TcpStream::connect(target) else {
             return;
         };
-        let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else {
+        let (Ok(client_writer), Ok(server_reader)) = (client.try_clone(), server.try_clone())
+        else {
             return;
         };
-        let there = self.clone();
-        let back = self.clone();
-        thread::spawn(move || there.forward_bytes(near, far, false));
-        thread::spawn(move || back.forward_bytes(far2, near2, true));
+        let upstream = self.clone();
+        let downstream = self.clone();
+        thread::spawn(move || upstream.forward_bytes(client, server, false));
+        thread::spawn(move || downstream.forward_bytes(server_reader, client_writer, true));
     }
 
-    fn forward_bytes(&self, mut from: TcpStream, mut to: TcpStream, back: bool) {
+    fn forward_bytes(&self, mut from: TcpStream, mut to: TcpStream, is_response: bool) {
         let mut buffer = [0; 4096];
         while let Ok(length) = from.read(&mut buffer) {
-            let swallow = match self.fault() {
+            let discard = match self.fault() {
                 Fault::Reset => break,
                 Fault::DropAll => true,
-                Fault::DropResponses => back,
-                Fault::DelayMs(span) => {
-                    thread::sleep(Duration::from_millis(span));
+                Fault::DropResponses => is_response,
+                Fault::DelayMs(delay_ms) => {
+                    thread::sleep(Duration::from_millis(delay_ms));
                     false
                 }
                 Fault::None => false,
             };
-            if length == 0 || (!swallow && to.write_all(&buffer[..length]).is_err()) {
+            if length == 0 || (!discard && to.write_all(&buffer[..length]).is_err()) {
                 break;
             }
         }
-        // Either side may be gone already.
+        // Either side may be closed already.
         drop(from.shutdown(Shutdown::Both));
         drop(to.shutdown(Shutdown::Both));
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seeded run: real processes, callers, and faults that overlap.
+//! A seeded run of gateway processes and callers under overlapping faults.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -28,12 +28,12 @@
 
 const CALLER_COUNT: u64 = 6;
 
-/// How many processes and endpoints a run has.
+/// The number of gateway processes and endpoints in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Processes.
+    /// The number of gateway processes.
     pub instances: usize,
-    /// Endpoints.
+    /// The number of endpoints.
     pub endpoints: usize,
 }
 
@@ -51,28 +51,32 @@
     };
 }
 
-/// How long an instance has to have been without faults to be held to the time in which changes are in
-/// force, and that time: what operators of large fleets count on.
+/// How long all instances must have run without a fault before updates have to propagate in time.
 const STABLE_PERIOD: Duration = Duration::from_secs(5);
+
+/// Maximum time until an update is in use everywhere, which operators of large fleets rely on.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The versions of endpoints, by turns. The first endpoint of each never leaves.
-const ENDPOINT_VERSIONS: [&str; 2] = ["v1", "v2"];
+/// The versions of the service, assigned to its endpoints in turn. The first endpoint of each is
+/// never drained.
+const SERVICE_VERSIONS: [&str; 2] = ["v1", "v2"];
 
-/// Faults in a run, and the longest pause between two.
+/// Number of faults in a run.
 const FAULT_COUNT: usize = 25;
+
+/// Upper bound of the pause after each fault.
 const MAX_PAUSE_MS: u64 = 250;
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Debug)]
 pub struct RunReport {
-    /// Answers that were successes.
+    /// How many requests got a response with status 200.
     pub served: usize,
-    /// Callers that got anything else.
+    /// How many requests got any other response, or none.
     pub unserved: usize,
-    /// States of rollouts that were written.
+    /// How many rollout states were written to the store.
     pub rollout_states: usize,
-    /// Each broken promise, in words.
+    /// A description of each violated guarantee.
     pub violations: Vec<String>,
 }
 
@@ -82,46 +86,46 @@
     endpoint_proxies: Vec<Proxy>,
     store_proxies: Vec<Proxy>,
     instances: Vec<Instance>,
-    version: u64,
+    configuration_version: u64,
 }
 
-/// Plays the run of a seed with gateway processes of this program.
+/// Runs the given seed with processes of the given gateway program.
 ///
 /// # Panics
 ///
-/// If the machine cannot run it: no ports, no processes.
+/// If the machine has no free port or cannot start a process.
 pub fn run_seed(seed: u64, program: &Path, size: FleetSize) -> RunReport {
-    let mut world = Fleet::start(program, size);
+    let mut fleet = Fleet::start(program, size);
     let checker = Arc::new(Checker::default());
     let stop = Arc::new(AtomicBool::new(false));
-    let addresses: Vec<SocketAddr> = world.instances.iter().map(|it| it.caller_address).collect();
+    let addresses: Vec<SocketAddr> = fleet.instances.iter().map(|it| it.caller_address).collect();
     let callers: Vec<_> = (0..CALLER_COUNT)
-        .map(|number| {
+        .map(|caller| {
             let (checker, stop, addresses) = (checker.clone(), stop.clone(), addresses.clone());
-            thread::spawn(move || client::run_caller(seed, number, &addresses, &checker, &stop))
+            thread::spawn(move || client::run_caller(seed, caller, &addresses, &checker, &stop))
         })
         .collect();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     for _ in 0..FAULT_COUNT {
-        world.inject_fault(&mut rng);
+        fleet.inject_fault(&mut rng);
         thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
     }
-    world.clear_faults();
-    let mut broken = world.check_recovery();
+    fleet.clear_faults();
+    let mut violations = fleet.check_recovery();
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
         if caller.join().is_err() {
-            broken.push("a caller of the soak failed".to_owned());
+            violations.push("a caller thread panicked".to_owned());
         }
     }
-    broken.extend(checker.violations(&world.endpoints));
-    broken.extend(check_rollout_states(&world.store.rollout_states()));
-    let (good, other) = checker.result_counts();
+    violations.extend(checker.violations(&fleet.endpoints));
+    violations.extend(check_rollout_states(&fleet.store.rollout_states()));
+    let (served, unserved) = checker.result_counts();
     RunReport {
-        served: good,
-        unserved: other,
-        rollout_states: world.store.rollout_states().len(),
-        violations: broken,
+        served,
+        unserved,
+        rollout_states: fleet.store.rollout_states().len(),
+        violations,
     }
 }
 
@@ -130,9 +134,7 @@
         let store = Store::start();
         store.put("op/config", &configuration::text(3, "k1"));
         let endpoints: Vec<Endpoint> = (0..size.endpoints)
-            .map(|at| {
-                Endpoint::start_with_version(&format!("e{at}"), Some(ENDPOINT_VERSIONS[at % 2]))
-            })
+            .map(|i| Endpoint::start_with_version(&format!("e{i}"), Some(SERVICE_VERSIONS[i % 2])))
             .collect();
         let endpoint_proxies: Vec<Proxy> = endpoints
             .iter()
@@ -148,8 +150,8 @@
         let instances = store_proxies
             .iter()
             .enumerate()
-            .map(|(at, proxy)| {
-                Instance::start(program, &format!("i{at}"), proxy.address).wait_until_ready()
+            .map(|(i, proxy)| {
+                Instance::start(program, &format!("i{i}"), proxy.address).wait_until_ready()
             })
             .collect();
         Self {
@@ -158,59 +160,60 @@
             endpoint_proxies,
             store_proxies,
             instances,
-            version: 3,
+            configuration_version: 3,
         }
     }
 
+    // Injects a random fault, ends one, or writes a random update to the store.
     fn inject_fault(&mut self, rng: &mut ChaCha8Rng) {
-        let at = rng.random_range(0..self.instances.len());
+        let index = rng.random_range(0..self.instances.len());
         match rng.random_range(0..11) {
-            0 => self.instances[at].send_signal(Signal::STOP),
+            0 => self.instances[index].send_signal(Signal::STOP),
             1 | 2 => self
                 .instances
                 .iter()
                 .for_each(|it| it.send_signal(Signal::CONT)),
             3 => {
-                self.instances[at].kill();
-                self.instances[at].restart();
+                self.instances[index].kill();
+                self.instances[index].restart();
             }
-            4 => self.instances[at].send_signal(Signal::TERM),
+            4 => self.instances[index].send_signal(Signal::TERM),
             5 => {
                 for instance in &mut self.instances {
                     instance.restart_if_exited();
                 }
-                self.instances[at].send_signal(Signal::HUP);
+                self.instances[index].send_signal(Signal::HUP);
             }
             6 => set_random_fault(&self.store_proxies, rng),
             7 => set_random_fault(&self.endpoint_proxies, rng),
             8 => {
-                let moods = [
+                let states = [
                     Availability::Unavailable,
                     Availability::Unresponsive,
                     Availability::Available,
                     Availability::Available,
                 ];
                 self.store
-                    .set_availability(*moods.choose(rng).unwrap_or(&moods[0]));
+                    .set_availability(*states.choose(rng).unwrap_or(&states[0]));
             }
             9 => self.change_rollout_order(rng),
             _ => self.update_store(rng),
         }
     }
 
-    // The operator orders another version, or takes the order away.
+    // Orders a rollout to a random version, or removes the order.
     fn change_rollout_order(&mut self, rng: &mut ChaCha8Rng) {
         if rng.random_bool(0.2) {
             self.store.remove("op/rollout/lm");
             return;
         }
-        let version = ENDPOINT_VERSIONS[rng.random_range(0..2)];
+        let version = SERVICE_VERSIONS[rng.random_range(0..2)];
         let seconds = rng.random_range(1..5);
         let text = format!(r#"{{"Service":"lm","To":"{version}","DurationS":{seconds}}}"#);
         self.store.put("op/rollout/lm", &text);
     }
 
-    // The configuration or an endpoint's state changes, or the store forgets its history.
+    // Writes a random endpoint's state and a new configuration version, and may compact the store.
     fn update_store(&mut self, rng: &mut ChaCha8Rng) {
         let endpoint = rng.random_range(0..self.endpoints.len());
         let state = if endpoint > 1 && rng.random() {
@@ -224,9 +227,11 @@
         );
         let entry = self.endpoints[endpoint].entry_at(proxy.address, state);
         self.store.put(&format!("servers/{id}"), &entry);
-        self.version += 1;
-        self.store
-            .put("op/config", &configuration::text(self.version, "k1"));
+        self.configuration_version += 1;
+        self.store.put(
+            "op/config",
+            &configuration::text(self.configuration_version, "k1"),
+        );
         if rng.random() {
             self.store.compact();
         }
@@ -243,73 +248,82 @@
         }
     }
 
-    // After all faults every instance serves again within some seconds.
+    // Checks that every instance serves requests again within seconds, and that updates propagate.
     fn check_recovery(&mut self) -> Vec<String> {
-        let mut broken = Vec::new();
-        for number in 0..self.instances.len() {
+        let mut violations = Vec::new();
+        for index in 0..self.instances.len() {
             let served = (0..200).any(|_| {
                 thread::sleep(Duration::from_millis(50));
-                self.instances[number].restart_if_exited();
-                self.instances[number].serves_requests()
+                self.instances[index].restart_if_exited();
+                self.instances[index].serves_requests()
             });
             if !served {
-                broken.push(format!("instance {number} serves no more after the faults"));
+                violations.push(format!(
+                    "instance {index} serves no requests after the end of all faults"
+                ));
             }
         }
-        broken.extend(self.check_propagation());
-        broken
+        violations.extend(self.check_propagation());
+        violations
     }
 
-    // Waits until all have run without a fault for some time: one that was told to stop may take a while.
+    // Waits until no instance has exited for `STABLE_PERIOD`. An instance may take a while to exit
+    // after SIGTERM.
     fn wait_until_stable(&mut self) {
-        let mut since = Instant::now();
-        while since.elapsed() < STABLE_PERIOD {
+        let mut stable_since = Instant::now();
+        while stable_since.elapsed() < STABLE_PERIOD {
             thread::sleep(Duration::from_millis(50));
             for instance in &mut self.instances {
                 if instance.restart_if_exited() {
-                    since = Instant::now();
+                    stable_since = Instant::now();
                 }
             }
         }
     }
 
-    // After all faults a change is in force everywhere in time, also at instances that take it from a peer.
+    // Checks that a new configuration is in use at all instances in time, including those that
+    // receive it from a peer.
     fn check_propagation(&mut self) -> Vec<String> {
         self.wait_until_stable();
-        self.version += 1;
-        self.store
-            .put("op/config", &configuration::text(self.version, "k1"));
+        self.configuration_version += 1;
+        self.store.put(
+            "op/config",
+            &configuration::text(self.configuration_version, "k1"),
+        );
         thread::sleep(PROPAGATION_TIMEOUT);
-        let lacks = |it: &&Instance| active_version(it) != Some(self.version);
-        let late = self.instances.iter().filter(lacks);
-        late.map(|it| {
-            format!(
-                "version {} is not in force at {}: {:?}",
-                self.version,
-                it.caller_address,
-                active_version(it)
-            )
-        })
-        .collect()
+        let is_outdated = |it: &&Instance| active_version(it) != Some(self.configuration_version);
+        let outdated = self.instances.iter().filter(is_outdated);
+        outdated
+            .map(|it| {
+                format!(
+                    "configuration version {} is not in use at {}: active version {:?}",
+                    self.configuration_version,
+                    it.caller_address,
+                    active_version(it)
+                )
+            })
+            .collect()
     }
 }
 
-// An order has one outcome: nothing is written after it while the order stands.
-fn check_rollout_states(outcomes: &[(u64, String)]) -> Vec<String> {
-    let mut broken = Vec::new();
-    for pair in outcomes.windows(2) {
-        let [(order, first), (next, second)] = pair else {
+// Checks that the state of a rollout order does not change after it is completed or rolled back.
+fn check_rollout_states(rollout_states: &[(u64, String)]) -> Vec<String> {
+    let mut violations = Vec::new();
+    for pair in rollout_states.windows(2) {
+        let [(order, first), (next_order, second)] = pair else {
             continue;
         };
-        let over = first.contains("completed") || first.contains("rolled_back");
-        if *order > 0 && order == next && over && first != second {
-            broken.push(format!("order {order} was {first} and then {second}"));
+        let is_final = first.contains("completed") || first.contains("rolled_back");
+        if *order > 0 && order == next_order && is_final && first != second {
+            violations.push(format!(
+                "rollout order {order}: final state {first} was replaced by {second}"
+            ));
         }
     }
-    broken
+    violations
 }
 
-// The version that an instance has in force, by its metrics.
+// Returns the configuration version that an instance uses, according to its metrics.
 fn active_version(instance: &Instance) -> Option<u64> {
     let page = http_get(instance.metrics_address, "/metrics")?;
     let mut rows = page.lines().filter(|row| row.contains("siskinyoke_state"));
@@ -317,8 +331,9 @@
     row.rsplit(' ').next()?.trim().parse().ok()
 }
 
+// Sets a random fault, or none, at a random proxy.
 fn set_random_fault(proxies: &[Proxy], rng: &mut ChaCha8Rng) {
-    let harms = [
+    let faults = [
         Fault::None,
         Fault::None,
         Fault::DelayMs(30),
@@ -326,7 +341,7 @@
         Fault::DropResponses,
         Fault::Reset,
     ];
-    if let (Some(proxy), Some(harm)) = (proxies.choose(rng), harms.choose(rng)) {
-        proxy.set_fault(*harm);
+    if let (Some(proxy), Some(fault)) = (proxies.choose(rng), faults.choose(rng)) {
+        proxy.set_fault(*fault);
     }
 }
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -1,4 +1,4 @@
-//! A small stand-in of the platform's store, in memory.
+//! An in-memory stand-in for the platform's store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
-/// What the store does to the calls that reach it.
+/// How the store responds to calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// It serves them.
+    /// Serves all calls.
     Available,
-    /// It answers 503 to all.
+    /// Responds to all calls with status 503.
     Unavailable,
-    /// It takes calls and never answers them.
+    /// Accepts calls but never responds.
     Unresponsive,
 }
 
@@ -33,17 +33,17 @@
     changes: Vec<Value>,
     revision: u64,
     availability: Availability,
-    // Changes up to this revision are forgotten.
-    compacted: u64,
-    // States of rollouts as they were written, each with the revision of the order that stood.
+    // Changes up to this revision are no longer available to watch calls.
+    compacted_revision: u64,
+    // All rollout states written, each with the revision of its order, or 0 if there was none.
     rollout_states: Vec<(u64, String)>,
 }
 
-/// A small stand-in of the platform's store, in memory.
+/// An in-memory stand-in for the platform's store.
 #[derive(Debug, Clone)]
 pub struct Store {
     shared: Arc<(Mutex<State>, Condvar)>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
@@ -52,7 +52,7 @@
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If no port is free.
     pub fn start() -> Self {
         let server = Arc::new(Server::http("127.0.0.1:0").unwrap());
         let address = server.server_addr().to_ip().unwrap();
@@ -61,7 +61,7 @@
             changes: Vec::new(),
             revision: 10,
             availability: Availability::Available,
-            compacted: 0,
+            compacted_revision: 0,
             rollout_states: Vec::new(),
         };
         let store = Self {
@@ -82,7 +82,7 @@
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn put(&self, key: &str, value: &str) {
         let value = STANDARD.encode(value);
         let (state, changed) = &*self.shared;
@@ -94,7 +94,7 @@
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn remove(&self, key: &str) {
         let (state, changed) = &*self.shared;
         let mut state = state.lock().unwrap();
@@ -107,53 +107,54 @@
         changed.notify_all();
     }
 
-    /// Sets what it does to calls from now on.
+    /// Sets how it responds to calls from now on.
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
-    pub fn set_availability(&self, mood: Availability) {
+    /// If one of its threads has panicked.
+    pub fn set_availability(&self, availability: Availability) {
         let (state, changed) = &*self.shared;
-        state.lock().unwrap().availability = mood;
+        state.lock().unwrap().availability = availability;
         changed.notify_all();
     }
 
-    /// Forgets all changes so far.
+    /// Compacts the history: watch calls from an earlier revision fail.
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn compact(&self) {
         let mut state = self.shared.0.lock().unwrap();
-        state.compacted = state.revision;
+        state.compacted_revision = state.revision;
         self.shared.1.notify_all();
     }
 
-    /// Returns a value.
+    /// Returns the value of a key, if it exists.
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn value(&self, key: &str) -> Option<String> {
         let state = self.shared.0.lock().unwrap();
         let value = STANDARD.decode(&state.items.get(key)?.1).unwrap();
         Some(String::from_utf8(value).unwrap())
     }
 
-    /// Returns the states of rollouts as they were written, each with the revision of the order that stood, 0 for none.
+    /// Returns all rollout states written, each with the revision of its order, or 0 if there was
+    /// none.
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn rollout_states(&self) -> Vec<(u64, String)> {
         self.shared.0.lock().unwrap().rollout_states.clone()
     }
 
-    /// Returns the keys under a prefix.
+    /// Returns the keys with a prefix.
     ///
     /// # Panics
     ///
-    /// If one of its threads panicked before.
+    /// If one of its threads has panicked.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.shared.0.lock().unwrap();
         state
@@ -169,17 +170,17 @@
         let mut body = String::new();
         request.as_reader().read_to_string(&mut body).unwrap();
         if self.availability() == Availability::Unresponsive {
-            // A request that is dropped would be answered; without its writer nothing is.
+            // `tiny_http` responds to a dropped request unless its writer has been taken.
             drop(request.into_writer());
             return;
         }
-        let (status, answer) = if self.availability() == Availability::Unavailable {
+        let (status, content) = if self.availability() == Availability::Unavailable {
             (503, json!({}))
         } else {
             self.handle_call(&path, &query, &body)
         };
-        let response = Response::from_string(answer.to_string()).with_status_code(status);
-        // A caller that is gone needs no answer.
+        let response = Response::from_string(content.to_string()).with_status_code(status);
+        // The caller may have disconnected.
         drop(request.respond(response));
     }
 
@@ -199,6 +200,7 @@
         }
     }
 
+    // Returns the items whose keys have a prefix.
     fn range(&self, prefix: &str) -> Value {
         let state = self.shared.0.lock().unwrap();
         let items: Vec<_> = state
@@ -210,39 +212,42 @@
         json!({ "Items": items, "HasMore": false, "At": state.revision })
     }
 
+    // Waits for changes after a revision, and returns them.
     fn watch(&self, query: &BTreeMap<String, String>) -> (u16, Value) {
         let after: u64 = query["After"].parse().unwrap();
-        let wait: u64 = query["WaitMs"].parse().unwrap();
+        let wait_ms: u64 = query["WaitMs"].parse().unwrap();
         let (state, changed) = &*self.shared;
         let state = state.lock().unwrap();
-        let quiet = |state: &mut State| {
+        let is_idle = |state: &mut State| {
             state.revision <= after
                 && state.availability == Availability::Available
-                && state.compacted <= after
+                && state.compacted_revision <= after
         };
         let (state, _) = changed
-            .wait_timeout_while(state, Duration::from_millis(wait), quiet)
+            .wait_timeout_while(state, Duration::from_millis(wait_ms), is_idle)
             .unwrap();
         if state.availability == Availability::Unavailable {
             return (503, json!({}));
         }
-        if state.compacted > after {
+        if state.compacted_revision > after {
             return (410, json!({}));
         }
-        let later = |it: &&Value| it["Revision"].as_u64().unwrap() > after;
-        let events: Vec<_> = state.changes.iter().filter(later).cloned().collect();
+        let is_newer = |it: &&Value| it["Revision"].as_u64().unwrap() > after;
+        let events: Vec<_> = state.changes.iter().filter(is_newer).cloned().collect();
         (200, json!({ "events": events, "At": state.revision }))
     }
 
+    // Writes values if each expected key still has the expected revision, which is 0 if it does not
+    // exist.
     fn conditional_put(&self, body: &str) -> (u16, Value) {
         let body: Value = serde_json::from_str(body).unwrap();
         let (state, changed) = &*self.shared;
         let mut state = state.lock().unwrap();
-        let held = body["Expected"].as_array().unwrap().iter().all(|row| {
-            let known = state.items.get(row["Key"].as_str().unwrap());
-            known.map_or(0, |it| it.0) == row["Revision"].as_u64().unwrap()
+        let unmodified = body["Expected"].as_array().unwrap().iter().all(|row| {
+            let item = state.items.get(row["Key"].as_str().unwrap());
+            item.map_or(0, |it| it.0) == row["Revision"].as_u64().unwrap()
         });
-        if !held {
+        if !unmodified {
             return (412, json!({ "Items": [] }));
         }
         for put in body["Puts"].as_array().unwrap() {
