--- a/crates/siskinyoke-standin/src/chunked.rs
+++ b/crates/siskinyoke-standin/src/chunked.rs
@@ -71,7 +71,7 @@
     }
 
     /// Cuts the connection in the middle of the answer.
-    pub fn cut(self) {
+    pub fn abort(self) {
         if let Some(link) = self.peer {
             self.proxy.close_after_flush(link);
         }
--- a/crates/siskinyoke-standin/src/engine/completion.rs
+++ b/crates/siskinyoke-standin/src/engine/completion.rs
@@ -93,7 +93,7 @@
         };
         for (sent, event) in events.iter().skip(skipped).enumerate() {
             if Some(sent) == break_after {
-                pieces.cut();
+                pieces.abort();
                 return Outcome::Broken;
             }
             // The first word is sent when prefill ends, and the events after the last word without
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -103,7 +103,9 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => exchange.control(|gate, command| self.control(gate, command)),
+            ("POST", "/control") => {
+                exchange.handle_control(|gate, command| self.control(gate, command))
+            }
             _ => exchange.reply_error(404, "no such path"),
         }
     }
--- a/crates/siskinyoke-standin/src/etcd/gateway.rs
+++ b/crates/siskinyoke-standin/src/etcd/gateway.rs
@@ -81,7 +81,7 @@
 ///
 /// A [`Refusal`] if one of its writes is refused; then none took.
 pub fn txn(store: &mut Store, request: Txn) -> Result<Value, CallError> {
-    let holds = |compare: &wire::Compare| compare.holds(store.get(&compare.key));
+    let holds = |compare: &wire::Compare| compare.matches(store.get(&compare.key));
     let succeeded = request.compare.iter().all(holds);
     let ops = if succeeded {
         request.success
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns the calls by kind since the start.
-    pub fn counts(&self) -> BTreeMap<String, u64> {
+    pub fn call_counts(&self) -> BTreeMap<String, u64> {
         self.shared.lock().counts.clone()
     }
 
--- a/crates/siskinyoke-standin/src/etcd/server.rs
+++ b/crates/siskinyoke-standin/src/etcd/server.rs
@@ -180,7 +180,9 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => exchange.control(|gate, orders| self.control(gate, orders)),
+            ("POST", "/control") => {
+                exchange.handle_control(|gate, orders| self.control(gate, orders))
+            }
             _ => exchange.reply_error(404, "no such control"),
         }
     }
--- a/crates/siskinyoke-standin/src/etcd/wire.rs
+++ b/crates/siskinyoke-standin/src/etcd/wire.rs
@@ -133,7 +133,7 @@
 
 impl Compare {
     /// Says whether the condition holds of a key, which may be missing.
-    pub fn holds(&self, entry: Option<&Entry>) -> bool {
+    pub fn matches(&self, entry: Option<&Entry>) -> bool {
         let (found, wanted) = match self.target {
             Target::Version => (entry.map(|entry| entry.version), self.version),
             Target::Create => (
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -36,7 +36,7 @@
 
 /// A running server with its gate.
 pub struct HttpServer {
-    gate: Arc<Proxy>,
+    proxy: Arc<Proxy>,
     control_address: SocketAddr,
 }
 
@@ -60,14 +60,14 @@
         let own = Arc::clone(&gate);
         thread::spawn(move || mark_handled(&server, &own, &handler));
         Ok(Self {
-            gate,
+            proxy: gate,
             control_address: seen,
         })
     }
 
     /// Returns the address that others know.
     pub fn address(&self) -> SocketAddr {
-        self.gate.address()
+        self.proxy.address()
     }
 
     /// Returns the address that is reachable also while the gate is shut.
@@ -77,13 +77,13 @@
 
     /// Returns the gate.
     pub fn gate(&self) -> &Proxy {
-        &self.gate
+        &self.proxy
     }
 }
 
 impl Drop for HttpServer {
     fn drop(&mut self) {
-        self.gate.stop();
+        self.proxy.stop();
     }
 }
 
@@ -91,7 +91,7 @@
 pub struct Exchange {
     request: Request,
     gate: Arc<Proxy>,
-    link: Option<SocketAddr>,
+    peer: Option<SocketAddr>,
 }
 
 impl Exchange {
@@ -120,7 +120,7 @@
 
     /// Says whether the caller still holds the connection.
     pub fn is_connected(&self) -> bool {
-        self.link.is_none_or(|link| self.gate.is_open(link))
+        self.peer.is_none_or(|link| self.gate.is_open(link))
     }
 
     /// Reads the body.
@@ -160,7 +160,7 @@
     }
 
     /// Answers an order and carries it out, in this sequence: the order may shut the gate.
-    pub fn control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
+    pub fn handle_control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
         match self.json() {
             Ok(orders) => {
                 let gate = Arc::clone(&self.gate);
@@ -192,12 +192,12 @@
     ///
     /// What the system says if the caller broke off.
     pub fn start_chunked(self, content: &str) -> io::Result<ChunkedResponse> {
-        ChunkedResponse::start(self.request.into_writer(), self.gate, self.link, content)
+        ChunkedResponse::start(self.request.into_writer(), self.gate, self.peer, content)
     }
 
     /// Cuts the connection without an answer.
     pub fn cut(self) {
-        if let Some(link) = self.link {
+        if let Some(link) = self.peer {
             self.gate.close_after_flush(link);
         }
     }
@@ -218,7 +218,7 @@
         let exchange = Exchange {
             request,
             gate: Arc::clone(proxy),
-            link,
+            peer: link,
         };
         let handler = Arc::clone(handler);
         proxy.thread_pool().run(move || handler.handle(exchange));
--- a/crates/siskinyoke-standin/src/proxy.rs
+++ b/crates/siskinyoke-standin/src/proxy.rs
@@ -242,7 +242,7 @@
         let Ok(link) = Connection::connect(client, self.server_address) else {
             return;
         };
-        let (Ok(seen), Ok(up), Ok(down)) = (link.peer(), link.to_server(), link.down()) else {
+        let (Ok(seen), Ok(up), Ok(down)) = (link.peer(), link.to_server(), link.to_client()) else {
             return;
         };
         {
--- a/crates/siskinyoke-standin/src/proxy/connection.rs
+++ b/crates/siskinyoke-standin/src/proxy/connection.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the direction to the client.
-    pub fn down(&self) -> io::Result<Direction> {
+    pub fn to_client(&self) -> io::Result<Direction> {
         let from = self.server.try_clone()?;
         let to = self.client.try_clone()?;
         Ok(Direction {
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -124,7 +124,9 @@
 impl Handler for Shared {
     fn handle(&self, mut exchange: Exchange) {
         match (exchange.method().as_str(), exchange.path()) {
-            ("POST", "/control") => exchange.control(|gate, orders| self.control(gate, orders)),
+            ("POST", "/control") => {
+                exchange.handle_control(|gate, orders| self.control(gate, orders))
+            }
             ("GET", "/control/counts") => {
                 let counts = self.lock().executions.clone();
                 exchange.reply_json(200, &counts);
--- a/crates/siskinyoke-standin/src/trial.rs
+++ b/crates/siskinyoke-standin/src/trial.rs
@@ -82,7 +82,7 @@
 
 fn print_counts(fleet: &Fleet) {
     println!("\nwhat each part did:");
-    println!("  store: calls {:?}", fleet.etcd.counts());
+    println!("  store: calls {:?}", fleet.etcd.call_counts());
     for (place, engine) in fleet.engines.iter().enumerate() {
         let counts = engine.counts();
         println!(
