--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -101,7 +101,7 @@
 
     /// Returns the calls by kind since the start.
     pub fn call_counts(&self) -> BTreeMap<String, u64> {
-        self.shared.lock().counts.clone()
+        self.shared.lock().call_counts.clone()
     }
 
     /// Stops it, cutting every connection.
--- a/crates/siskinyoke-standin/src/etcd/server.rs
+++ b/crates/siskinyoke-standin/src/etcd/server.rs
@@ -42,7 +42,7 @@
 pub(super) struct State {
     pub(super) store: Store,
     pub(super) faults: Faults,
-    pub(super) counts: BTreeMap<String, u64>,
+    pub(super) call_counts: BTreeMap<String, u64>,
 }
 
 /// How a call ended.
@@ -64,7 +64,7 @@
         };
         let slow = {
             let mut state = self.lock();
-            *state.counts.entry(kind.to_owned()).or_default() += 1;
+            *state.call_counts.entry(kind.to_owned()).or_default() += 1;
             state.faults.call_delay
         };
         thread::sleep(slow.into());
@@ -74,7 +74,7 @@
         }
         match self.execute(kind, &mut exchange) {
             Outcome::Response(status, value) => exchange.reply_json(status, &value),
-            Outcome::ResponseLost => exchange.cut(),
+            Outcome::ResponseLost => exchange.abort(),
         }
     }
 }
@@ -177,7 +177,7 @@
     fn handle_control(&self, exchange: Exchange, path: &str) {
         match (exchange.method().as_str(), path) {
             ("GET", "/control/counts") => {
-                let counts = self.lock().counts.clone();
+                let counts = self.lock().call_counts.clone();
                 exchange.reply_json(200, &counts);
             }
             ("POST", "/control") => {
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -90,7 +90,7 @@
 /// One request that waits for its answer.
 pub struct Exchange {
     request: Request,
-    gate: Arc<Proxy>,
+    proxy: Arc<Proxy>,
     peer: Option<SocketAddr>,
 }
 
@@ -120,7 +120,7 @@
 
     /// Says whether the caller still holds the connection.
     pub fn is_connected(&self) -> bool {
-        self.peer.is_none_or(|link| self.gate.is_open(link))
+        self.peer.is_none_or(|link| self.proxy.is_open(link))
     }
 
     /// Reads the body.
@@ -163,7 +163,7 @@
     pub fn handle_control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
         match self.json() {
             Ok(orders) => {
-                let gate = Arc::clone(&self.gate);
+                let gate = Arc::clone(&self.proxy);
                 self.reply_json(200, &json!({}));
                 apply(&gate, &orders);
             }
@@ -173,7 +173,7 @@
 
     /// Cuts every connection and refuses new ones for a span, as a crash does.
     pub fn crash(self, span: Millis) {
-        self.gate.take_down(span);
+        self.proxy.take_down(span);
     }
 
     /// Answers with a text.
@@ -192,13 +192,13 @@
     ///
     /// What the system says if the caller broke off.
     pub fn start_chunked(self, content: &str) -> io::Result<ChunkedResponse> {
-        ChunkedResponse::start(self.request.into_writer(), self.gate, self.peer, content)
+        ChunkedResponse::start(self.request.into_writer(), self.proxy, self.peer, content)
     }
 
     /// Cuts the connection without an answer.
-    pub fn cut(self) {
+    pub fn abort(self) {
         if let Some(link) = self.peer {
-            self.gate.close_after_flush(link);
+            self.proxy.close_after_flush(link);
         }
     }
 }
@@ -217,7 +217,7 @@
         let link = link.filter(|seen| proxy.mark_handled(*seen));
         let exchange = Exchange {
             request,
-            gate: Arc::clone(proxy),
+            proxy: Arc::clone(proxy),
             peer: link,
         };
         let handler = Arc::clone(handler);
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -161,7 +161,7 @@
         };
         thread::sleep(time.into());
         if lost {
-            return exchange.cut();
+            return exchange.abort();
         }
         let echo = json!({
             "serial": serial,
