--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -62,7 +62,7 @@
 
     /// Applies a command, as `POST /control` does.
     pub fn control(&self, command: &EngineControl) {
-        self.shared.control(self.web.gate(), command);
+        self.shared.control(self.web.proxy(), command);
     }
 
     /// Returns the counters since the start.
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -80,7 +80,7 @@
 
     /// Carries out orders, as `POST /control` does.
     pub fn control(&self, orders: &EtcdControl) {
-        self.shared.control(self.server.gate(), orders);
+        self.shared.control(self.server.proxy(), orders);
     }
 
     /// Writes a value, as operators and endpoints do.
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the gate.
-    pub fn gate(&self) -> &Proxy {
+    pub fn proxy(&self) -> &Proxy {
         &self.proxy
     }
 }
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -94,7 +94,7 @@
 
     /// Carries out orders, as `POST /control` does.
     pub fn control(&self, orders: &ServiceControl) {
-        self.shared.control(self.server.gate(), orders);
+        self.shared.control(self.server.proxy(), orders);
     }
 
     /// Returns how often each request was executed.
