--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -34,8 +34,8 @@
 use siskinyoke_base::Millis;
 
 pub use self::identity::Identity;
+pub use self::rollouts::PhaseChange;
 pub use self::rollouts::StatusWrite;
-pub use self::rollouts::TrafficShift;
 pub use self::routing::IncomingRequest;
 pub use self::routing::RoutedRequest;
 
@@ -59,7 +59,7 @@
     budgets: Map<Arc<str>, RetryBudget>,
     quarantine: Quarantine,
     store_view: store::StoreView,
-    leaving: bool,
+    shutting_down: bool,
     report_number: u64,
     configured_at: Option<Millis>,
 }
@@ -81,7 +81,7 @@
             budgets: Map::default(),
             quarantine: Quarantine::default(),
             store_view: store::StoreView::default(),
-            leaving: false,
+            shutting_down: false,
             report_number: 0,
             configured_at: None,
             identity,
@@ -141,17 +141,17 @@
 
     /// Returns whether this instance accepts callers.
     pub fn ready(&self) -> bool {
-        self.configuration.is_some() && !self.leaving && self.registry.all().next().is_some()
+        self.configuration.is_some() && !self.shutting_down && self.registry.all().next().is_some()
     }
 
     /// Starts to leave the fleet: no new callers are directed here.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn begin_shutdown(&mut self) {
+        self.shutting_down = true;
     }
 
     /// Returns whether this instance is leaving the fleet.
-    pub fn leaving(&self) -> bool {
-        self.leaving
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down
     }
 
     /// Routes and authenticates a request by its head and charges its organisation's quota.
@@ -166,7 +166,7 @@
     ) -> Result<RoutedRequest, Refusal> {
         let routed = self.resolve(now, request)?;
         self.retry_budget(&routed.service).record_request(now);
-        self.charge_quota(now, &routed, routing::unit_fraction(request.draw), 0)?;
+        self.charge_quota(now, &routed, routing::unit_fraction(request.id_hash), 0)?;
         Ok(routed)
     }
 
@@ -185,7 +185,12 @@
         borrowed: u64,
     ) -> Result<RoutedRequest, Refusal> {
         let routed = self.resolve(now, request)?;
-        self.charge_quota(now, &routed, routing::unit_fraction(request.draw), borrowed)?;
+        self.charge_quota(
+            now,
+            &routed,
+            routing::unit_fraction(request.id_hash),
+            borrowed,
+        )?;
         Ok(routed)
     }
 
@@ -268,7 +273,7 @@
             Outcome::ConnectionLost => {
                 if let Some(key) = request.tried.last() {
                     self.quarantine
-                        .record_crash(now, request.fingerprint, key.short());
+                        .record_crash(now, request.fingerprint, key.short_key());
                 }
             }
             Outcome::Completed { .. } => self.quarantine.clear(request.fingerprint),
--- a/crates/siskinyoke-dispatch/src/watchers.rs
+++ b/crates/siskinyoke-dispatch/src/watchers.rs
@@ -35,7 +35,7 @@
 
 /// An instance that may be selected to watch the store.
 #[derive(Debug, Clone, Copy)]
-pub struct Candidate<'a> {
+pub struct WatcherCandidate<'a> {
     /// The instance's name.
     pub name: &'a str,
     /// Whether its last call to the store succeeded, as far as known.
@@ -46,12 +46,12 @@
 ///
 /// If none of them can reach the store, the first of all is selected and keeps trying.
 pub fn select_watcher<'a>(
-    me: Candidate<'a>,
-    peers: impl Iterator<Item = Candidate<'a>>,
+    own: WatcherCandidate<'a>,
+    peers: impl Iterator<Item = WatcherCandidate<'a>>,
 ) -> &'a str {
-    let order = |it: &Candidate<'a>| (!it.store_reachable, stable_hash(&it.name), it.name);
+    let order = |it: &WatcherCandidate<'a>| (!it.store_reachable, stable_hash(&it.name), it.name);
     peers
-        .chain([me])
+        .chain([own])
         .min_by_key(order)
-        .map_or(me.name, |it| it.name)
+        .map_or(own.name, |it| it.name)
 }
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a model engine that batches continuously.
+//! A stand-in for a model engine with continuous batching.
 
 pub mod batch;
 pub mod cache;
@@ -17,10 +17,10 @@
 use serde_json::json;
 
 use crate::error::StandinError;
-use crate::gate::Gate;
-use crate::web::Exchange;
-use crate::web::Handler;
-use crate::web::Web;
+use crate::http::Exchange;
+use crate::http::Handler;
+use crate::http::HttpServer;
+use crate::proxy::Proxy;
 
 pub use self::config::EngineConfig;
 
@@ -31,14 +31,14 @@
 use self::control::FaultSettings;
 use self::counts::Counts;
 
-/// A running stand-in engine; it stops when dropped.
+/// A running stand-in engine, stopped on drop.
 pub struct Engine {
-    web: Web,
+    web: HttpServer,
     shared: Arc<Shared>,
 }
 
 impl Engine {
-    /// Starts it.
+    /// Starts an engine.
     ///
     /// # Errors
     ///
@@ -46,31 +46,31 @@
     pub fn start(config: &EngineConfig) -> Result<Self, StandinError> {
         let shared = Arc::new(Shared::new(config.clone()));
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = Web::start(&config.listen, &config.control, handler)?;
+        let web = HttpServer::start(&config.listen, &config.control, handler)?;
         Ok(Self { web, shared })
     }
 
-    /// Returns the address of the engine.
+    /// Returns the listen address of the engine.
     pub fn address(&self) -> SocketAddr {
         self.web.address()
     }
 
-    /// Returns the address that stays reachable while the engine is down.
+    /// Returns the control address, which stays reachable while the engine is down.
     pub fn control_address(&self) -> SocketAddr {
-        self.web.control()
+        self.web.control_address()
     }
 
-    /// Carries out orders, as `POST /control` does.
+    /// Applies a command, as `POST /control` does.
     pub fn control(&self, command: &EngineControl) {
-        self.shared.control(self.web.gate(), command);
+        self.shared.control(self.web.proxy(), command);
     }
 
-    /// Returns what it has seen since it started.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts.clone()
     }
 
-    /// Stops it, cutting every connection.
+    /// Stops the engine and closes every connection.
     pub fn stop(self) {
         drop(self);
     }
@@ -103,7 +103,9 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => exchange.control(|gate, command| self.control(gate, command)),
+            ("POST", "/control") => {
+                exchange.handle_control(|gate, command| self.control(gate, command))
+            }
             _ => exchange.reply_error(404, "no such path"),
         }
     }
@@ -152,22 +154,14 @@
                 counts.cached,
             )
         };
-        let batch_load = self.batch.lagged_load(metrics_lag);
+        let load = self.batch.lagged_load(metrics_lag);
         let model = self.config.models.first().map_or("", String::as_str);
         let line = |kind: &str, name: &str, value: String| {
             format!("# TYPE vllm:{name} {kind}\nvllm:{name}{{model_name=\"{model}\"}} {value}\n")
         };
         [
-            line(
-                "gauge",
-                "num_requests_running",
-                batch_load.running.to_string(),
-            ),
-            line(
-                "gauge",
-                "num_requests_waiting",
-                batch_load.waiting.to_string(),
-            ),
+            line("gauge", "num_requests_running", load.running.to_string()),
+            line("gauge", "num_requests_waiting", load.waiting.to_string()),
             line("gauge", "kv_cache_usage_perc", cache_usage.to_string()),
             line(
                 "counter",
@@ -179,8 +173,8 @@
         .concat()
     }
 
-    fn control(&self, gate: &Gate, command: &EngineControl) {
+    fn control(&self, gate: &Proxy, command: &EngineControl) {
         self.lock().faults.apply(command);
-        gate.order(command.down, command.freeze);
+        gate.apply_faults(command.down, command.freeze);
     }
 }
