--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -62,7 +62,7 @@
 
     /// Applies a command, as `POST /control` does.
     pub fn control(&self, command: &EngineControl) {
-        self.shared.control(self.web.gate(), command);
+        self.shared.control(self.web.proxy(), command);
     }
 
     /// Returns the counters since the start.
@@ -103,7 +103,9 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => exchange.control(|gate, command| self.control(gate, command)),
+            ("POST", "/control") => {
+                exchange.handle_control(|gate, command| self.control(gate, command))
+            }
             _ => exchange.reply_error(404, "no such path"),
         }
     }
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -80,7 +80,7 @@
 
     /// Carries out orders, as `POST /control` does.
     pub fn control(&self, orders: &EtcdControl) {
-        self.shared.control(self.server.gate(), orders);
+        self.shared.control(self.server.proxy(), orders);
     }
 
     /// Writes a value, as operators and endpoints do.
@@ -100,8 +100,8 @@
     }
 
     /// Returns the calls by kind since the start.
-    pub fn counts(&self) -> BTreeMap<String, u64> {
-        self.shared.lock().counts.clone()
+    pub fn call_counts(&self) -> BTreeMap<String, u64> {
+        self.shared.lock().call_counts.clone()
     }
 
     /// Stops it, cutting every connection.
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -36,7 +36,7 @@
 
 /// A running server with its gate.
 pub struct HttpServer {
-    gate: Arc<Proxy>,
+    proxy: Arc<Proxy>,
     control_address: SocketAddr,
 }
 
@@ -60,14 +60,14 @@
         let own = Arc::clone(&gate);
         thread::spawn(move || mark_handled(&server, &own, &handler));
         Ok(Self {
-            gate,
+            proxy: gate,
             control_address: seen,
         })
     }
 
     /// Returns the address that others know.
     pub fn address(&self) -> SocketAddr {
-        self.gate.address()
+        self.proxy.address()
     }
 
     /// Returns the address that is reachable also while the gate is shut.
@@ -76,22 +76,22 @@
     }
 
     /// Returns the gate.
-    pub fn gate(&self) -> &Proxy {
-        &self.gate
+    pub fn proxy(&self) -> &Proxy {
+        &self.proxy
     }
 }
 
 impl Drop for HttpServer {
     fn drop(&mut self) {
-        self.gate.stop();
+        self.proxy.stop();
     }
 }
 
 /// One request that waits for its answer.
 pub struct Exchange {
     request: Request,
-    gate: Arc<Proxy>,
-    link: Option<SocketAddr>,
+    proxy: Arc<Proxy>,
+    peer: Option<SocketAddr>,
 }
 
 impl Exchange {
@@ -120,7 +120,7 @@
 
     /// Says whether the caller still holds the connection.
     pub fn is_connected(&self) -> bool {
-        self.link.is_none_or(|link| self.gate.is_open(link))
+        self.peer.is_none_or(|link| self.proxy.is_open(link))
     }
 
     /// Reads the body.
@@ -160,10 +160,10 @@
     }
 
     /// Answers an order and carries it out, in this sequence: the order may shut the gate.
-    pub fn control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
+    pub fn handle_control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
         match self.json() {
             Ok(orders) => {
-                let gate = Arc::clone(&self.gate);
+                let gate = Arc::clone(&self.proxy);
                 self.reply_json(200, &json!({}));
                 apply(&gate, &orders);
             }
@@ -173,7 +173,7 @@
 
     /// Cuts every connection and refuses new ones for a span, as a crash does.
     pub fn crash(self, span: Millis) {
-        self.gate.take_down(span);
+        self.proxy.take_down(span);
     }
 
     /// Answers with a text.
@@ -192,13 +192,13 @@
     ///
     /// What the system says if the caller broke off.
     pub fn start_chunked(self, content: &str) -> io::Result<ChunkedResponse> {
-        ChunkedResponse::start(self.request.into_writer(), self.gate, self.link, content)
+        ChunkedResponse::start(self.request.into_writer(), self.proxy, self.peer, content)
     }
 
     /// Cuts the connection without an answer.
-    pub fn cut(self) {
-        if let Some(link) = self.link {
-            self.gate.close_after_flush(link);
+    pub fn abort(self) {
+        if let Some(link) = self.peer {
+            self.proxy.close_after_flush(link);
         }
     }
 }
@@ -217,8 +217,8 @@
         let link = link.filter(|seen| proxy.mark_handled(*seen));
         let exchange = Exchange {
             request,
-            gate: Arc::clone(proxy),
-            link,
+            proxy: Arc::clone(proxy),
+            peer: link,
         };
         let handler = Arc::clone(handler);
         proxy.thread_pool().run(move || handler.handle(exchange));
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -94,7 +94,7 @@
 
     /// Carries out orders, as `POST /control` does.
     pub fn control(&self, orders: &ServiceControl) {
-        self.shared.control(self.server.gate(), orders);
+        self.shared.control(self.server.proxy(), orders);
     }
 
     /// Returns how often each request was executed.
@@ -124,7 +124,9 @@
 impl Handler for Shared {
     fn handle(&self, mut exchange: Exchange) {
         match (exchange.method().as_str(), exchange.path()) {
-            ("POST", "/control") => exchange.control(|gate, orders| self.control(gate, orders)),
+            ("POST", "/control") => {
+                exchange.handle_control(|gate, orders| self.control(gate, orders))
+            }
             ("GET", "/control/counts") => {
                 let counts = self.lock().executions.clone();
                 exchange.reply_json(200, &counts);
@@ -159,7 +161,7 @@
         };
         thread::sleep(time.into());
         if lost {
-            return exchange.cut();
+            return exchange.abort();
         }
         let echo = json!({
             "serial": serial,
