--- a/crates/siskinyoke-dispatch/src/core.rs
+++ b/crates/siskinyoke-dispatch/src/core.rs
@@ -301,8 +301,8 @@
     pub fn sweep(&mut self, now: Millis) {
         self.registry.remove_expired(now);
         self.expire_departed(now);
-        for peer in self.peers.sweep(now) {
-            self.quotas.forget_peer(peer);
+        for incarnation in self.peers.sweep(now) {
+            self.quotas.forget_peer(incarnation);
         }
         self.scheduler.prune_endpoints(&self.registry);
         self.scheduler.sweep_lent_slots(now);
--- a/crates/siskinyoke-dispatch/src/placement.rs
+++ b/crates/siskinyoke-dispatch/src/placement.rs
@@ -232,7 +232,7 @@
     pub fn retain_known(&mut self, known: &[EndpointKey]) {
         self.health.retain(|key, _| known.contains(key));
         self.peer_speeds
-            .retain(|short, _| known.iter().any(|key| key.short_key() == *short));
+            .retain(|short_key, _| known.iter().any(|key| key.short_key() == *short_key));
     }
 
     // Returns this instance's preference for an endpoint, between 0 and 1. It differs between
--- a/crates/siskinyoke-dispatch/src/quota.rs
+++ b/crates/siskinyoke-dispatch/src/quota.rs
@@ -98,7 +98,7 @@
     policy: QuotaPolicy,
     // By the short hash of the organisation's name.
     buckets: Map<u32, Bucket>,
-    // Last reported usage by process id and organisation hash.
+    // Last reported usage by peer incarnation and organisation hash.
     peer_totals: Map<(u64, u32), i64>,
 }
 
@@ -208,14 +208,15 @@
         }
     }
 
-    /// Lends up to `units` to another shard, and returns how many were taken from the bucket.
+    /// Lends up to `units` of an organisation, given by its hashed name, to another shard, and
+    /// returns how many were taken from the bucket.
     ///
     /// A large fleet has one bucket per shard, each worth only a few requests. Requests arrive
     /// unevenly, so without lending a shard's bucket can be empty while the organisation uses half
     /// of its quota. Lent units leave this bucket at once, so none are granted twice.
     /// `LENDING_RESERVE_RATIO` of the capacity is never lent.
-    pub fn lend(&mut self, now: Millis, key: u32, units: u64, fleet_share: f64) -> u64 {
-        let Some(bucket) = self.buckets.get_mut(&key) else {
+    pub fn lend(&mut self, now: Millis, organisation: u32, units: u64, fleet_share: f64) -> u64 {
+        let Some(bucket) = self.buckets.get_mut(&organisation) else {
             return 0;
         };
         bucket.refill(now, fleet_share);
@@ -234,9 +235,9 @@
     /// its first report is subtracted as well: after all instances were killed, they grant requests
     /// for some time before they receive each other's reports. Usage of older peers before their
     /// first report is ignored, because the buckets here started almost empty.
-    pub fn record_peer_usage(&mut self, peer: u64, no_older: bool, totals: &[(u32, i64)]) {
+    pub fn record_peer_usage(&mut self, incarnation: u64, no_older: bool, totals: &[(u32, i64)]) {
         for (key, total) in totals {
-            let previous = self.peer_totals.insert((peer, *key), *total);
+            let previous = self.peer_totals.insert((incarnation, *key), *total);
             let previous = if no_older {
                 previous.or(Some(0))
             } else {
@@ -250,8 +251,8 @@
     }
 
     /// Drops the reported usage of a peer's process that has ended.
-    pub fn forget_peer(&mut self, peer: u64) {
-        self.peer_totals.retain(|key, _| key.0 != peer);
+    pub fn forget_peer(&mut self, incarnation: u64) {
+        self.peer_totals.retain(|key, _| key.0 != incarnation);
     }
 
     /// Returns the units taken here since the process started, less those borrowed from other
--- a/crates/siskinyoke-dispatch/src/rate_limits.rs
+++ b/crates/siskinyoke-dispatch/src/rate_limits.rs
@@ -193,7 +193,7 @@
     /// Drops the limits of endpoints that are not in `endpoints`.
     pub fn retain_endpoints(&mut self, endpoints: &[EndpointKey]) {
         self.limits
-            .retain(|short, _| endpoints.iter().any(|key| key.short_key() == *short));
+            .retain(|short_key, _| endpoints.iter().any(|key| key.short_key() == *short_key));
     }
 
     // Records an observation of a limit made at `observed_at`, unless a newer one is known.
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -125,7 +125,7 @@
     order: Order,
     status: Option<Status>,
     // When the order was placed, by the estimates of this instance and its peers.
-    started: Millis,
+    placed_at: Millis,
     // Versions of earlier orders whose rollout never completed.
     excluded_versions: Vec<Arc<str>>,
     // Whether endpoints of another version were present during this rollout.
@@ -165,7 +165,7 @@
         Self {
             order,
             status: None,
-            started: now,
+            placed_at: now,
             excluded_versions,
             stable_seen: false,
             slots: [0, 0],
@@ -240,7 +240,7 @@
             return;
         }
         // The peer that has known the order for the longest time is closest to when it was placed.
-        self.started = self.started.min(now.since(Millis(report.age)));
+        self.placed_at = self.placed_at.min(now.since(Millis(report.age)));
         self.failed |= report.failed;
         if same_shard {
             self.peer_reports.insert(incarnation, (now, report.clone()));
@@ -253,7 +253,7 @@
         CanaryReport {
             service: short_hash(&self.order.service),
             order: self.order.revision,
-            age: now.since(self.started).0,
+            age: now.since(self.placed_at).0,
             failed: self.failed,
             samples: self.tally.rows(now),
         }
@@ -334,7 +334,7 @@
             return None;
         }
         let stagger = Millis(WRITE_STAGGER.0 * u64::try_from(shard).unwrap_or(0));
-        let age = now.since(self.started).since(stagger);
+        let age = now.since(self.placed_at).since(stagger);
         if self.failed {
             return Some(State::RolledBack);
         }
@@ -363,7 +363,7 @@
         if !self.stable_seen {
             return Phase::Moved;
         }
-        let age = now.since(self.started);
+        let age = now.since(self.placed_at);
         let [new, stable] = self.slots.map(f64::from);
         if new < stable * MIN_SLOTS_RATIO || age < self.part_of_duration(RAMP_START_RATIO) {
             return Phase::Trial;
@@ -393,7 +393,7 @@
         }
         let [begin, end] =
             [RAMP_START_RATIO, RAMP_END_RATIO].map(|it| millis_to_f64(self.part_of_duration(it)));
-        let age = millis_to_f64(now.since(self.started));
+        let age = millis_to_f64(now.since(self.placed_at));
         ((age - begin) / (end - begin)).clamp(canary_share, MAX_RAMP_RATIO)
     }
 
--- a/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/wait_estimate.rs
@@ -29,8 +29,8 @@
         let overload = self
             .overloads
             .entry((request.service.clone(), request.priority));
-        let lasted = overload.or_default().record_refusal(now);
-        wait::with_jitter(wait.max(lasted).max(MIN_RETRY_AFTER), request)
+        let duration = overload.or_default().record_refusal(now);
+        wait::with_jitter(wait.max(duration).max(MIN_RETRY_AFTER), request)
     }
 
     // Returns whether a request would be on time if it were queued now.
