--- a/crates/siskinyoke-standin/src/engine/batch.rs
+++ b/crates/siskinyoke-standin/src/engine/batch.rs
@@ -13,7 +13,7 @@
 use siskinyoke_base::clock::SystemClock;
 
 /// How often a waiting request checks that its caller is still connected.
-const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Bound of the load history, from which lagging metrics are served.
 const MAX_LOAD_SAMPLES: usize = 65_536;
@@ -61,16 +61,16 @@
     }
 
     /// Waits in order of arrival for a slot; returns `None` if the caller disconnects.
-    pub fn acquire_slot(&self, alive: &dyn Fn() -> bool) -> Option<Slot<'_>> {
+    pub fn acquire_slot(&self, is_connected: &dyn Fn() -> bool) -> Option<Slot<'_>> {
         let mut state = self.lock();
         state.last_ticket += 1;
         let ticket = state.last_ticket;
         state.queue.push_back(ticket);
         self.record_sample(&mut state);
         while state.running >= self.slots || state.queue.front() != Some(&ticket) {
-            let waited = self.changed.wait_timeout(state, LIVENESS_CHECK_INTERVAL);
+            let waited = self.changed.wait_timeout(state, CONNECTION_CHECK_INTERVAL);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
-            if !alive() {
+            if !is_connected() {
                 state.queue.retain(|other| *other != ticket);
                 self.record_sample(&mut state);
                 self.changed.notify_all();
@@ -85,14 +85,14 @@
     }
 
     /// Prefills a prompt after all earlier ones; returns false if the caller disconnects.
-    pub fn prefill(&self, duration: Duration, alive: &dyn Fn() -> bool) -> bool {
+    pub fn prefill(&self, duration: Duration, is_connected: &dyn Fn() -> bool) -> bool {
         let now = Duration::from(self.clock.now());
         let end = {
             let mut state = self.lock();
             state.prefill_end = state.prefill_end.max(now) + duration;
             state.prefill_end
         };
-        sleep_while_alive(end.saturating_sub(now), alive)
+        sleep_while_connected(end.saturating_sub(now), is_connected)
     }
 
     /// Returns the load as of `lag` ago.
@@ -131,14 +131,14 @@
 }
 
 /// Sleeps in short steps; returns false as soon as the caller disconnects.
-pub fn sleep_while_alive(mut duration: Duration, alive: &dyn Fn() -> bool) -> bool {
+pub fn sleep_while_connected(mut duration: Duration, is_connected: &dyn Fn() -> bool) -> bool {
     while !duration.is_zero() {
-        let step = duration.min(LIVENESS_CHECK_INTERVAL);
+        let step = duration.min(CONNECTION_CHECK_INTERVAL);
         thread::sleep(step);
         duration -= step;
-        if !alive() {
+        if !is_connected() {
             return false;
         }
     }
-    alive()
+    is_connected()
 }
--- a/crates/siskinyoke-standin/src/engine/chat.rs
+++ b/crates/siskinyoke-standin/src/engine/chat.rs
@@ -81,39 +81,39 @@
         last.map(Message::text).unwrap_or_default()
     }
 
-    /// Generates the answer to the last user message.
-    pub fn answer(&self) -> Completion {
+    /// Generates the completion for the last user message.
+    pub fn completion(&self) -> Completion {
         let limit = self.max_completion_tokens.or(self.max_tokens);
         Completion::generate(&self.last_user_message(), limit)
     }
 }
 
-/// Returns the answer as a single response object.
-pub fn completion(request: &ChatRequest, answer: &Completion, lookup: CacheLookup) -> Value {
+/// Returns the completion as a single response object.
+pub fn response(request: &ChatRequest, completion: &Completion, lookup: CacheLookup) -> Value {
     json!({
-        "id": answer.id,
+        "id": completion.id,
         "object": "chat.completion",
         "created": CREATED_AT_SECONDS,
         "model": request.model,
         "choices": [{
             "index": 0,
-            "message": { "role": "assistant", "content": answer.text() },
-            "finish_reason": finish_reason(answer),
+            "message": { "role": "assistant", "content": completion.text() },
+            "finish_reason": finish_reason(completion),
         }],
-        "usage": usage(answer, lookup),
+        "usage": usage(completion, lookup),
     })
 }
 
-/// Returns the answer as server-sent events, including the terminator.
+/// Returns the completion as server-sent events, including the terminator.
 pub fn stream_events(
     request: &ChatRequest,
-    answer: &Completion,
+    completion: &Completion,
     lookup: CacheLookup,
 ) -> Vec<String> {
     let chunk = |delta: Value, reason: Value| {
         let choice = json!({ "index": 0, "delta": delta, "finish_reason": reason });
         json!({
-            "id": answer.id,
+            "id": completion.id,
             "object": "chat.completion.chunk",
             "created": CREATED_AT_SECONDS,
             "model": request.model,
@@ -122,14 +122,14 @@
     };
     let first = chunk(json!({ "role": "assistant", "content": "" }), Value::Null);
     let mut chunks = vec![first];
-    for word in &answer.words {
+    for word in &completion.words {
         chunks.push(chunk(json!({ "content": word }), Value::Null));
     }
-    chunks.push(chunk(json!({}), finish_reason(answer).into()));
+    chunks.push(chunk(json!({}), finish_reason(completion).into()));
     if request.stream_options.include_usage {
         let mut usage_chunk = chunk(json!({}), Value::Null);
         usage_chunk["choices"] = json!([]);
-        usage_chunk["usage"] = usage(answer, lookup);
+        usage_chunk["usage"] = usage(completion, lookup);
         chunks.push(usage_chunk);
     }
     let mut events: Vec<String> = chunks
@@ -141,12 +141,16 @@
     events
 }
 
-fn finish_reason(answer: &Completion) -> &'static str {
-    if answer.truncated { "length" } else { "stop" }
+fn finish_reason(completion: &Completion) -> &'static str {
+    if completion.truncated {
+        "length"
+    } else {
+        "stop"
+    }
 }
 
-fn usage(answer: &Completion, lookup: CacheLookup) -> Value {
-    let completion_tokens = answer.words.len();
+fn usage(completion: &Completion, lookup: CacheLookup) -> Value {
+    let completion_tokens = completion.words.len();
     json!({
         "prompt_tokens": lookup.prompt_tokens,
         "completion_tokens": completion_tokens,
--- a/crates/siskinyoke-standin/src/engine/completion.rs
+++ b/crates/siskinyoke-standin/src/engine/chat_handler.rs
@@ -29,7 +29,7 @@
 
 impl Shared {
     /// Handles a chat completion request.
-    pub(super) fn chat(&self, mut exchange: Exchange) {
+    pub(super) fn handle_chat(&self, mut exchange: Exchange) {
         let request_id = exchange
             .header(REQUEST_ID_HEADER)
             .unwrap_or_default()
@@ -58,64 +58,64 @@
     }
 
     fn respond(&self, exchange: Exchange, request: &ChatRequest, lookup: CacheLookup) -> Outcome {
-        let answer = request.answer();
+        let completion = request.completion();
         let seconds = f64::from(lookup.prompt_tokens - lookup.cached_tokens) / self.config.prefill;
         let duration = Duration::from_secs_f64(seconds * self.slowdown());
         if !self.batch.prefill(duration, &|| exchange.is_connected()) {
             return Outcome::Cancelled;
         }
         if request.stream {
-            return self.stream(exchange, request, &answer, lookup);
+            return self.stream_completion(exchange, request, &completion, lookup);
         }
-        for _ in 1..answer.words.len() {
+        for _ in 1..completion.words.len() {
             if !self.wait_for_token(&|| exchange.is_connected()) {
                 return Outcome::Cancelled;
             }
         }
-        exchange.reply_json(200, &chat::completion(request, &answer, lookup));
+        exchange.reply_json(200, &chat::response(request, &completion, lookup));
         Outcome::Completed
     }
 
-    fn stream(
+    fn stream_completion(
         &self,
         exchange: Exchange,
         request: &ChatRequest,
-        answer: &Completion,
+        completion: &Completion,
         lookup: CacheLookup,
     ) -> Outcome {
-        let events = chat::stream_events(request, answer, lookup);
+        let events = chat::stream_events(request, completion, lookup);
         let last_event = exchange.header(LAST_EVENT_HEADER);
         let last: Option<usize> = last_event.and_then(|id| id.parse().ok());
         let skipped = last.map_or(0, |id| id + 1);
         let break_after = self.lock().faults.next_break();
-        let Ok(mut pieces) = exchange.start_chunked("text/event-stream") else {
+        let Ok(mut stream) = exchange.start_chunked("text/event-stream") else {
             return Outcome::Cancelled;
         };
         for (sent, event) in events.iter().skip(skipped).enumerate() {
             if Some(sent) == break_after {
-                pieces.cut();
+                stream.cut();
                 return Outcome::Broken;
             }
             // The first word is sent when prefill ends, and the events after the last word without
             // delay.
             let index = skipped + sent;
-            let delayed = sent > 0 && index > 1 && index <= answer.words.len();
-            if delayed && !self.wait_for_token(&|| pieces.is_connected()) {
+            let delayed = sent > 0 && index > 1 && index <= completion.words.len();
+            if delayed && !self.wait_for_token(&|| stream.is_connected()) {
                 return Outcome::Cancelled;
             }
-            if pieces.send(event).is_err() {
+            if stream.send(event).is_err() {
                 return Outcome::Cancelled;
             }
         }
         // The caller has every event and may close the connection before the end of the body.
-        let _ = pieces.finish();
+        let _ = stream.finish();
         Outcome::Completed
     }
 
     /// Waits for the duration of one token; returns false if the caller disconnects.
-    fn wait_for_token(&self, alive: &dyn Fn() -> bool) -> bool {
+    fn wait_for_token(&self, is_connected: &dyn Fn() -> bool) -> bool {
         let interval = Duration::from_secs_f64(self.slowdown() / self.config.speed);
-        super::batch::sleep_while_alive(interval, alive)
+        super::batch::sleep_while_connected(interval, is_connected)
     }
 
     fn slowdown(&self) -> f64 {
--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -3,7 +3,7 @@
 pub mod batch;
 pub mod cache;
 pub mod chat;
-mod completion;
+mod chat_handler;
 pub mod config;
 pub mod control;
 pub mod counts;
@@ -33,7 +33,7 @@
 
 /// A running stand-in engine, stopped on drop.
 pub struct Engine {
-    web: HttpServer,
+    server: HttpServer,
     shared: Arc<Shared>,
 }
 
@@ -46,23 +46,23 @@
     pub fn start(config: &EngineConfig) -> Result<Self, StandinError> {
         let shared = Arc::new(Shared::new(config.clone()));
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = HttpServer::start(&config.listen, &config.control, handler)?;
-        Ok(Self { web, shared })
+        let server = HttpServer::start(&config.listen, &config.control, handler)?;
+        Ok(Self { server, shared })
     }
 
     /// Returns the listen address of the engine.
     pub fn address(&self) -> SocketAddr {
-        self.web.address()
+        self.server.address()
     }
 
     /// Returns the control address, which stays reachable while the engine is down.
     pub fn control_address(&self) -> SocketAddr {
-        self.web.control_address()
+        self.server.control_address()
     }
 
     /// Applies a command, as `POST /control` does.
     pub fn control(&self, command: &EngineControl) {
-        self.shared.control(self.web.gate(), command);
+        self.shared.control(self.server.gate(), command);
     }
 
     /// Returns the counters since the start.
@@ -93,8 +93,8 @@
         let method = exchange.method();
         let path = exchange.path().to_owned();
         match (method.as_str(), path.as_str()) {
-            ("POST", "/v1/chat/completions") => self.chat(exchange),
-            ("GET", "/v1/models") => self.models(exchange),
+            ("POST", "/v1/chat/completions") => self.handle_chat(exchange),
+            ("GET", "/v1/models") => self.list_models(exchange),
             ("GET", "/metrics") => {
                 exchange.reply(200, "text/plain; version=0.0.4", &self.metrics());
             }
@@ -103,7 +103,7 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => exchange.control(|gate, command| self.control(gate, command)),
+            ("POST", "/control") => exchange.control(|proxy, command| self.control(proxy, command)),
             _ => exchange.reply_error(404, "no such path"),
         }
     }
@@ -132,7 +132,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn models(&self, exchange: Exchange) {
+    fn list_models(&self, exchange: Exchange) {
         let models = &self.config.models;
         let data = models
             .iter()
@@ -154,25 +154,25 @@
         };
         let load = self.batch.lagged_load(metrics_lag);
         let model = self.config.models.first().map_or("", String::as_str);
-        let line = |kind: &str, name: &str, value: String| {
+        let metric = |kind: &str, name: &str, value: String| {
             format!("# TYPE vllm:{name} {kind}\nvllm:{name}{{model_name=\"{model}\"}} {value}\n")
         };
         [
-            line("gauge", "num_requests_running", load.running.to_string()),
-            line("gauge", "num_requests_waiting", load.waiting.to_string()),
-            line("gauge", "kv_cache_usage_perc", cache_usage.to_string()),
-            line(
+            metric("gauge", "num_requests_running", load.running.to_string()),
+            metric("gauge", "num_requests_waiting", load.waiting.to_string()),
+            metric("gauge", "kv_cache_usage_perc", cache_usage.to_string()),
+            metric(
                 "counter",
                 "prefix_cache_queries_total",
                 (prefilled + cached).to_string(),
             ),
-            line("counter", "prefix_cache_hits_total", cached.to_string()),
+            metric("counter", "prefix_cache_hits_total", cached.to_string()),
         ]
         .concat()
     }
 
-    fn control(&self, gate: &Proxy, command: &EngineControl) {
+    fn control(&self, proxy: &Proxy, command: &EngineControl) {
         self.lock().faults.apply(command);
-        gate.apply_faults(command.down, command.freeze);
+        proxy.apply_faults(command.down, command.freeze);
     }
 }
--- a/crates/siskinyoke-standin/src/load/file.rs
+++ b/crates/siskinyoke-standin/src/load/file.rs
@@ -54,12 +54,12 @@
     /// Tokens of the prefix that all prompts of this caller share.
     #[serde(default)]
     pub prefix: u32,
-    /// Minimum and maximum tokens of the answer.
+    /// Minimum and maximum tokens of the completion.
     pub output: [u32; 2],
     /// Ratio of streaming requests, from 0 to 1.
     #[serde(default = "one")]
     pub stream: f64,
-    /// Time within which the caller needs an answer, in milliseconds.
+    /// Time within which the caller needs a response, in milliseconds.
     #[serde(rename = "need", default)]
     pub caller_timeout: Option<Millis>,
 }
--- a/crates/siskinyoke-standin/src/load/mod.rs
+++ b/crates/siskinyoke-standin/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! An open-loop load driver that verifies each answer.
+//! An open-loop load driver that verifies each completion.
 
 pub mod file;
 pub mod plan;
--- a/crates/siskinyoke-standin/src/load/plan.rs
+++ b/crates/siskinyoke-standin/src/load/plan.rs
@@ -32,7 +32,7 @@
     pub request_id: String,
     /// Content of the user message, unique to the request.
     pub content: String,
-    /// Requested length of the answer, in tokens.
+    /// Requested length of the completion, in tokens.
     pub output_tokens: u32,
     /// Whether the response is streamed.
     pub stream: bool,
@@ -130,7 +130,10 @@
     -(1.0 - uniform).ln() / rate * MICROS_PER_MILLI * MICROS_PER_MILLI
 }
 
-#[expect(clippy::cast_precision_loss, reason = "spans stay far below 2^52 ms")]
+#[expect(
+    clippy::cast_precision_loss,
+    reason = "durations stay far below 2^52 ms"
+)]
 fn to_micros(at: Millis) -> f64 {
     at.0 as f64 * MICROS_PER_MILLI
 }
--- a/crates/siskinyoke-standin/src/load/report.rs
+++ b/crates/siskinyoke-standin/src/load/report.rs
@@ -47,14 +47,14 @@
     /// Requests due but not sent, because too many were in flight.
     #[serde(rename = "held")]
     pub unsent: u64,
-    /// Complete responses with the expected answer.
+    /// Complete responses with the expected completion.
     #[serde(rename = "whole")]
     pub correct: u64,
     /// Responses with an error status or an explicit error event.
     pub refused: u64,
     /// Requests without a response, or with an incomplete one.
     pub failed: u64,
-    /// Responses that look complete but lack the expected answer or a part of it.
+    /// Responses that look complete but lack the expected completion or a part of it.
     pub wrong: u64,
     /// Number of responses by result code and kind.
     pub codes: BTreeMap<String, u64>,
@@ -214,8 +214,8 @@
         .expect("the bounds are constant and valid")
 }
 
-fn record(histogram: &mut Histogram<u64>, span: Duration) {
-    let micros = u64::try_from(span.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
+fn record(histogram: &mut Histogram<u64>, latency: Duration) {
+    let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
     histogram.saturating_record(micros.clamp(1, MAX_LATENCY_MICROS));
 }
 
--- a/crates/siskinyoke-standin/src/load/sender.rs
+++ b/crates/siskinyoke-standin/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! Sends requests and verifies their answers.
+//! Sends requests and verifies their completions.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -27,13 +27,13 @@
 /// The classification of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Complete, with the expected answer.
+    /// Complete, with the expected completion.
     Correct,
     /// An error status, or a stream that ended with an error event.
     Refused,
     /// No response, or an incomplete one.
     Failed,
-    /// Looks complete, but lacks the expected answer or a part of it.
+    /// Looks complete, but lacks the expected completion or a part of it.
     Wrong,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Sends a request, verifies its answer and measures latencies from the due time.
+    /// Sends a request, verifies its completion and measures latencies from the due time.
     pub fn send(
         &self,
         address: &str,
@@ -151,13 +151,13 @@
 
     fn read_completion(&mut self, mut response: Response<Body>) {
         match response.body_mut().read_json::<Value>() {
-            Ok(answer) => {
-                let content = &answer["choices"][0]["message"]["content"];
+            Ok(body) => {
+                let content = &body["choices"][0]["message"]["content"];
                 content
                     .as_str()
                     .unwrap_or_default()
                     .clone_into(&mut self.text);
-                self.check_answer();
+                self.check_completion();
             }
             Err(err) => self.record_failure(&err.to_string()),
         }
@@ -176,7 +176,7 @@
                 // The response headers precede the result of a stream, so they do not contain it.
                 let code = Code::Complete;
                 self.outcome.code = format!("{} {}", code.number(), code.kind());
-                return self.check_answer();
+                return self.check_completion();
             }
             let event: Value = serde_json::from_str(data).unwrap_or_default();
             if event["error"].is_object() {
@@ -209,8 +209,8 @@
         self.outcome.code = format!("{} {kind}", error["code"]);
     }
 
-    /// Compares the text of a complete response with the expected answer.
-    fn check_answer(&mut self) {
+    /// Compares the text of a complete response with the expected completion.
+    fn check_completion(&mut self) {
         let expected =
             Completion::generate(&self.planned.content, Some(self.planned.output_tokens));
         let matches = self.text == expected.text();
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -103,7 +103,7 @@
 #[test]
 fn a_stream_is_complete_and_answers_its_request() {
     let engine = engine(&fast_config());
-    let response = send(&engine, "a", 0, &body(QUESTION, 12, true)).expect("an answer");
+    let response = send(&engine, "a", 0, &body(QUESTION, 12, true)).expect("a response");
     let (events, end) = events(response);
     assert!(end.is_ok());
     assert_eq!(events.len(), 12 + NON_WORD_EVENTS);
@@ -117,17 +117,17 @@
 }
 
 #[test]
-fn an_unstreamed_answer_reports_its_usage() {
+fn an_unstreamed_response_reports_its_usage() {
     let engine = engine(&fast_config());
     let response = send(&engine, "a", 0, &body(QUESTION, 12, false));
-    let answer: Value = response
-        .expect("an answer")
+    let response: Value = response
+        .expect("a response")
         .body_mut()
         .read_json()
         .expect("JSON");
-    let content = &answer["choices"][0]["message"]["content"];
+    let content = &response["choices"][0]["message"]["content"];
     assert_eq!(*content, Completion::generate(QUESTION, Some(12)).text());
-    assert_eq!(answer["usage"]["completion_tokens"], 12);
+    assert_eq!(response["usage"]["completion_tokens"], 12);
 }
 
 #[test]
@@ -149,8 +149,8 @@
     let (rest, end) = events(send(&engine, "a", received.len(), &request).expect("a stream"));
     assert!(end.is_ok());
     received.extend(rest);
-    let (whole, _) = events(send(&engine, "b", 0, &request).expect("a stream"));
-    assert_eq!(received, whole);
+    let (complete, _) = events(send(&engine, "b", 0, &request).expect("a stream"));
+    assert_eq!(received, complete);
     assert_eq!(engine.counts().requests["a"].dispatched, 2);
 }
 
@@ -174,18 +174,18 @@
 #[test]
 fn the_response_to_a_down_command_precedes_the_outage() {
     let engine = engine(&fast_config());
-    let order = |address: SocketAddr, span: u64| {
+    let send_down = |address: SocketAddr, duration_ms: u64| {
         let url = format!("http://{address}/control");
-        agent().post(url).send_json(json!({ "down": span }))
+        agent().post(url).send_json(json!({ "down": duration_ms }))
     };
-    let response = order(engine.address(), 60_000).expect("an answer");
+    let response = send_down(engine.address(), 60_000).expect("a response");
     assert_eq!(response.status(), 200);
     assert!(
-        order(engine.address(), 0).is_err(),
+        send_down(engine.address(), 0).is_err(),
         "the engine should be down"
     );
-    assert!(order(engine.control_address(), 0).is_ok());
-    wait_for(|| order(engine.address(), 0).is_ok());
+    assert!(send_down(engine.control_address(), 0).is_ok());
+    wait_for(|| send_down(engine.address(), 0).is_ok());
 }
 
 #[test]
@@ -311,14 +311,14 @@
         request.send("two seats")
     };
     assert!(send_booking().is_err());
-    let answer: Value = send_booking()
-        .expect("an answer")
+    let response: Value = send_booking()
+        .expect("a response")
         .body_mut()
         .read_json()
         .expect("JSON");
-    assert_eq!(answer["serial"], 2);
-    assert_eq!(answer["path"], "/seats?hall=2");
-    assert_eq!(answer["body"], "two seats");
+    assert_eq!(response["serial"], 2);
+    assert_eq!(response["path"], "/seats?hall=2");
+    assert_eq!(response["body"], "two seats");
     assert_eq!(service.executions()["seat-4"], 2);
 }
 
--- a/crates/siskinyoke-standin/tests/load.rs
+++ b/crates/siskinyoke-standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load driver: planned requests and the verification of answers.
+//! The load driver: planned requests and the verification of responses.
 
 use std::sync::Arc;
 
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn every_correct_answer_is_counted_and_timed() {
+fn every_correct_response_is_counted_and_timed() {
     let engine = Engine::start(&fast_config()).expect("a free port");
     let load = load_to(&engine.address().to_string());
     let lines = load::run(&load).expect("a run");
@@ -110,12 +110,16 @@
 }
 
 #[test]
-fn an_answer_to_another_request_counts_as_wrong() {
-    // Responses are swapped in transit, and each caller receives a complete, well-formed answer to
-    // another request. Only a check of the content detects this.
-    let web = HttpServer::start(LOOPBACK_ANY_PORT, LOOPBACK_ANY_PORT, Arc::new(FixedAnswer))
-        .expect("a free port");
-    let lines = load::run(&load_to(&web.address().to_string())).expect("a run");
+fn a_response_to_another_request_counts_as_wrong() {
+    // Responses are swapped in transit, and each caller receives a complete, well-formed response
+    // to another request. Only a check of the content detects this.
+    let server = HttpServer::start(
+        LOOPBACK_ANY_PORT,
+        LOOPBACK_ANY_PORT,
+        Arc::new(FixedCompletion),
+    )
+    .expect("a free port");
+    let lines = load::run(&load_to(&server.address().to_string())).expect("a run");
     assert_eq!(sum(&lines, |line| line.correct), 0);
     assert!(
         sum(&lines, |line| line
@@ -140,10 +144,10 @@
     }
 }
 
-/// Answers every request with the same text, streamed if requested.
-struct FixedAnswer;
+/// Responds to every request with the same text, streamed if requested.
+struct FixedCompletion;
 
-impl Handler for FixedAnswer {
+impl Handler for FixedCompletion {
     fn handle(&self, mut exchange: Exchange) {
         let request: serde_json::Value = exchange.json().expect("JSON");
         let text = Completion::generate("another question", Some(4)).text();
