--- a/crates/siskinyoke-standin/src/engine/chat.rs
+++ b/crates/siskinyoke-standin/src/engine/chat.rs
@@ -135,7 +135,7 @@
     let mut events: Vec<String> = chunks
         .iter()
         .enumerate()
-        .map(|(index, chunk)| format!("id: {index}\ndata: {chunk}\n\n"))
+        .map(|(number, chunk)| format!("id: {number}\ndata: {chunk}\n\n"))
         .collect();
     events.push(STREAM_TERMINATOR.to_owned());
     events
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -100,8 +100,8 @@
     }
 
     /// Returns the calls by kind since the start.
-    pub fn counts(&self) -> BTreeMap<String, u64> {
-        self.shared.lock().counts.clone()
+    pub fn call_counts(&self) -> BTreeMap<String, u64> {
+        self.shared.lock().call_counts.clone()
     }
 
     /// Stops it, cutting every connection.
