--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -134,5 +134,5 @@
     } else {
         expected.starts_with(&events)
     };
-    (!is_valid).then(|| format!("{id}: stream has a gap or ends early: {response:?}"))
+    (!is_valid).then(|| format!("{id}: stream events are missing or out of order: {response:?}"))
 }
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -94,7 +94,7 @@
         endpoint
     }
 
-    /// Returns its entry in the store.
+    /// Returns its entry in the store, with the given state.
     pub fn entry(&self, state: &str) -> String {
         self.entry_at(self.address, state)
     }
@@ -130,8 +130,8 @@
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut out = stream;
         while let Some(mut request) = read_head(&mut reader)? {
-            let early = request.line_contains("early");
-            if early {
+            let responds_early = request.line_contains("early");
+            if responds_early {
                 out.write_all(&self.encode_response(&request, "early"))?;
             }
             let length = request
@@ -140,7 +140,7 @@
             request.body = vec![0; length];
             reader.read_exact(&mut request.body)?;
             self.requests.lock().unwrap().push(request.clone());
-            if !early && !self.respond(&request, &mut out)? {
+            if !responds_early && !self.respond(&request, &mut out)? {
                 return Ok(());
             }
         }
