--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -62,7 +62,7 @@
 
     /// Applies a command, as `POST /control` does.
     pub fn control(&self, command: &EngineControl) {
-        self.shared.control(self.server.proxy(), command);
+        self.shared.apply(self.server.proxy(), command);
     }
 
     /// Returns the counters since the start.
@@ -103,9 +103,7 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => {
-                exchange.handle_control(|proxy, command| self.control(proxy, command))
-            }
+            ("POST", "/control") => exchange.handle_control(|proxy, body| self.apply(proxy, body)),
             _ => exchange.reply_error(404, "no such path"),
         }
     }
@@ -173,7 +171,7 @@
         .concat()
     }
 
-    fn control(&self, proxy: &Proxy, command: &EngineControl) {
+    fn apply(&self, proxy: &Proxy, command: &EngineControl) {
         self.lock().faults.apply(command);
         proxy.apply_faults(command.down, command.freeze);
     }
