--- a/crates/siskinyoke-standin/src/proxy.rs
+++ b/crates/siskinyoke-standin/src/proxy.rs
@@ -1,7 +1,7 @@
-//! The door before a stand-in, which can refuse, freeze and cut connections.
+//! A TCP proxy in front of a stand-in's server that can refuse, freeze and close connections.
 //!
-//! `tiny_http` gives no hold on its sockets, so a stand-in's server listens on an address of its
-//! own and the gate passes bytes between it and the address that others know.
+//! `tiny_http` gives no access to its sockets. The server therefore listens on an address of its
+//! own, and the proxy copies bytes between it and the public address.
 
 mod connection;
 mod listen;
@@ -31,23 +31,23 @@
 use siskinyoke_base::Map;
 use siskinyoke_base::Millis;
 
-/// Bytes passed on at once; a piece of a stream is far smaller.
+/// Size of a copy buffer; the chunks of a stream are far smaller.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Pause before an address that is still held is tried again.
+/// Interval of attempts to bind an address that is still in use.
 const REBIND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Wait before a server that has not begun with a connection is nudged: some times as long as it
-/// takes to begin.
+/// Delay before the server is woken for a connection that it does not handle yet; a few times the
+/// usual delay until it does.
 const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait before a further nudge.
+/// Maximum delay between two attempts to wake the server.
 const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest span that a fault may last, a day, so that the sum of instants cannot overflow.
+/// Maximum duration of a fault; it keeps the addition to an [`Instant`] from overflowing.
 const MAX_FAULT_DURATION: Millis = Millis::from_secs(86_400);
 
-/// Passes connections to a stand-in's server, and breaks them when told to.
+/// Forwards connections to a stand-in's server and injects faults on request.
 pub struct Proxy {
     public_address: SocketAddr,
     server_address: SocketAddr,
@@ -58,62 +58,64 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Open connections by the peer address that the server sees.
     connections: Map<SocketAddr, Connection>,
     down_until: Option<Instant>,
     frozen_until: Option<Instant>,
+    /// Whether the public address is not listened on.
     unbound: bool,
     stopped: bool,
 }
 
 impl Proxy {
-    /// Opens the gate on an address before a server's own.
+    /// Starts a proxy that listens on an address and forwards connections to a server.
     ///
     /// # Errors
     ///
-    /// What the system says if the address cannot be listened on.
-    pub fn open(address: &str, inner: SocketAddr) -> io::Result<Arc<Self>> {
+    /// An I/O error if the address cannot be listened on.
+    pub fn open(address: &str, server_address: SocketAddr) -> io::Result<Arc<Self>> {
         let listener = self::listen(address)?;
-        let gate = Arc::new(Self {
+        let proxy = Arc::new(Self {
             public_address: listener.local_addr()?,
-            server_address: inner,
+            server_address,
             thread_pool: Arc::default(),
             state: Mutex::default(),
             changed: Condvar::new(),
         });
-        let own = Arc::clone(&gate);
-        thread::spawn(move || own.run_acceptor(listener));
-        Ok(gate)
+        let acceptor = Arc::clone(&proxy);
+        thread::spawn(move || acceptor.run_acceptor(listener));
+        Ok(proxy)
     }
 
-    /// Returns the threads of the stand-in.
+    /// Returns the thread pool shared with the server.
     pub fn thread_pool(&self) -> &Arc<ThreadPool> {
         &self.thread_pool
     }
 
-    /// Returns the address that others know.
+    /// Returns the public address.
     pub fn address(&self) -> SocketAddr {
         self.public_address
     }
 
-    /// Cuts every connection behind all that the server has sent, and refuses new ones for a span;
-    /// returns once they are refused.
-    pub fn take_down(&self, span: Millis) {
+    /// Closes all connections after the data already sent by the server, and refuses new ones for a
+    /// duration. Returns once new connections are refused.
+    pub fn take_down(&self, duration: Millis) {
         let mut state = self.lock();
-        state.down_until = Some(deadline_after(span));
+        state.down_until = Some(deadline_after(duration));
         state.frozen_until = None;
         shut_down_servers(&state);
         drop(state);
         self.wake_acceptor();
         let mut state = self.lock();
-        while let Some(rest) = state.down_until.and_then(remaining)
+        while let Some(time_left) = state.down_until.and_then(remaining)
             && !state.unbound
             && !state.stopped
         {
-            state = self.wait(state, rest);
+            state = self.wait(state, time_left);
         }
     }
 
-    /// Takes connections again; returns once they are taken.
+    /// Ends an outage. Returns once new connections are accepted.
     pub fn bring_up(&self) {
         let mut state = self.lock();
         state.down_until = None;
@@ -123,76 +125,76 @@
         }
     }
 
-    /// Passes nothing on for a span while connections stay open.
-    pub fn freeze(&self, span: Millis) {
-        self.lock().frozen_until = Some(deadline_after(span));
+    /// Forwards no data for a duration while connections stay open.
+    pub fn freeze(&self, duration: Millis) {
+        self.lock().frozen_until = Some(deadline_after(duration));
     }
 
-    /// Passes everything on again.
+    /// Ends a freeze.
     pub fn thaw(&self) {
         self.lock().frozen_until = None;
         self.changed.notify_all();
     }
 
-    /// Carries out the orders that every stand-in takes; a span of zero ends a fault.
+    /// Applies the faults that all stand-ins support; a duration of zero ends a fault.
     pub fn apply_faults(&self, down: Option<Millis>, freeze: Option<Millis>) {
         match down {
             Some(Millis::ZERO) => self.bring_up(),
-            Some(span) => self.take_down(span),
+            Some(duration) => self.take_down(duration),
             None => {}
         }
         match freeze {
             Some(Millis::ZERO) => self.thaw(),
-            Some(span) => self.freeze(span),
+            Some(duration) => self.freeze(duration),
             None => {}
         }
     }
 
-    /// Cuts the connection that the server sees under an address, behind all that it has sent.
+    /// Closes a connection after the data already sent by the server.
     ///
-    /// Closing both sides at once would lose what the gate has not passed on yet, which shows as
-    /// a broken stream that is shorter than it was told to be. What has arrived from the server
-    /// can still be read after its side is shut, and only then is the client's side closed.
-    pub fn close_after_flush(&self, seen: SocketAddr) {
-        if let Some(link) = self.lock().connections.get(&seen) {
-            link.shut_down_server();
+    /// Closing both sides at once would lose data that is not forwarded yet, and a stream would
+    /// break before the requested event. Data received from the server can still be read after its
+    /// side is shut down; the client's side is closed after that data.
+    pub fn close_after_flush(&self, peer: SocketAddr) {
+        if let Some(connection) = self.lock().connections.get(&peer) {
+            connection.shut_down_server();
         }
     }
 
-    /// Cuts the connection that the server sees under an address at once.
-    fn close(&self, seen: SocketAddr) {
-        let link = self.lock().connections.remove(&seen);
-        if let Some(link) = link {
-            link.close();
+    /// Closes both sides of a connection at once.
+    fn close(&self, peer: SocketAddr) {
+        let connection = self.lock().connections.remove(&peer);
+        if let Some(connection) = connection {
+            connection.close();
         }
     }
 
-    /// Cuts every connection once, behind all that the server has sent.
+    /// Closes all connections after the data already sent by the server.
     pub fn close_all_after_flush(&self) {
         shut_down_servers(&self.lock());
     }
 
-    /// Notes that the server has begun with a connection, and says whether it is one of the gate's.
-    pub fn mark_handled(&self, seen: SocketAddr) -> bool {
+    /// Records that the server handles a connection. Returns whether it is one of the proxy's.
+    pub fn mark_handled(&self, peer: SocketAddr) -> bool {
         let mut state = self.lock();
-        let link = state.connections.get_mut(&seen);
-        link.is_some_and(|link| {
-            link.handled = true;
+        let connection = state.connections.get_mut(&peer);
+        connection.is_some_and(|connection| {
+            connection.handled = true;
             true
         })
     }
 
-    /// Says whether the connection that the server sees under an address is open.
-    pub fn is_open(&self, seen: SocketAddr) -> bool {
-        self.lock().connections.contains_key(&seen)
+    /// Returns whether a connection is open.
+    pub fn is_open(&self, peer: SocketAddr) -> bool {
+        self.lock().connections.contains_key(&peer)
     }
 
-    /// Says whether the gate is closed for good.
+    /// Returns whether the proxy is stopped.
     pub fn is_stopped(&self) -> bool {
         self.lock().stopped
     }
 
-    /// Cuts every connection and closes the gate for good.
+    /// Closes all connections and stops the proxy for good.
     pub fn stop(&self) {
         let mut state = self.lock();
         state.stopped = true;
@@ -201,9 +203,10 @@
         self.wake_acceptor();
     }
 
-    /// Takes connections until the gate is stopped, away from the address while it is down.
-    fn run_acceptor(self: Arc<Self>, first: TcpListener) {
-        let mut listener = Some(first);
+    /// Accepts connections until the proxy is stopped. During an outage the address is reserved but
+    /// not listened on.
+    fn run_acceptor(self: Arc<Self>, listener: TcpListener) {
+        let mut listener = Some(listener);
         let mut reserved = None;
         loop {
             if self.lock().stopped {
@@ -216,7 +219,7 @@
                 self.wait_while_down();
                 continue;
             }
-            let Some(open) = &listener else {
+            let Some(bound) = &listener else {
                 listener = match reserved.take() {
                     Some(reserved) => reserved.listen().ok(),
                     None => listen(&self.public_address.to_string()).ok(),
@@ -228,88 +231,96 @@
                 }
                 continue;
             };
-            let Ok((client, _)) = open.accept() else {
+            let Ok((client, _)) = bound.accept() else {
                 continue;
             };
-            let gate = Arc::clone(&self);
-            self.thread_pool.run(move || gate.forward(client));
+            let proxy = Arc::clone(&self);
+            self.thread_pool.run(move || proxy.forward(client));
         }
     }
 
-    /// Joins a client with the server and passes bytes both ways.
+    /// Connects a client to the server and copies bytes in both directions.
     fn forward(self: Arc<Self>, client: TcpStream) {
-        // Without a connection to the server the client sees its own closed.
-        let Ok(link) = Connection::connect(client, self.server_address) else {
+        // If the server cannot be reached, the client's connection is closed on return.
+        let Ok(connection) = Connection::connect(client, self.server_address) else {
             return;
         };
-        let (Ok(seen), Ok(up), Ok(down)) = (link.peer(), link.to_server(), link.to_client()) else {
+        let (Ok(peer), Ok(to_server), Ok(to_client)) = (
+            connection.peer(),
+            connection.to_server(),
+            connection.to_client(),
+        ) else {
             return;
         };
         {
             let mut state = self.lock();
             if state.stopped || state.down_until.and_then(remaining).is_some() {
-                link.close();
+                connection.close();
                 return;
             }
-            state.connections.insert(seen, link);
+            state.connections.insert(peer, connection);
         }
-        let gate = Arc::clone(&self);
-        self.thread_pool.run(move || gate.copy_to_server(up, seen));
-        self.copy(down, seen);
+        let proxy = Arc::clone(&self);
+        self.thread_pool
+            .run(move || proxy.copy_to_server(to_server, peer));
+        self.copy(to_client, peer);
     }
 
-    /// Passes bytes one way until either side closes, then closes the connection.
-    fn copy(&self, mut way: Direction, seen: SocketAddr) {
+    /// Copies bytes in one direction until either side closes, then closes the connection.
+    fn copy(&self, mut direction: Direction, peer: SocketAddr) {
         let mut buffer = vec![0; BUFFER_BYTES];
-        while let Ok(count) = way.source.read(&mut buffer) {
+        while let Ok(count) = direction.source.read(&mut buffer) {
             self.wait_while_frozen();
-            if count == 0 || way.destination.write_all(&buffer[..count]).is_err() {
+            if count == 0 || direction.destination.write_all(&buffer[..count]).is_err() {
                 break;
             }
         }
-        self.close(seen);
+        self.close(peer);
     }
 
-    /// Passes a client's bytes on, and nudges the server until it has begun with them.
+    /// Copies bytes from the client to the server, and wakes the server until it handles them.
     ///
     /// `tiny_http` may queue two new connections for the same idle thread. The second is then not
-    /// read until any other connection ends, which shows as a first token that comes as late as
-    /// someone else's stream is long. A connection that opens and closes at once gets a thread,
-    /// which takes the queued one up when it is done.
-    fn copy_to_server(&self, mut way: Direction, seen: SocketAddr) {
+    /// read until another connection ends, and its first token is delayed by the length of another
+    /// stream. A connection that is opened and closed at once makes `tiny_http` use another thread,
+    /// which then reads the queued connection.
+    fn copy_to_server(&self, mut direction: Direction, peer: SocketAddr) {
         let mut buffer = vec![0; BUFFER_BYTES];
-        let mut pause = MIN_WAKE_INTERVAL;
+        let mut interval = MIN_WAKE_INTERVAL;
         let mut sent = false;
-        while !self.is_handled(seen) && way.set_read_timeout(Some(pause)) {
-            match way.source.read(&mut buffer) {
+        while !self.is_handled(peer) && direction.set_read_timeout(Some(interval)) {
+            match direction.source.read(&mut buffer) {
                 Ok(count) if count > 0 => {
                     self.wait_while_frozen();
-                    if way.destination.write_all(&buffer[..count]).is_err() {
-                        return self.close(seen);
+                    if direction.destination.write_all(&buffer[..count]).is_err() {
+                        return self.close(peer);
                     }
                     sent = true;
-                    pause = MIN_WAKE_INTERVAL;
+                    interval = MIN_WAKE_INTERVAL;
                 }
                 Err(err) if err.kind() == ErrorKind::WouldBlock => {
                     if sent {
                         drop(TcpStream::connect(self.server_address));
                     }
-                    pause = (pause * 2).min(MAX_WAKE_INTERVAL);
+                    interval = (interval * 2).min(MAX_WAKE_INTERVAL);
                 }
-                // A process that was stopped and goes on finds its waits interrupted.
+                // Reads are interrupted when a suspended process continues.
                 Err(err) if err.kind() == ErrorKind::Interrupted => {}
-                _ => return self.close(seen),
+                _ => return self.close(peer),
             }
         }
-        if way.set_read_timeout(None) {
-            self.copy(way, seen);
+        if direction.set_read_timeout(None) {
+            self.copy(direction, peer);
         }
     }
 
-    /// Says whether there is no need to wait for the server: it has begun, or the link is gone.
-    fn is_handled(&self, seen: SocketAddr) -> bool {
+    /// Returns whether the server handles a connection, or the connection is closed.
+    fn is_handled(&self, peer: SocketAddr) -> bool {
         let state = self.lock();
-        state.connections.get(&seen).is_none_or(|link| link.handled)
+        state
+            .connections
+            .get(&peer)
+            .is_none_or(|connection| connection.handled)
     }
 
     fn is_down(&self) -> bool {
@@ -317,38 +328,38 @@
         state.down_until.and_then(remaining).is_some()
     }
 
-    fn set_unbound(&self, away: bool) {
-        self.lock().unbound = away;
+    fn set_unbound(&self, unbound: bool) {
+        self.lock().unbound = unbound;
         self.changed.notify_all();
     }
 
     fn wait_while_down(&self) {
         let mut state = self.lock();
-        while let Some(rest) = state.down_until.and_then(remaining) {
+        while let Some(time_left) = state.down_until.and_then(remaining) {
             if state.stopped {
                 return;
             }
-            state = self.wait(state, rest);
+            state = self.wait(state, time_left);
         }
         state.down_until = None;
     }
 
     fn wait_while_frozen(&self) {
         let mut state = self.lock();
-        while let Some(rest) = state.frozen_until.and_then(remaining) {
+        while let Some(time_left) = state.frozen_until.and_then(remaining) {
             if state.stopped {
                 return;
             }
-            state = self.wait(state, rest);
+            state = self.wait(state, time_left);
         }
     }
 
-    fn wait<'a>(&self, state: MutexGuard<'a, State>, rest: Duration) -> MutexGuard<'a, State> {
-        let waited = self.changed.wait_timeout(state, rest);
+    fn wait<'a>(&self, state: MutexGuard<'a, State>, time_left: Duration) -> MutexGuard<'a, State> {
+        let waited = self.changed.wait_timeout(state, time_left);
         waited.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// Makes the accepting thread look at the state again, also while it waits for a client.
+    /// Makes the acceptor check the state again, even if it is blocked in `accept`.
     fn wake_acceptor(&self) {
         self.changed.notify_all();
         let _ = TcpStream::connect(self.public_address);
@@ -360,23 +371,23 @@
 }
 
 fn shut_down_servers(state: &State) {
-    for link in state.connections.values() {
-        link.shut_down_server();
+    for connection in state.connections.values() {
+        connection.shut_down_server();
     }
 }
 
 fn close_all(state: &mut State) {
-    for (_, link) in state.connections.drain() {
-        link.close();
+    for (_, connection) in state.connections.drain() {
+        connection.close();
     }
 }
 
-fn deadline_after(span: Millis) -> Instant {
-    Instant::now() + Duration::from(span.min(MAX_FAULT_DURATION))
+fn deadline_after(duration: Millis) -> Instant {
+    Instant::now() + Duration::from(duration.min(MAX_FAULT_DURATION))
 }
 
-fn remaining(until: Instant) -> Option<Duration> {
-    until
+fn remaining(deadline: Instant) -> Option<Duration> {
+    deadline
         .checked_duration_since(Instant::now())
-        .filter(|rest| !rest.is_zero())
+        .filter(|time_left| !time_left.is_zero())
 }
--- a/crates/siskinyoke-standin/src/proxy/connection.rs
+++ b/crates/siskinyoke-standin/src/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection through the gate.
+//! One proxied connection.
 
 use std::io;
 use std::net::Shutdown;
@@ -6,28 +6,28 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A client's connection and the one that carries it on to the server.
+/// A client's connection and the matching connection to the server.
 #[derive(Debug)]
 pub struct Connection {
     client: TcpStream,
     server: TcpStream,
-    /// Whether the server has begun with it.
+    /// Whether the server handles the connection.
     pub handled: bool,
 }
 
-/// One direction of a connection.
+/// One direction of a proxied connection.
 #[derive(Debug)]
 pub struct Direction {
-    /// Where bytes come from.
+    /// The side that bytes are read from.
     pub source: TcpStream,
-    /// Where they go.
+    /// The side that bytes are written to.
     pub destination: TcpStream,
 }
 
 impl Connection {
-    /// Connects a client on to a server.
-    pub fn connect(client: TcpStream, inner: SocketAddr) -> io::Result<Self> {
-        let server = TcpStream::connect(inner)?;
+    /// Opens a connection to the server for a client.
+    pub fn connect(client: TcpStream, server_address: SocketAddr) -> io::Result<Self> {
+        let server = TcpStream::connect(server_address)?;
         client.set_nodelay(true)?;
         server.set_nodelay(true)?;
         Ok(Self {
@@ -37,48 +37,48 @@
         })
     }
 
-    /// Returns the address under which the server sees the connection.
+    /// Returns the peer address that the server sees, which identifies the connection.
     pub fn peer(&self) -> io::Result<SocketAddr> {
         self.server.local_addr()
     }
 
-    /// Returns the direction to the server.
+    /// Returns the direction from the client to the server.
     pub fn to_server(&self) -> io::Result<Direction> {
-        let from = self.client.try_clone()?;
-        let to = self.server.try_clone()?;
+        let source = self.client.try_clone()?;
+        let destination = self.server.try_clone()?;
         Ok(Direction {
-            source: from,
-            destination: to,
+            source,
+            destination,
         })
     }
 
-    /// Returns the direction to the client.
+    /// Returns the direction from the server to the client.
     pub fn to_client(&self) -> io::Result<Direction> {
-        let from = self.server.try_clone()?;
-        let to = self.client.try_clone()?;
+        let source = self.server.try_clone()?;
+        let destination = self.client.try_clone()?;
         Ok(Direction {
-            source: from,
-            destination: to,
+            source,
+            destination,
         })
     }
 
     /// Closes both sides at once.
     pub fn close(&self) {
-        // Either side may have closed already, which is what is wanted.
+        // An error means that the side is closed already.
         let _ = self.client.shutdown(Shutdown::Both);
         let _ = self.server.shutdown(Shutdown::Both);
     }
 
-    /// Closes the server's side; what it has sent can still be read.
+    /// Closes the server's side; data that it has sent can still be read.
     pub fn shut_down_server(&self) {
-        // The server may have closed already, which is what is wanted.
+        // An error means that the server has closed already.
         let _ = self.server.shutdown(Shutdown::Both);
     }
 }
 
 impl Direction {
-    /// Sets how long a read waits; false if the connection is gone.
-    pub fn set_read_timeout(&self, pause: Option<Duration>) -> bool {
-        self.source.set_read_timeout(pause).is_ok()
+    /// Sets the timeout of reads. Returns false if the connection is closed.
+    pub fn set_read_timeout(&self, timeout: Option<Duration>) -> bool {
+        self.source.set_read_timeout(timeout).is_ok()
     }
 }
--- a/crates/siskinyoke-standin/src/proxy/listen.rs
+++ b/crates/siskinyoke-standin/src/proxy/listen.rs
@@ -1,4 +1,4 @@
-//! Listens for connections as a server under load has to.
+//! Listening sockets suited to bursts of connections and to streaming.
 
 use std::io;
 use std::io::ErrorKind;
@@ -8,37 +8,37 @@
 use tokio::net::TcpSocket;
 use tokio::runtime::Builder;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 ///
-/// The standard library's 128 overflow when a few hundred callers connect at once; the system
-/// then drops the rest, which shows as a first token exactly a second late. This is what Linux
-/// allows by default.
+/// The standard library's 128 overflow when a few hundred callers connect at once. The kernel then
+/// drops the others, whose SYN is sent again after a second, so their first token is a second late.
+/// This value is the default limit of Linux.
 const LISTEN_BACKLOG: u32 = 4096;
 
-/// An address that is taken and not listened on, so that connections to it are refused.
+/// An address that is bound but not listened on, so that connections to it are refused.
 ///
-/// Guards against another server that is given the same free port while a stand-in is down: its
-/// caller would be answered by a stranger, and the stand-in could not come back.
+/// Prevents another server from being assigned the port while a stand-in is down. The stand-in's
+/// callers would reach that server, and the stand-in could not bind its address again.
 #[derive(Debug)]
 pub struct ReservedAddress {
     socket: TcpSocket,
 }
 
-/// Listens with room for bursts, and so that accepted sockets send small pieces at once.
+/// Listens with a large backlog and with `TCP_NODELAY` on accepted sockets.
 ///
 /// # Errors
 ///
-/// What the system says if the address cannot be listened on.
+/// An I/O error if the address cannot be listened on.
 pub fn listen(address: &str) -> io::Result<TcpListener> {
     ReservedAddress::new(address)?.listen()
 }
 
 impl ReservedAddress {
-    /// Takes an address.
+    /// Binds an address.
     ///
     /// # Errors
     ///
-    /// What the system says if the address is not free.
+    /// An I/O error if the address is invalid or in use.
     pub fn new(address: &str) -> io::Result<Self> {
         let address: SocketAddr = address
             .parse()
@@ -55,14 +55,14 @@
 
     /// Listens on the address.
     ///
-    /// Without the option against delay the system holds a small piece of a stream back until the
-    /// one before it was acknowledged, which shows as pieces that arrive in bunches 40 ms apart. An
-    /// accepted socket takes the option over from the listening one. The standard library can set
-    /// neither it nor the room, so the socket is made by `tokio`, and nothing runs on its runtime.
+    /// Without `TCP_NODELAY` the kernel holds back a small chunk until the previous one is
+    /// acknowledged, so chunks arrive in bunches 40 ms apart. Accepted sockets inherit the option
+    /// from the listening socket. The standard library can set neither the option nor the backlog,
+    /// so the socket is created by `tokio`; nothing runs on its runtime.
     ///
     /// # Errors
     ///
-    /// What the system says if the address cannot be listened on.
+    /// An I/O error if the address cannot be listened on.
     pub fn listen(self) -> io::Result<TcpListener> {
         let runtime = Builder::new_current_thread().enable_io().build()?;
         let _guard = runtime.enter();
