--- a/crates/siskinyoke-standin/src/chunked.rs
+++ b/crates/siskinyoke-standin/src/chunked.rs
@@ -1,4 +1,4 @@
-//! An answer that is sent in pieces, each as soon as it is there.
+//! Responses with chunked transfer encoding whose chunks are sent at once.
 
 use std::io;
 use std::io::Write;
@@ -7,10 +7,10 @@
 
 use crate::proxy::Proxy;
 
-/// A chunked answer under way.
+/// A chunked response in progress.
 ///
-/// `tiny_http`'s own responder holds chunks back until they fill a buffer, so the pieces are
-/// written through the request's writer with a flush each.
+/// `tiny_http`'s own responder holds chunks back until they fill a buffer. The chunks are therefore
+/// written to the request's writer and flushed one by one.
 pub struct ChunkedResponse {
     writer: Box<dyn Write + Send>,
     proxy: Arc<Proxy>,
@@ -18,18 +18,21 @@
 }
 
 impl ChunkedResponse {
-    /// Writes the head of the answer.
+    /// Sends the status line and the headers.
     ///
     /// # Errors
     ///
-    /// What the system says if the caller broke off.
+    /// An I/O error if the caller has closed the connection.
     pub fn start(
         mut writer: Box<dyn Write + Send>,
         proxy: Arc<Proxy>,
         peer: Option<SocketAddr>,
-        content: &str,
+        content_type: &str,
     ) -> io::Result<Self> {
-        write!(writer, "HTTP/1.1 200 OK\r\nContent-Type: {content}\r\n")?;
+        write!(
+            writer,
+            "HTTP/1.1 200 OK\r\nContent-Type: {content_type}\r\n"
+        )?;
         write!(
             writer,
             "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -37,43 +40,43 @@
         writer.flush()?;
         Ok(Self {
             writer,
-            proxy: proxy,
-            peer: peer,
+            proxy,
+            peer,
         })
     }
 
-    /// Says whether the caller still holds the connection.
+    /// Returns whether the caller's connection is still open.
     pub fn is_connected(&self) -> bool {
-        self.peer.is_none_or(|link| self.proxy.is_open(link))
+        self.peer.is_none_or(|peer| self.proxy.is_open(peer))
     }
 
-    /// Sends one piece.
+    /// Sends one chunk.
     ///
     /// # Errors
     ///
-    /// What the system says if the caller broke off.
-    pub fn send(&mut self, piece: &str) -> io::Result<()> {
+    /// An I/O error if the caller has closed the connection.
+    pub fn send(&mut self, chunk: &str) -> io::Result<()> {
         if !self.is_connected() {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
-        write!(self.writer, "{:x}\r\n{piece}\r\n", piece.len())?;
+        write!(self.writer, "{:x}\r\n{chunk}\r\n", chunk.len())?;
         self.writer.flush()
     }
 
-    /// Ends the answer as whole.
+    /// Sends the last chunk, which marks the response as complete.
     ///
     /// # Errors
     ///
-    /// What the system says if the caller broke off.
+    /// An I/O error if the caller has closed the connection.
     pub fn finish(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
     }
 
-    /// Cuts the connection in the middle of the answer.
+    /// Closes the connection and leaves the response incomplete.
     pub fn abort(self) {
-        if let Some(link) = self.peer {
-            self.proxy.close_after_flush(link);
+        if let Some(peer) = self.peer {
+            self.proxy.close_after_flush(peer);
         }
     }
 }
--- a/crates/siskinyoke-standin/src/completion.rs
+++ b/crates/siskinyoke-standin/src/completion.rs
@@ -1,39 +1,42 @@
-//! The answers of the stand-in engine, which a caller can foretell from its own request.
+//! The stand-in engine's completions, which callers can compute from their requests.
 
 use std::fmt::Write as _;
 
-/// Fewest words of an answer whose length the request leaves open.
+/// Minimum length of a completion whose request sets no limit.
 const MIN_DEFAULT_WORDS: usize = 8;
 
-/// Span of lengths above the shortest.
+/// Number of possible lengths of a completion whose request sets no limit.
 const DEFAULT_WORDS_RANGE: usize = 56;
 
-/// Most words of any answer; a draft of a whole week stays below.
+/// Maximum length of a completion. The longest planned response, a draft for a whole week, is
+/// shorter.
 const MAX_WORDS: usize = 8192;
 
-/// Bytes that one word is drawn from; it shows them in hexadecimal.
+/// Number of bytes that a word shows in hexadecimal.
 const WORD_BYTES: usize = 2;
 
-/// A whole answer, drawn from the digest of the request's content.
+/// A complete response text, derived from a hash of the request's content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Completion {
-    /// The name that the answer goes by.
+    /// The ID of the completion.
     pub id: String,
-    /// Its words; each is one token, and all but the first begin with a space.
+    /// The words, each of which is one token. All but the first start with a space.
     pub words: Vec<String>,
-    /// Whether the request's limit set the length.
+    /// Whether the length is the limit set by the request.
     pub truncated: bool,
 }
 
 impl Completion {
-    /// Draws the answer to a content; `limit` sets its length if the request gives one.
+    /// Generates the completion for the content of a request. If `limit` is set, it is the length in
+    /// words.
     pub fn generate(content: &str, limit: Option<u32>) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(content.as_bytes());
         let digest = hasher.finalize();
-        let open = MIN_DEFAULT_WORDS + usize::from(digest.as_bytes()[0]) % DEFAULT_WORDS_RANGE;
+        let default_length =
+            MIN_DEFAULT_WORDS + usize::from(digest.as_bytes()[0]) % DEFAULT_WORDS_RANGE;
         let limit = limit.map(|limit| usize::try_from(limit).unwrap_or(MAX_WORDS));
-        let count = limit.unwrap_or(open).clamp(1, MAX_WORDS);
+        let count = limit.unwrap_or(default_length).clamp(1, MAX_WORDS);
         let mut bytes = vec![0; count * WORD_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Self {
@@ -47,15 +50,15 @@
         }
     }
 
-    /// Returns the whole text.
+    /// Returns the complete text.
     pub fn text(&self) -> String {
         self.words.concat()
     }
 }
 
-fn format_word((place, bytes): (usize, &[u8])) -> String {
+fn format_word((index, bytes): (usize, &[u8])) -> String {
     let mut word = String::new();
-    if place > 0 {
+    if index > 0 {
         word.push(' ');
     }
     for byte in bytes {
--- a/crates/siskinyoke-standin/src/error.rs
+++ b/crates/siskinyoke-standin/src/error.rs
@@ -1,22 +1,22 @@
-//! What keeps a stand-in from starting or a load from running.
+//! Errors of the stand-ins and of the load generator.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A fault of the stand-ins' own running.
+    /// An error that prevents a stand-in from starting or a load test from running.
     #[derive(Debug)]
     pub enum StandinError {
-        /// An address could not be listened on.
+        /// An address cannot be listened on.
         Listen(address: String, detail: String) {
-            display("cannot listen on {address}: {detail}; choose a free address, or port 0")
+            display("cannot listen on {address}: {detail}; hint: choose a free address, or port 0")
         }
-        /// A load file or list of instances cannot be used.
+        /// A load file or a list of instances is unreadable or invalid.
         File(detail: String) {
-            display("cannot use the file: {detail}; see docs/standins.md for its fields")
+            display("cannot use the file: {detail}; hint: its fields are described in docs/standins.md")
         }
-        /// A fleet in one process did not come up.
+        /// A fleet in one process does not start.
         Fleet(detail: String) {
-            display("the fleet did not come up: {detail}; hint: see the daemons' log")
+            display("the fleet did not start: {detail}; hint: see the instances' logs")
         }
     }
 }
--- a/crates/siskinyoke-standin/src/etcd/control.rs
+++ b/crates/siskinyoke-standin/src/etcd/control.rs
@@ -1,43 +1,43 @@
-//! What the stand-in store can be told to do wrong.
+//! Runtime control of the faults that the stand-in for etcd simulates.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use siskinyoke_base::Millis;
 
-/// Orders to the stand-in store; what is left out stays as it is.
+/// The body of `POST /control`; omitted fields keep their current values.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EtcdControl {
-    /// Refuse connections for this many milliseconds; 0 takes them again.
+    /// Closes and refuses connections for this many milliseconds; 0 ends the outage.
     pub down: Option<Millis>,
-    /// Pass nothing on for this many milliseconds while connections stay open; 0 ends it.
+    /// Forwards no data for this many milliseconds while connections stay open; 0 ends the freeze.
     pub freeze: Option<Millis>,
-    /// Cut every connection once, and take new ones.
+    /// Closes all connections once; new ones are accepted.
     pub cut: bool,
-    /// Wait this many milliseconds before each call.
+    /// Delays each call by this many milliseconds.
     pub slow: Option<Millis>,
-    /// Let this many writes take effect without giving their answer.
+    /// Applies this many writes but closes their connections without a response.
     pub lose_answers: Option<u32>,
-    /// End leases before their time.
+    /// Revokes leases before they expire.
     pub lapse: Option<Lapse>,
 }
 
-/// Which leases end.
+/// The leases to revoke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Lapse {
-    /// All of them.
+    /// All leases.
     All,
-    /// The one with this name.
+    /// The lease with this ID.
     One(i64),
 }
 
-/// The faults in force besides those of the gate.
+/// The active faults other than those of the proxy.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// The wait before each call.
+    /// The delay of each call.
     pub call_delay: Millis,
-    /// Writes still to lose the answers of.
+    /// Number of further writes whose responses are lost.
     pub lost_responses: u32,
 }
--- a/crates/siskinyoke-standin/src/etcd/gateway.rs
+++ b/crates/siskinyoke-standin/src/etcd/gateway.rs
@@ -1,4 +1,4 @@
-//! The calls of the gateway, carried out on the store.
+//! The calls of the JSON gateway, applied to the store.
 
 use serde_json::Value;
 use serde_json::json;
@@ -14,20 +14,20 @@
 use super::wire::Txn;
 use siskinyoke_base::Millis;
 
-/// Most bytes of one value, as the platform has it.
+/// Maximum size of a value, the limit of the platform's store.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// Why a call was refused: it had no effect.
+/// Why a call was rejected without effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// The value is over the limit.
+    /// The value exceeds the size limit.
     ValueTooLarge,
-    /// The lease is not alive.
+    /// The lease does not exist or has expired.
     LeaseNotFound,
 }
 
 impl CallError {
-    /// Returns the HTTP status that etcd's gateway gives.
+    /// Returns the HTTP status that etcd's gateway sends.
     pub const fn status(self) -> u16 {
         match self {
             Self::ValueTooLarge => 400,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the body that etcd's gateway gives.
+    /// Returns the body that etcd's gateway sends.
     pub fn body(self) -> Value {
         let (code, text) = match self {
             Self::ValueTooLarge => (3, "etcdserver: request is too large"),
@@ -47,16 +47,16 @@
 
 /// Reads a range.
 pub fn range(store: &Store, request: &Range) -> Value {
-    let mut answer = range_response(store, request);
-    answer["header"] = wire::response_header(store.revision());
-    answer
+    let mut response = range_response(store, request);
+    response["header"] = wire::response_header(store.revision());
+    response
 }
 
 /// Writes a key.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] if the value is too large or the lease is not alive.
+/// A [`CallError`] if the value is too large or the lease does not exist.
 pub fn put(store: &mut Store, request: Put) -> Result<Value, CallError> {
     check_put(store, &request)?;
     let revision = store.next_revision();
@@ -64,25 +64,25 @@
     Ok(json!({ "header": wire::response_header(revision) }))
 }
 
-/// Removes a range.
+/// Deletes a range.
 pub fn delete(store: &mut Store, request: &Range) -> Value {
-    let span = request.key_range();
-    let mut removed = 0;
-    if !store.range(&span).is_empty() {
+    let range = request.key_range();
+    let mut deleted = 0;
+    if !store.range(&range).is_empty() {
         let revision = store.next_revision();
-        removed = store.delete_range(revision, &span);
+        deleted = store.delete_range(revision, &range);
     }
-    json!({ "header": wire::response_header(store.revision()), "deleted": removed.to_string() })
+    json!({ "header": wire::response_header(store.revision()), "deleted": deleted.to_string() })
 }
 
-/// Carries out a transaction.
+/// Executes a transaction.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] if one of its writes is refused; then none took.
+/// A [`CallError`] if one of its writes is rejected. None of them takes effect then.
 pub fn txn(store: &mut Store, request: Txn) -> Result<Value, CallError> {
-    let holds = |compare: &wire::Compare| compare.matches(store.get(&compare.key));
-    let succeeded = request.compare.iter().all(holds);
+    let matches = |compare: &wire::Compare| compare.matches(store.get(&compare.key));
+    let succeeded = request.compare.iter().all(matches);
     let ops = if succeeded {
         request.success
     } else {
@@ -93,8 +93,8 @@
             check_put(store, put)?;
         }
     }
-    let writes = ops.iter().any(|op| op.request_range.is_none());
-    let revision = if writes {
+    let has_writes = ops.iter().any(|op| op.request_range.is_none());
+    let revision = if has_writes {
         store.next_revision()
     } else {
         store.revision()
@@ -103,32 +103,32 @@
         .into_iter()
         .map(|op| apply_op(store, revision, op))
         .collect();
-    let mut answer = json!({ "header": wire::response_header(revision), "responses": responses });
+    let mut response = json!({ "header": wire::response_header(revision), "responses": responses });
     if succeeded {
-        answer["succeeded"] = true.into();
+        response["succeeded"] = true.into();
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Makes a lease.
+/// Grants a lease.
 pub fn grant_lease(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
-    let span = Millis::from_secs(u64::try_from(request.ttl).unwrap_or_default());
-    let name = store.grant_lease(now, request.id, span);
-    lease_response(store.revision(), name, request.ttl)
+    let ttl = Millis::from_secs(u64::try_from(request.ttl).unwrap_or_default());
+    let id = store.grant_lease(now, request.id, ttl);
+    lease_response(store.revision(), id, request.ttl)
 }
 
-/// Keeps a lease alive; one that has lapsed shows without a span.
+/// Renews a lease. The response for an expired lease has no `TTL`.
 pub fn keep_alive(store: &mut Store, now: Millis, request: &LeaseRequest) -> Value {
-    let span = store.keep_alive(now, request.id).unwrap_or_default();
-    let secs = i64::try_from(span.0 / 1000).unwrap_or_default();
-    json!({ "result": lease_response(store.revision(), request.id, secs) })
+    let ttl = store.keep_alive(now, request.id).unwrap_or_default();
+    let ttl_s = i64::try_from(ttl.0 / 1000).unwrap_or_default();
+    json!({ "result": lease_response(store.revision(), request.id, ttl_s) })
 }
 
-/// Gives a lease up.
+/// Revokes a lease.
 ///
 /// # Errors
 ///
-/// [`Refusal::NoLease`] if it is not alive.
+/// [`CallError::LeaseNotFound`] if the lease does not exist.
 pub fn revoke_lease(store: &mut Store, request: &LeaseRequest) -> Result<Value, CallError> {
     if !store.revoke_lease(request.id) {
         return Err(CallError::LeaseNotFound);
@@ -136,19 +136,19 @@
     Ok(json!({ "header": wire::response_header(store.revision()) }))
 }
 
-/// Writes the changes that a watch sends, as one line.
+/// Encodes events as a line of a watch response.
 pub fn watch_events(store: &Store, events: &[Event]) -> String {
     let events: Vec<Value> = events.iter().map(encode_event).collect();
     let header = wire::response_header(store.revision());
     encode_line(&json!({ "header": header, "events": events }))
 }
 
-/// Writes the line that begins a watch.
+/// Encodes the first line of a watch response.
 pub fn watch_created(header: &Value) -> String {
     encode_line(&json!({ "header": header, "created": true }))
 }
 
-/// Writes the line that refuses a watch whose start is no longer kept.
+/// Encodes the line that cancels a watch from a compacted revision.
 pub fn watch_canceled(header: &Value, compacted: i64) -> String {
     let first = (compacted + 1).to_string();
     encode_line(&json!({ "header": header, "canceled": true, "compact_revision": first }))
@@ -160,12 +160,12 @@
 
 fn encode_event(event: &Event) -> Value {
     if event.deleted {
-        let kept = Entry {
+        let entry = Entry {
             version: 0,
             lease: 0,
             ..event.entry.clone()
         };
-        return json!({ "type": "DELETE", "kv": wire::encode_entry(&kept) });
+        return json!({ "type": "DELETE", "kv": wire::encode_entry(&entry) });
     }
     json!({ "kv": wire::encode_entry(&event.entry) })
 }
@@ -176,8 +176,8 @@
         return json!({ "response_put": { "header": wire::response_header(revision) } });
     }
     if let Some(range) = op.request_delete_range {
-        let removed = store.delete_range(revision, &range.key_range());
-        return json!({ "response_delete_range": { "deleted": removed.to_string() } });
+        let deleted = store.delete_range(revision, &range.key_range());
+        return json!({ "response_delete_range": { "deleted": deleted.to_string() } });
     }
     let range = op.request_range.unwrap_or_default();
     json!({ "response_range": range_response(store, &range) })
@@ -186,21 +186,21 @@
 fn range_response(store: &Store, request: &Range) -> Value {
     let entries = store.range(&request.key_range());
     let limit = usize::try_from(request.limit).unwrap_or_default();
-    let shown = if limit == 0 { entries.len() } else { limit };
+    let returned = if limit == 0 { entries.len() } else { limit };
     let kvs: Vec<Value> = entries
         .iter()
-        .take(shown)
+        .take(returned)
         .map(|entry| wire::encode_entry(entry))
         .collect();
-    let mut answer = json!({});
+    let mut response = json!({});
     if !kvs.is_empty() {
-        answer["kvs"] = kvs.into();
-        answer["count"] = entries.len().to_string().into();
+        response["kvs"] = kvs.into();
+        response["count"] = entries.len().to_string().into();
     }
-    if entries.len() > shown {
-        answer["more"] = true.into();
+    if entries.len() > returned {
+        response["more"] = true.into();
     }
-    answer
+    response
 }
 
 fn check_put(store: &Store, put: &Put) -> Result<(), CallError> {
@@ -213,10 +213,10 @@
     Ok(())
 }
 
-fn lease_response(revision: i64, name: i64, secs: i64) -> Value {
-    let mut answer = json!({ "header": wire::response_header(revision), "ID": name.to_string() });
-    if secs > 0 {
-        answer["TTL"] = secs.to_string().into();
+fn lease_response(revision: i64, id: i64, ttl_s: i64) -> Value {
+    let mut response = json!({ "header": wire::response_header(revision), "ID": id.to_string() });
+    if ttl_s > 0 {
+        response["TTL"] = ttl_s.to_string().into();
     }
-    answer
+    response
 }
--- a/crates/siskinyoke-standin/src/etcd/mod.rs
+++ b/crates/siskinyoke-standin/src/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of etcd's v3 JSON gateway, in memory.
+//! An in-memory stand-in for etcd with its v3 JSON gateway.
 
 pub mod control;
 pub mod gateway;
@@ -23,13 +23,13 @@
 use crate::http::HttpServer;
 use siskinyoke_base::clock::SystemClock;
 
-/// How a stand-in store is started.
+/// Configuration of a stand-in for etcd.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EtcdConfig {
-    /// Address of the store; port 0 for any.
+    /// Listen address of the store; port 0 for any free port.
     pub listen: String,
-    /// Address that stays reachable while the store is down.
+    /// Control address, which stays reachable while the store is down.
     pub control: String,
 }
 
@@ -42,14 +42,14 @@
     }
 }
 
-/// A running stand-in store; it stops when dropped.
+/// A running stand-in for etcd, stopped on drop.
 pub struct Etcd {
     server: HttpServer,
     shared: Arc<Shared>,
 }
 
 impl Etcd {
-    /// Starts it.
+    /// Starts a store.
     ///
     /// # Errors
     ///
@@ -61,29 +61,26 @@
             changed: Condvar::new(),
         });
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = HttpServer::start(&config.listen, &config.control, handler)?;
-        Ok(Self {
-            server: web,
-            shared,
-        })
+        let server = HttpServer::start(&config.listen, &config.control, handler)?;
+        Ok(Self { server, shared })
     }
 
-    /// Returns the address of the store.
+    /// Returns the listen address of the store.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the address that stays reachable while the store is down.
+    /// Returns the control address, which stays reachable while the store is down.
     pub fn control_address(&self) -> SocketAddr {
         self.server.control_address()
     }
 
-    /// Carries out orders, as `POST /control` does.
-    pub fn control(&self, orders: &EtcdControl) {
-        self.shared.control(self.server.proxy(), orders);
+    /// Applies a control command, as `POST /control` does.
+    pub fn control(&self, command: &EtcdControl) {
+        self.shared.control(self.server.proxy(), command);
     }
 
-    /// Writes a value, as operators and endpoints do.
+    /// Writes a value, as operators and endpoints do through the gateway.
     pub fn put(&self, key: &str, value: &str) {
         let mut state = self.shared.lock();
         let revision = state.store.next_revision();
@@ -92,19 +89,19 @@
         self.shared.changed.notify_all();
     }
 
-    /// Returns a value, if its key is there.
+    /// Returns the value of a key, if present.
     pub fn get(&self, key: &str) -> Option<String> {
         let state = self.shared.lock();
         let entry = state.store.get(key.as_bytes())?;
         Some(String::from_utf8_lossy(&entry.value).into_owned())
     }
 
-    /// Returns the calls by kind since the start.
+    /// Returns the number of calls by kind since the start.
     pub fn call_counts(&self) -> BTreeMap<String, u64> {
         self.shared.lock().call_counts.clone()
     }
 
-    /// Stops it, cutting every connection.
+    /// Stops the store and closes all connections.
     pub fn stop(self) {
         drop(self);
     }
--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole small system in one process: etcd, engines, a plain service and instances.
+//! A complete small system in one process: etcd, engines, a plain service and instances.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -28,16 +28,16 @@
 use siskinyoke_gateway::gateway;
 use siskinyoke_gateway::settings::Settings;
 
-/// The bearer key of the fleet's only organisation.
+/// The API key of the fleet's only organisation.
 pub const API_KEY: &str = "trial-school";
 
-/// The model that both engines offer.
+/// The model that both engines serve.
 pub const MODEL_NAME: &str = "qalam-small";
 
-/// The plain service.
+/// The name of the plain service.
 pub const SERVICE_NAME: &str = "portal";
 
-/// The configuration of the fleet.
+/// The configuration of the fleet, with `KEY` in place of the API key's digest.
 pub const CONFIGURATION_TEMPLATE: &str = r#"{
     "revision": 1,
     "preset": "ordinary",
@@ -52,34 +52,34 @@
     "organisations": { "school": { "keys": ["KEY"] } }
 }"#;
 
-/// How long the fleet may take until it serves, in steps of [`LOOK`].
+/// Maximum number of checks whether the fleet has started, one per [`POLL_INTERVAL`].
 const MAX_POLLS: usize = 400;
 
-/// Pause between two looks at the fleet.
+/// Interval of checks whether the fleet has started.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A whole small system in one process.
+/// A complete small system in one process.
 pub struct Fleet {
-    /// The store.
+    /// The stand-in for etcd.
     pub etcd: Etcd,
-    /// A fast and a slow engine.
+    /// A fast and a slow stand-in engine.
     pub engines: Vec<Engine>,
-    /// The plain service.
+    /// The stand-in for a plain service.
     pub service: Service,
-    /// Where callers reach each instance.
+    /// The address for callers of each instance.
     pub caller_addresses: Vec<SocketAddr>,
-    /// Where each instance says which ones to use.
+    /// The directory address of each instance, which lists the instances to use.
     pub directory_addresses: Vec<SocketAddr>,
     settings_files: Vec<PathBuf>,
     instance_error: Arc<Mutex<Option<String>>>,
 }
 
 impl Fleet {
-    /// Starts everything and waits until each instance serves.
+    /// Starts a fleet and waits until every instance lists all of them.
     ///
     /// # Errors
     ///
-    /// [`StandinError`] if a part cannot be started or does not serve in time.
+    /// [`StandinError`] if a component cannot be started or is not ready in time.
     pub fn start(instances: usize) -> Result<Self, StandinError> {
         let mut fleet = Self::without_instances()?;
         let digest = blake3::hash(API_KEY.as_bytes()).to_hex();
@@ -92,11 +92,11 @@
         Ok(fleet)
     }
 
-    /// Starts everything with one instance and no configuration, and waits until it listens.
+    /// Starts a fleet with one instance and no configuration, and waits until the instance listens.
     ///
     /// # Errors
     ///
-    /// [`StandinError`] if a part cannot be started or does not listen in time.
+    /// [`StandinError`] if a component cannot be started or does not listen in time.
     pub fn start_unconfigured() -> Result<Self, StandinError> {
         let mut fleet = Self::without_instances()?;
         fleet.start_instance(1)?;
@@ -107,7 +107,7 @@
             thread::sleep(POLL_INTERVAL);
         }
         Err(StandinError::Fleet(
-            "the instance does not listen".to_owned(),
+            "the instance does not listen on its address for callers".to_owned(),
         ))
     }
 
@@ -115,8 +115,13 @@
         let etcd = Etcd::start(&EtcdConfig::default())?;
         let engines = vec![start_engine(120.0, 16)?, start_engine(40.0, 4)?];
         let service = Service::start(&ServiceConfig::default())?;
-        for (at, engine) in engines.iter().enumerate() {
-            register_endpoint(&etcd, &format!("engine-{at}"), "engines", engine.address());
+        for (index, engine) in engines.iter().enumerate() {
+            register_endpoint(
+                &etcd,
+                &format!("engine-{index}"),
+                "engines",
+                engine.address(),
+            );
         }
         register_endpoint(&etcd, "portal", SERVICE_NAME, service.address());
         Ok(Self {
@@ -130,10 +135,10 @@
         })
     }
 
-    /// Makes a client that asks an instance where to go.
-    pub fn client(&self, place: usize) -> Client {
+    /// Creates a client that uses the directory of one instance.
+    pub fn client(&self, index: usize) -> Client {
         Client::new(ClientSettings {
-            addresses: vec![self.directory_addresses[place].to_string()],
+            addresses: vec![self.directory_addresses[index].to_string()],
             key: API_KEY.to_owned(),
             max_attempts: 5,
             max_delay: Millis::from_secs(5),
@@ -159,47 +164,49 @@
             },
         });
         let path = std::env::temp_dir().join(format!("siskinyoke-{}.jsonc", callers.ip()));
-        let fault = |err: String| StandinError::Fleet(format!("{}: {err}", path.display()));
-        fs::write(&path, settings.to_string()).map_err(|err| fault(err.to_string()))?;
-        let settings = Settings::load(&path).map_err(|err| fault(err.to_string()))?;
+        let to_error = |err: String| StandinError::Fleet(format!("{}: {err}", path.display()));
+        fs::write(&path, settings.to_string()).map_err(|err| to_error(err.to_string()))?;
+        let settings = Settings::load(&path).map_err(|err| to_error(err.to_string()))?;
         self.caller_addresses.push(callers);
         self.directory_addresses.push(directory);
         self.settings_files.push(path.clone());
-        let ended = Arc::clone(&self.instance_error);
+        let instance_error = Arc::clone(&self.instance_error);
         thread::spawn(move || {
             if let Err(err) = gateway::run_without_log(settings, path) {
-                let mut ended = ended.lock().unwrap_or_else(PoisonError::into_inner);
-                *ended = Some(err.to_string());
+                let mut instance_error = instance_error
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                *instance_error = Some(err.to_string());
             }
         });
         Ok(())
     }
 
     fn wait_until_serving(&self) -> Result<(), StandinError> {
-        for place in 0..self.directory_addresses.len() {
-            let mut client = self.client(place);
-            let known = |client: &mut Client| {
+        for index in 0..self.directory_addresses.len() {
+            let mut client = self.client(index);
+            let lists_all = |client: &mut Client| {
                 let located = client.locate();
                 located.is_ok_and(|it| it.addresses.len() == self.directory_addresses.len())
             };
-            let mut looks = 0;
-            while !known(&mut client) {
-                let ended = self
+            let mut polls = 0;
+            while !lists_all(&mut client) {
+                let instance_error = self
                     .instance_error
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner);
-                if let Some(err) = &*ended {
+                if let Some(err) = &*instance_error {
                     return Err(StandinError::Fleet(err.clone()));
                 }
-                drop(ended);
-                if looks == MAX_POLLS {
+                drop(instance_error);
+                if polls == MAX_POLLS {
                     return Err(StandinError::Fleet(format!(
-                        "instance {} does not know the others",
-                        place + 1
+                        "instance {} does not list all instances",
+                        index + 1
                     )));
                 }
-                looks += 1;
-                client = self.client(place);
+                polls += 1;
+                client = self.client(index);
                 thread::sleep(POLL_INTERVAL);
             }
         }
@@ -210,7 +217,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for path in &self.settings_files {
-            // It lies among temporary files and may be gone.
+            // An error is ignored: the file is temporary and may be deleted already.
             drop(fs::remove_file(path));
         }
     }
@@ -232,8 +239,8 @@
     etcd.put(&format!("siskinyoke/endpoints/{id}"), &entry.to_string());
 }
 
-// Each instance has a loopback address of its own: a free port could be taken by a connection of
-// this machine before the instance listens on it.
+// Gives each instance its own loopback address. A free port of a shared address could be taken by
+// an outgoing connection of this machine before the instance listens on it.
 fn allocate_addresses() -> [SocketAddr; 5] {
     static NEXT_INSTANCE: AtomicU8 = AtomicU8::new(1);
     let process = u8::try_from(std::process::id() % 200).unwrap_or(0) + 20;
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that every stand-in runs on.
+//! The HTTP server of all stand-ins.
 
 use std::io;
 use std::io::Read;
@@ -22,26 +22,27 @@
 use crate::proxy::listen;
 use siskinyoke_base::Millis;
 
-/// Most bytes of a body that are read; the largest value of the platform fits coded.
+/// Maximum body size. The largest value that the platform stores fits in base64.
 const MAX_BODY_BYTES: u64 = 8 * 1024 * 1024;
 
-/// How often the serving thread looks whether it is to stop.
+/// How often the server thread checks whether the server is stopped.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Answers exchanges, each on a thread of its own.
+/// Handles requests, each on its own thread.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one exchange.
+    /// Handles one request.
     fn handle(&self, exchange: Exchange);
 }
 
-/// A running server with its gate.
+/// A running server behind a proxy.
 pub struct HttpServer {
     proxy: Arc<Proxy>,
     control_address: SocketAddr,
 }
 
 impl HttpServer {
-    /// Starts a server behind a gate at an address; `control` is reachable also while the gate is shut.
+    /// Starts a server behind a proxy at `address`. The address `control` bypasses the proxy and stays
+    /// reachable during outages.
     ///
     /// # Errors
     ///
@@ -51,31 +52,32 @@
         control: &str,
         handler: Arc<dyn Handler>,
     ) -> Result<Self, StandinError> {
-        let inner = listen(control).map_err(|err| listen_error(control, &err))?;
-        let seen = inner
+        let listener = listen(control).map_err(|err| listen_error(control, &err))?;
+        let control_address = listener
             .local_addr()
             .map_err(|err| listen_error(control, &err))?;
-        let server = new_server(control, inner)?;
-        let gate = Proxy::open(address, seen).map_err(|err| listen_error(address, &err))?;
-        let own = Arc::clone(&gate);
-        thread::spawn(move || mark_handled(&server, &own, &handler));
+        let server = new_server(control, listener)?;
+        let proxy =
+            Proxy::open(address, control_address).map_err(|err| listen_error(address, &err))?;
+        let server_proxy = Arc::clone(&proxy);
+        thread::spawn(move || serve(&server, &server_proxy, &handler));
         Ok(Self {
-            proxy: gate,
-            control_address: seen,
+            proxy,
+            control_address,
         })
     }
 
-    /// Returns the address that others know.
+    /// Returns the public address, which is the proxy's.
     pub fn address(&self) -> SocketAddr {
         self.proxy.address()
     }
 
-    /// Returns the address that is reachable also while the gate is shut.
+    /// Returns the server's own address, which stays reachable during outages.
     pub fn control_address(&self) -> SocketAddr {
         self.control_address
     }
 
-    /// Returns the gate.
+    /// Returns the proxy in front of the server.
     pub fn proxy(&self) -> &Proxy {
         &self.proxy
     }
@@ -87,7 +89,7 @@
     }
 }
 
-/// One request that waits for its answer.
+/// One request and the means to respond to it.
 pub struct Exchange {
     request: Request,
     proxy: Arc<Proxy>,
@@ -95,22 +97,22 @@
 }
 
 impl Exchange {
-    /// Returns the method in capitals.
+    /// Returns the method in upper case.
     pub fn method(&self) -> String {
         self.request.method().to_string()
     }
 
-    /// Returns path and query.
+    /// Returns the path with the query.
     pub fn url(&self) -> &str {
         self.request.url()
     }
 
-    /// Returns the path without its query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.url().split('?').next().unwrap_or_default()
     }
 
-    /// Returns a header's value; its name may be written in any case.
+    /// Returns the value of a header; the case of its name is ignored.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.request.headers().iter();
         let found =
@@ -118,16 +120,16 @@
         found.map(|header| header.value.as_str())
     }
 
-    /// Says whether the caller still holds the connection.
+    /// Returns whether the caller's connection is still open.
     pub fn is_connected(&self) -> bool {
-        self.peer.is_none_or(|link| self.proxy.is_open(link))
+        self.peer.is_none_or(|peer| self.proxy.is_open(peer))
     }
 
     /// Reads the body.
     ///
     /// # Errors
     ///
-    /// What the system says if the caller broke off.
+    /// An I/O error if the caller has closed the connection.
     pub fn body(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         let reader = self.request.as_reader();
@@ -139,19 +141,19 @@
     ///
     /// # Errors
     ///
-    /// A sentence for the caller.
+    /// A message for the caller if the body cannot be read or is malformed.
     pub fn json<T: DeserializeOwned>(&mut self) -> Result<T, String> {
         let body = self.body().map_err(|err| err.to_string())?;
         serde_json::from_slice(&body).map_err(|err| err.to_string())
     }
 
-    /// Answers with JSON.
+    /// Responds with JSON.
     pub fn reply_json(self, status: u16, value: &impl Serialize) {
         let text = serde_json::to_string(value).unwrap_or_default();
         self.reply(status, "application/json", &text);
     }
 
-    /// Answers with an error in the form that OpenAI-style clients show.
+    /// Responds with an error in the OpenAI-compatible format.
     pub fn reply_error(self, status: u16, text: &str) {
         self.reply_json(
             status,
@@ -159,46 +161,52 @@
         );
     }
 
-    /// Answers an order and carries it out, in this sequence: the order may shut the gate.
+    /// Responds to a control request, then applies it. Applying it first could close the connection
+    /// before the response is sent.
     pub fn handle_control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
         match self.json() {
-            Ok(orders) => {
-                let gate = Arc::clone(&self.proxy);
+            Ok(command) => {
+                let proxy = Arc::clone(&self.proxy);
                 self.reply_json(200, &json!({}));
-                apply(&gate, &orders);
+                apply(&proxy, &command);
             }
             Err(detail) => self.reply_error(400, &detail),
         }
     }
 
-    /// Cuts every connection and refuses new ones for a span, as a crash does.
-    pub fn crash(self, span: Millis) {
-        self.proxy.take_down(span);
+    /// Simulates a crash: closes all connections and refuses new ones for a duration.
+    pub fn crash(self, duration: Millis) {
+        self.proxy.take_down(duration);
     }
 
-    /// Answers with a text.
-    pub fn reply(self, status: u16, content: &str, text: &str) {
+    /// Responds with a text.
+    pub fn reply(self, status: u16, content_type: &str, text: &str) {
         let mut response = Response::from_string(text).with_status_code(status);
-        if let Ok(header) = Header::from_bytes("Content-Type", content) {
+        if let Ok(header) = Header::from_bytes("Content-Type", content_type) {
             response = response.with_header(header);
         }
-        // A caller that went away is no fault of the stand-in.
+        // An error means that the caller has closed the connection.
         let _ = self.request.respond(response);
     }
 
-    /// Starts an answer in pieces.
+    /// Starts a chunked response.
     ///
     /// # Errors
     ///
-    /// What the system says if the caller broke off.
-    pub fn start_chunked(self, content: &str) -> io::Result<ChunkedResponse> {
-        ChunkedResponse::start(self.request.into_writer(), self.proxy, self.peer, content)
+    /// An I/O error if the caller has closed the connection.
+    pub fn start_chunked(self, content_type: &str) -> io::Result<ChunkedResponse> {
+        ChunkedResponse::start(
+            self.request.into_writer(),
+            self.proxy,
+            self.peer,
+            content_type,
+        )
     }
 
-    /// Cuts the connection without an answer.
+    /// Closes the connection without a response.
     pub fn abort(self) {
-        if let Some(link) = self.peer {
-            self.proxy.close_after_flush(link);
+        if let Some(peer) = self.peer {
+            self.proxy.close_after_flush(peer);
         }
     }
 }
@@ -208,17 +216,17 @@
         .map_err(|err| StandinError::Listen(address.to_owned(), err.to_string()))
 }
 
-fn mark_handled(server: &Server, proxy: &Arc<Proxy>, handler: &Arc<dyn Handler>) {
+fn serve(server: &Server, proxy: &Arc<Proxy>, handler: &Arc<dyn Handler>) {
     while !proxy.is_stopped() {
         let Ok(Some(request)) = server.recv_timeout(STOP_POLL_INTERVAL) else {
             continue;
         };
-        let link = request.remote_addr().copied();
-        let link = link.filter(|seen| proxy.mark_handled(*seen));
+        let peer = request.remote_addr().copied();
+        let peer = peer.filter(|peer| proxy.mark_handled(*peer));
         let exchange = Exchange {
             request,
             proxy: Arc::clone(proxy),
-            peer: link,
+            peer,
         };
         let handler = Arc::clone(handler);
         proxy.thread_pool().run(move || handler.handle(exchange));
--- a/crates/siskinyoke-standin/src/lib.rs
+++ b/crates/siskinyoke-standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for what siskinyoke meets: etcd, model engine and plain service.
+//! Stand-ins for the systems that siskinyoke connects to: etcd, model engines and plain services.
 
 pub mod chunked;
 pub mod completion;
@@ -13,5 +13,5 @@
 pub mod thread_pool;
 pub mod trial;
 
-/// Any free port of this machine.
+/// A listen address on the loopback interface with any free port.
 pub const LOOPBACK_ANY_PORT: &str = "127.0.0.1:0";
--- a/crates/siskinyoke-standin/src/main.rs
+++ b/crates/siskinyoke-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! The command line of the stand-ins and the load generator.
 
 use std::fs;
 use std::path::Path;
@@ -23,7 +23,7 @@
 use siskinyoke_standin::service::ServiceConfig;
 use siskinyoke_standin::trial;
 
-/// Small stand-ins for what siskinyoke meets.
+/// Stand-ins for the systems that siskinyoke connects to, and a load generator.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Cli {
@@ -33,24 +33,24 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Runs the key-value service.
+    /// Run a stand-in for etcd.
     Etcd(Addresses),
-    /// Runs a model engine.
+    /// Run a stand-in for a model engine.
     Engine(EngineArgs),
-    /// Runs a plain service.
+    /// Run a stand-in for a plain service.
     Service(ServiceArgs),
-    /// Runs the whole path in one process and prints what each part did.
+    /// Run a complete system in one process, send a few requests and print counts by component.
     Trial,
-    /// Sends a load and checks each answer.
+    /// Generate load and check every response.
     Load(LoadArgs),
 }
 
 #[derive(Debug, Args)]
 struct Addresses {
-    /// Address to listen on; port 0 for any.
+    /// Address to listen on; port 0 for any free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: String,
-    /// Address that stays reachable while the stand-in is down.
+    /// Control address, which stays reachable while the stand-in is down.
     #[arg(long, default_value = "127.0.0.1:0")]
     control: String,
 }
@@ -59,25 +59,25 @@
 struct EngineArgs {
     #[command(flatten)]
     addresses: Addresses,
-    /// A model that is loaded; may be given several times.
+    /// A model to serve; may be repeated.
     #[arg(long = "model", default_value = "small")]
     models: Vec<String>,
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     #[arg(long, default_value_t = 16)]
     slots: u32,
-    /// Tokens a second of each running request.
+    /// Output tokens per second of each running request.
     #[arg(long, default_value_t = 100.0)]
     speed: f64,
-    /// Tokens of prompts a second.
+    /// Prompt tokens processed per second.
     #[arg(long, default_value_t = 8000.0)]
     prefill: f64,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     #[arg(long, default_value_t = 4096)]
     cache: usize,
-    /// How late the metrics are, in milliseconds.
+    /// Delay of the metrics, in milliseconds.
     #[arg(long, default_value_t = 500)]
     lag: u64,
-    /// End the process when a request contains this text.
+    /// End the process on a request whose prompt contains this text.
     #[arg(long)]
     crash_marker: Option<String>,
 }
@@ -86,7 +86,7 @@
 struct ServiceArgs {
     #[command(flatten)]
     addresses: Addresses,
-    /// How long a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     #[arg(long, default_value_t = 2)]
     time: u64,
 }
@@ -95,10 +95,10 @@
 struct LoadArgs {
     /// The load file, JSON with comments.
     file: PathBuf,
-    /// Address to send to instead of those in the file; may be given several times.
+    /// Address to send to instead of those in the file; may be repeated.
     #[arg(long = "address")]
     addresses: Vec<String>,
-    /// Seed instead of that in the file.
+    /// Seed to use instead of the one in the file.
     #[arg(long)]
     seed: Option<u64>,
     /// Print the report as JSON.
@@ -106,7 +106,7 @@
     json: bool,
 }
 
-/// Exit code of a load that got an answer which looks whole and is not the caller's own.
+/// Exit code after a load test in which a response looked complete but had wrong contents.
 const WRONG_RESPONSE_EXIT_CODE: u8 = 1;
 
 fn main() -> ExitCode {
@@ -125,7 +125,7 @@
         Command::Etcd(args) => run_etcd(args),
         Command::Engine(args) => run_engine(args),
         Command::Service(args) => run_service(args),
-        Command::Trial => trial::run().map(|whole| ExitCode::from(u8::from(!whole))),
+        Command::Trial => trial::run().map(|complete| ExitCode::from(u8::from(!complete))),
         Command::Load(args) => run_load(args),
     }
 }
@@ -196,7 +196,7 @@
     text.map_err(|err| StandinError::File(format!("{}: {err}", path.display())))
 }
 
-/// Serves until the process is ended.
+/// Blocks until the process is terminated.
 fn serve_forever() -> ! {
     loop {
         thread::park();
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service, whose every execution bears a serial number.
+//! A stand-in for a plain service whose responses contain a serial number of the execution.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,18 +20,18 @@
 use crate::proxy::Proxy;
 use siskinyoke_base::Millis;
 
-/// Names the request towards the service.
+/// The header with the ID of the request.
 const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
-/// How a stand-in service is started.
+/// Configuration of a stand-in service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceConfig {
-    /// Address of the service; port 0 for any.
+    /// Listen address of the service; port 0 for any free port.
     pub listen: String,
-    /// Address that stays reachable while the service is down.
+    /// Control address, which stays reachable while the service is down.
     pub control: String,
-    /// How long a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub time: Millis,
 }
 
@@ -45,28 +45,28 @@
     }
 }
 
-/// Orders to the stand-in service; what is left out stays as it is.
+/// The body of `POST /control`; omitted fields keep their current values.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceControl {
-    /// Cut and refuse connections for this many milliseconds, as a crash does; 0 ends it.
+    /// Closes and refuses connections for this many milliseconds; 0 ends the outage.
     pub down: Option<Millis>,
-    /// Pass nothing on for this many milliseconds while connections stay open; 0 ends it.
+    /// Forwards no data for this many milliseconds while connections stay open; 0 ends the freeze.
     pub freeze: Option<Millis>,
-    /// How long a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub time: Option<Millis>,
-    /// Execute this many calls without giving their answer.
+    /// Executes this many calls but closes their connections without a response.
     pub lose_answers: Option<u32>,
 }
 
-/// A running stand-in service; it stops when dropped.
+/// A running stand-in service, stopped on drop.
 pub struct Service {
     server: HttpServer,
     shared: Arc<Shared>,
 }
 
 impl Service {
-    /// Starts it.
+    /// Starts a service.
     ///
     /// # Errors
     ///
@@ -75,34 +75,31 @@
         let shared = Arc::new(Shared::default());
         shared.lock().service_time = config.time;
         let handler = Arc::clone(&shared) as Arc<dyn Handler>;
-        let web = HttpServer::start(&config.listen, &config.control, handler)?;
-        Ok(Self {
-            server: web,
-            shared,
-        })
+        let server = HttpServer::start(&config.listen, &config.control, handler)?;
+        Ok(Self { server, shared })
     }
 
-    /// Returns the address of the service.
+    /// Returns the listen address of the service.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the address that stays reachable while the service is down.
+    /// Returns the control address, which stays reachable while the service is down.
     pub fn control_address(&self) -> SocketAddr {
         self.server.control_address()
     }
 
-    /// Carries out orders, as `POST /control` does.
-    pub fn control(&self, orders: &ServiceControl) {
-        self.shared.control(self.server.proxy(), orders);
+    /// Applies a control command, as `POST /control` does.
+    pub fn control(&self, command: &ServiceControl) {
+        self.shared.control(self.server.proxy(), command);
     }
 
-    /// Returns how often each request was executed.
+    /// Returns the number of executions by request ID.
     pub fn executions(&self) -> BTreeMap<String, u64> {
         self.shared.lock().executions.clone()
     }
 
-    /// Stops it, cutting every connection.
+    /// Stops the service and closes all connections.
     pub fn stop(self) {
         drop(self);
     }
@@ -125,7 +122,7 @@
     fn handle(&self, mut exchange: Exchange) {
         match (exchange.method().as_str(), exchange.path()) {
             ("POST", "/control") => {
-                exchange.handle_control(|gate, orders| self.control(gate, orders))
+                exchange.handle_control(|proxy, command| self.control(proxy, command))
             }
             ("GET", "/control/counts") => {
                 let counts = self.lock().executions.clone();
@@ -147,25 +144,25 @@
     }
 
     fn execute(&self, exchange: Exchange, body: &[u8]) {
-        let name = exchange
+        let request_id = exchange
             .header(REQUEST_ID_HEADER)
             .unwrap_or_default()
             .to_owned();
-        let (serial, time, lost) = {
+        let (serial, service_time, response_lost) = {
             let mut state = self.lock();
             state.serial += 1;
-            *state.executions.entry(name.clone()).or_default() += 1;
-            let lost = state.lost_responses > 0;
+            *state.executions.entry(request_id.clone()).or_default() += 1;
+            let response_lost = state.lost_responses > 0;
             state.lost_responses = state.lost_responses.saturating_sub(1);
-            (state.serial, state.service_time, lost)
+            (state.serial, state.service_time, response_lost)
         };
-        thread::sleep(time.into());
-        if lost {
+        thread::sleep(service_time.into());
+        if response_lost {
             return exchange.abort();
         }
         let echo = json!({
             "serial": serial,
-            "request": name,
+            "request": request_id,
             "method": exchange.method(),
             "path": exchange.url(),
             "body": String::from_utf8_lossy(body),
@@ -173,11 +170,11 @@
         exchange.reply_json(200, &echo);
     }
 
-    fn control(&self, gate: &Proxy, orders: &ServiceControl) {
+    fn control(&self, proxy: &Proxy, command: &ServiceControl) {
         let mut state = self.lock();
-        state.service_time = orders.time.unwrap_or(state.service_time);
-        state.lost_responses = orders.lose_answers.unwrap_or(state.lost_responses);
+        state.service_time = command.time.unwrap_or(state.service_time);
+        state.lost_responses = command.lose_answers.unwrap_or(state.lost_responses);
         drop(state);
-        gate.apply_faults(orders.down, orders.freeze);
+        proxy.apply_faults(command.down, command.freeze);
     }
 }
--- a/crates/siskinyoke-standin/src/thread_pool.rs
+++ b/crates/siskinyoke-standin/src/thread_pool.rs
@@ -1,7 +1,7 @@
-//! Threads that are used again.
+//! A pool of reusable threads.
 //!
-//! A connection through the gate takes several threads. Making them anew for each takes nearly as
-//! long as a short call itself, which would be taken for the system's own delay.
+//! A proxied connection uses several threads. Starting them for each connection takes nearly as long
+//! as a short call, and would be measured as latency of the system under test.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,31 +12,31 @@
 use std::sync::mpsc::Sender;
 use std::thread;
 
-/// Something to be done on a thread of its own.
+/// A function to run on its own thread.
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Threads that wait for something to do; they end when this is dropped.
+/// A pool of threads without a size limit. Idle threads end when it is dropped.
 #[derive(Default)]
 pub struct ThreadPool {
     idle_threads: Mutex<Vec<Sender<Job>>>,
 }
 
 impl ThreadPool {
-    /// Runs a job at once, on a thread that waits or on a new one.
+    /// Runs a job at once, on an idle thread or on a new one.
     ///
-    /// Each job is handed to one thread that is known to wait for it, so none is ever queued
-    /// behind another that may take as long as a stream.
+    /// Each job is passed to a thread that is known to be idle, so no job is queued behind another
+    /// one, which may last as long as a stream.
     pub fn run(self: &Arc<Self>, job: impl FnOnce() + Send + 'static) {
         let mut job: Job = Box::new(job);
-        let waiting = self.lock().pop();
-        if let Some(worker) = waiting {
+        let idle = self.lock().pop();
+        if let Some(worker) = idle {
             match worker.send(job) {
                 Ok(()) => return,
                 Err(returned) => job = returned.0,
             }
         }
-        let workers = Arc::downgrade(self);
-        thread::spawn(move || run_jobs(&workers, job));
+        let pool = Arc::downgrade(self);
+        thread::spawn(move || run_jobs(&pool, job));
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Sender<Job>>> {
@@ -46,16 +46,17 @@
     }
 }
 
-fn run_jobs(workers: &Weak<ThreadPool>, first: Job) {
+/// Runs a first job, then further jobs until the pool is dropped.
+fn run_jobs(pool: &Weak<ThreadPool>, first: Job) {
     let mut job = first;
     loop {
         job();
-        let Some(strong) = workers.upgrade() else {
+        let Some(pool) = pool.upgrade() else {
             return;
         };
         let (sender, receiver) = mpsc::channel();
-        strong.lock().push(sender);
-        drop(strong);
+        pool.lock().push(sender);
+        drop(pool);
         let Ok(next) = receiver.recv() else {
             return;
         };
--- a/crates/siskinyoke-standin/src/trial.rs
+++ b/crates/siskinyoke-standin/src/trial.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process: sends work through three instances and prints what each part did.
+//! The command `trial`: a complete system in one process that serves a few requests.
 
 use std::io;
 use std::io::Write;
@@ -11,44 +11,44 @@
 use siskinyoke_client::Client;
 use siskinyoke_client::Request;
 
-/// Instances of the trial.
+/// Number of instances.
 const INSTANCE_COUNT: usize = 3;
 
-/// Tokens of each answer.
+/// Output tokens per response.
 const OUTPUT_TOKENS: u32 = 24;
 
-/// Runs the trial; returns whether every request got its whole answer.
+/// Runs the trial and returns whether every request received a complete response.
 ///
 /// # Errors
 ///
-/// [`StandinError`] if a part cannot be started.
+/// [`StandinError`] if a component cannot be started.
 pub fn run() -> Result<bool, StandinError> {
     println!("starting a store, two engines, a plain service and {INSTANCE_COUNT} instances …");
     let fleet = Fleet::start(INSTANCE_COUNT)?;
-    let mut whole = true;
-    for place in 0..INSTANCE_COUNT {
-        let mut client = fleet.client(place);
-        println!("\nasking instance {} to mark a composition:", place + 1);
+    let mut complete = true;
+    for index in 0..INSTANCE_COUNT {
+        let mut client = fleet.client(index);
+        println!("\nsending requests through instance {}:", index + 1);
         let request = Request::chat(
             MODEL_NAME,
-            &format!("composition {place}"),
+            &format!("composition {index}"),
             true,
             OUTPUT_TOKENS,
         );
-        whole &= send_and_print(&mut client, &request);
+        complete &= send_and_print(&mut client, &request);
         let request = Request::service(SERVICE_NAME, "POST", "/submissions", b"{}".to_vec());
-        whole &= send_and_print(&mut client, &request);
+        complete &= send_and_print(&mut client, &request);
     }
     print_counts(&fleet);
     println!(
         "{}",
-        if whole {
-            "every answer came whole"
+        if complete {
+            "every response is complete"
         } else {
-            "an answer is missing"
+            "a response is missing or incomplete"
         }
     );
-    Ok(whole)
+    Ok(complete)
 }
 
 fn send_and_print(client: &mut Client, request: &Request) -> bool {
@@ -60,17 +60,18 @@
                 .as_str()
                 .unwrap_or_default()
         );
-        // Without a reader there is nobody to show it to.
+        // An error means that nobody reads the output.
         let _ = io::stdout().flush();
     });
     match outcome {
         Ok(outcome) => {
-            let whole = if outcome.body.len() == 1 {
+            // A response in one part was not streamed and is not printed yet.
+            let body = if outcome.body.len() == 1 {
                 &outcome.body[0]
             } else {
                 ""
             };
-            println!("{whole}\n  code {} ({})", outcome.code, outcome.kind);
+            println!("{body}\n  code {} ({})", outcome.code, outcome.kind);
             outcome.kind == Kind::Done
         }
         Err(err) => {
@@ -81,12 +82,12 @@
 }
 
 fn print_counts(fleet: &Fleet) {
-    println!("\nwhat each part did:");
+    println!("\ncounts by component:");
     println!("  store: calls {:?}", fleet.etcd.call_counts());
-    for (place, engine) in fleet.engines.iter().enumerate() {
+    for (index, engine) in fleet.engines.iter().enumerate() {
         let counts = engine.counts();
         println!(
-            "  engine {place}: dispatched {}, completed {}, cancelled {}",
+            "  engine {index}: dispatched {}, completed {}, cancelled {}",
             counts.dispatched, counts.completed, counts.cancelled
         );
     }
