--- a/crates/siskinyoke-standin/src/etcd/server.rs
+++ b/crates/siskinyoke-standin/src/etcd/server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of the gateway, and does wrong what it was told to.
+//! Handles requests to the gateway and injects faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -28,10 +28,10 @@
 use siskinyoke_base::Clock;
 use siskinyoke_base::clock::SystemClock;
 
-/// How often a waiting watch looks for lapsed leases and for a caller that went away.
+/// How often an idle watch checks for expired leases and for a closed connection.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the threads of a stand-in share.
+/// State shared by the threads of a stand-in.
 pub(super) struct Shared {
     pub(super) clock: SystemClock,
     pub(super) state: Mutex<State>,
@@ -45,9 +45,10 @@
     pub(super) call_counts: BTreeMap<String, u64>,
 }
 
-/// How a call ended.
+/// The result of a call.
 enum Outcome {
     Response(u16, Value),
+    /// The call took effect, but the connection is closed without a response.
     ResponseLost,
 }
 
@@ -62,12 +63,12 @@
             exchange.reply_json(404, &json!({ "error": "not found", "code": 5 }));
             return;
         };
-        let slow = {
+        let call_delay = {
             let mut state = self.lock();
             *state.call_counts.entry(kind.to_owned()).or_default() += 1;
             state.faults.call_delay
         };
-        thread::sleep(slow.into());
+        thread::sleep(call_delay.into());
         if kind == "watch" {
             self.watch(exchange);
             return;
@@ -106,7 +107,7 @@
         self.changed.notify_all();
         let value = match result {
             Ok(Ok(value)) => value,
-            Ok(Err(refusal)) => return error_response(refusal),
+            Ok(Err(err)) => return error_response(err),
             Err(detail) => return malformed_request(&detail),
         };
         if is_write(kind) && state.faults.lost_responses > 0 {
@@ -116,7 +117,7 @@
         Outcome::Response(200, value)
     }
 
-    /// Sends the changes of a range as they come, until the caller goes away.
+    /// Streams the changes of a range until the caller closes the connection.
     fn watch(&self, mut exchange: Exchange) {
         let request: wire::Watch = match exchange.json() {
             Ok(request) => request,
@@ -125,19 +126,19 @@
                 return;
             }
         };
-        let Ok(pieces) = exchange.start_chunked("application/json") else {
+        let Ok(response) = exchange.start_chunked("application/json") else {
             return;
         };
-        // A caller that goes away ends its watch; there is nobody left to tell.
-        let _ = self.stream_events(pieces, request.create_request);
+        // An error means that the caller has closed the connection, which ends the watch.
+        let _ = self.stream_events(response, request.create_request);
     }
 
     fn stream_events(
         &self,
-        mut pieces: ChunkedResponse,
+        mut response: ChunkedResponse,
         request: wire::WatchCreate,
     ) -> io::Result<()> {
-        let span = KeyRange {
+        let range = KeyRange {
             key: request.key,
             end: request.range_end,
         };
@@ -154,13 +155,13 @@
             )
         };
         if next <= compacted {
-            pieces.send(&gateway::watch_canceled(&header, compacted))?;
-            return pieces.finish();
+            response.send(&gateway::watch_canceled(&header, compacted))?;
+            return response.finish();
         }
-        pieces.send(&gateway::watch_created(&header))?;
-        while pieces.is_connected() {
+        response.send(&gateway::watch_created(&header))?;
+        while response.is_connected() {
             let state = self.lock();
-            let events = state.store.events_since(&span, next);
+            let events = state.store.events_since(&range, next);
             if events.is_empty() {
                 let waited = self.changed.wait_timeout(state, WATCH_POLL_INTERVAL);
                 drop(waited.unwrap_or_else(PoisonError::into_inner));
@@ -169,7 +170,7 @@
             next = state.store.revision() + 1;
             let line = gateway::watch_events(&state.store, &events);
             drop(state);
-            pieces.send(&line)?;
+            response.send(&line)?;
         }
         Ok(())
     }
@@ -181,28 +182,28 @@
                 exchange.reply_json(200, &counts);
             }
             ("POST", "/control") => {
-                exchange.handle_control(|gate, orders| self.control(gate, orders))
+                exchange.handle_control(|proxy, command| self.control(proxy, command))
             }
             _ => exchange.reply_error(404, "no such control"),
         }
     }
 
-    pub(super) fn control(&self, gate: &Proxy, orders: &EtcdControl) {
-        gate.apply_faults(orders.down, orders.freeze);
-        if orders.cut {
-            gate.close_all_after_flush();
+    pub(super) fn control(&self, proxy: &Proxy, command: &EtcdControl) {
+        proxy.apply_faults(command.down, command.freeze);
+        if command.cut {
+            proxy.close_all_after_flush();
         }
         let mut state = self.lock();
-        if let Some(slow) = orders.slow {
-            state.faults.call_delay = slow;
+        if let Some(delay) = command.slow {
+            state.faults.call_delay = delay;
         }
-        if let Some(count) = orders.lose_answers {
+        if let Some(count) = command.lose_answers {
             state.faults.lost_responses = count;
         }
-        match orders.lapse {
+        match command.lapse {
             Some(Lapse::All) => state.store.revoke_all_leases(),
-            Some(Lapse::One(name)) => {
-                state.store.revoke_lease(name);
+            Some(Lapse::One(id)) => {
+                state.store.revoke_lease(id);
             }
             None => {}
         }
@@ -240,6 +241,6 @@
     )
 }
 
-fn error_response(refusal: CallError) -> Outcome {
-    Outcome::Response(refusal.status(), refusal.body())
+fn error_response(err: CallError) -> Outcome {
+    Outcome::Response(err.status(), err.body())
 }
--- a/crates/siskinyoke-standin/src/etcd/store.rs
+++ b/crates/siskinyoke-standin/src/etcd/store.rs
@@ -1,50 +1,50 @@
-//! Keys, revisions and leases as etcd keeps them.
+//! Keys, revisions and leases with the semantics of etcd.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use siskinyoke_base::Millis;
 
-/// Events kept for watches that start in the past; older ones count as compacted.
+/// Number of events kept for watches that start in the past. Older events are compacted.
 const MAX_HISTORY_EVENTS: usize = 4096;
 
-/// A key with its value and numbers.
+/// A key with its value and metadata.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: Vec<u8>,
     /// The value.
     pub value: Vec<u8>,
-    /// Revision of the write that made the key.
+    /// The revision of the write that created the key.
     pub create_revision: i64,
-    /// Revision of the last write.
+    /// The revision of the last write.
     pub mod_revision: i64,
-    /// Writes since it was made.
+    /// The number of writes since the key was created.
     pub version: i64,
-    /// The lease that it lives under, or 0.
+    /// The ID of the lease that the key is attached to, or 0.
     pub lease: i64,
 }
 
-/// One change of one key.
+/// A change of a key.
 #[derive(Debug, Clone)]
 pub struct Event {
-    /// The key after the change; a removed one has no value.
+    /// The entry after the change; the value of a deleted key is empty.
     pub entry: Entry,
-    /// Whether it was removed.
+    /// Whether the key was deleted.
     pub deleted: bool,
 }
 
-/// A range of keys: one key, or all from it up to an end.
+/// A single key, or all keys from a first key up to an exclusive end.
 #[derive(Debug, Clone, Default)]
 pub struct KeyRange {
     /// The first key.
     pub key: Vec<u8>,
-    /// Empty for the one key, `[0]` for all that follow.
+    /// The exclusive end; empty for a single key, `[0]` for all keys from the first one on.
     pub end: Vec<u8>,
 }
 
 impl KeyRange {
-    /// Says whether a key lies within the range.
+    /// Returns whether a key is in the range.
     pub fn contains(&self, key: &[u8]) -> bool {
         if self.end.is_empty() {
             return key == self.key;
@@ -59,7 +59,7 @@
     expires_at: Millis,
 }
 
-/// The store; time comes in from outside.
+/// An in-memory store. Callers pass the current time.
 #[derive(Debug)]
 pub struct Store {
     revision: i64,
@@ -89,35 +89,35 @@
         self.revision
     }
 
-    /// Returns the last revision whose events are no longer kept.
+    /// Returns the last compacted revision.
     pub fn compacted_revision(&self) -> i64 {
         self.compacted_revision
     }
 
-    /// Returns one key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &[u8]) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Returns the keys of a range in their order.
-    pub fn range(&self, span: &KeyRange) -> Vec<&Entry> {
-        let from = self.entries.range(span.key.clone()..);
-        let within = from.take_while(|(key, _)| span.contains(key));
+    /// Returns the entries of a range in key order.
+    pub fn range(&self, range: &KeyRange) -> Vec<&Entry> {
+        let from = self.entries.range(range.key.clone()..);
+        let within = from.take_while(|(key, _)| range.contains(key));
         within.map(|(_, entry)| entry).collect()
     }
 
-    /// Begins a write, and returns its revision.
+    /// Advances the revision for a write and returns it.
     pub fn next_revision(&mut self) -> i64 {
         self.revision += 1;
         self.revision
     }
 
-    /// Writes a key under a revision.
+    /// Writes a key at a revision.
     pub fn put(&mut self, revision: i64, key: Vec<u8>, value: Vec<u8>, lease: i64) {
-        let before = self.entries.get(&key);
+        let previous = self.entries.get(&key);
         let entry = Entry {
-            create_revision: before.map_or(revision, |entry| entry.create_revision),
-            version: before.map_or(0, |entry| entry.version) + 1,
+            create_revision: previous.map_or(revision, |entry| entry.create_revision),
+            version: previous.map_or(0, |entry| entry.version) + 1,
             mod_revision: revision,
             key: key.clone(),
             value,
@@ -127,9 +127,9 @@
         self.entries.insert(key, entry);
     }
 
-    /// Removes the keys of a range under a revision, and returns how many there were.
-    pub fn delete_range(&mut self, revision: i64, span: &KeyRange) -> usize {
-        let found = self.range(span);
+    /// Deletes the keys of a range at a revision and returns their number.
+    pub fn delete_range(&mut self, revision: i64, range: &KeyRange) -> usize {
+        let found = self.range(range);
         let keys: Vec<Vec<u8>> = found.iter().map(|entry| entry.key.clone()).collect();
         for key in &keys {
             self.delete_key(revision, key);
@@ -137,54 +137,48 @@
         keys.len()
     }
 
-    /// Returns the changes of a range from a revision on.
-    pub fn events_since(&self, span: &KeyRange, from: i64) -> Vec<Event> {
+    /// Returns the events of a range from a revision on.
+    pub fn events_since(&self, range: &KeyRange, from: i64) -> Vec<Event> {
         let later = self
             .events
             .iter()
             .filter(|event| event.entry.mod_revision >= from);
-        let within = later.filter(|event| span.contains(&event.entry.key));
+        let within = later.filter(|event| range.contains(&event.entry.key));
         within.cloned().collect()
     }
 
-    /// Makes a lease and returns its name; `wanted` of 0 leaves the name to the store.
-    pub fn grant_lease(&mut self, now: Millis, wanted: i64, ttl: Millis) -> i64 {
+    /// Grants a lease and returns its ID. If `requested_id` is 0, the store assigns the ID.
+    pub fn grant_lease(&mut self, now: Millis, requested_id: i64, ttl: Millis) -> i64 {
         self.lease_count += 1;
-        let name = if wanted == 0 {
+        let id = if requested_id == 0 {
             self.lease_count
         } else {
-            wanted
+            requested_id
         };
-        let lapse = now + ttl;
-        self.leases.insert(
-            name,
-            Lease {
-                ttl,
-                expires_at: lapse,
-            },
-        );
-        name
-    }
-
-    /// Keeps a lease alive and returns its span, unless it has lapsed.
-    pub fn keep_alive(&mut self, now: Millis, name: i64) -> Option<Millis> {
-        let lease = self.leases.get_mut(&name)?;
+        let expires_at = now + ttl;
+        self.leases.insert(id, Lease { ttl, expires_at });
+        id
+    }
+
+    /// Renews a lease and returns its TTL, unless it has expired.
+    pub fn keep_alive(&mut self, now: Millis, id: i64) -> Option<Millis> {
+        let lease = self.leases.get_mut(&id)?;
         lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Says whether a lease is alive.
-    pub fn has_lease(&self, name: i64) -> bool {
-        self.leases.contains_key(&name)
+    /// Returns whether a lease exists.
+    pub fn has_lease(&self, id: i64) -> bool {
+        self.leases.contains_key(&id)
     }
 
-    /// Ends a lease with its keys, and says whether it was alive.
-    pub fn revoke_lease(&mut self, name: i64) -> bool {
-        if self.leases.remove(&name).is_none() {
+    /// Revokes a lease, deletes its keys and returns whether the lease existed.
+    pub fn revoke_lease(&mut self, id: i64) -> bool {
+        if self.leases.remove(&id).is_none() {
             return false;
         }
-        let held = self.entries.values().filter(|entry| entry.lease == name);
-        let keys: Vec<Vec<u8>> = held.map(|entry| entry.key.clone()).collect();
+        let attached = self.entries.values().filter(|entry| entry.lease == id);
+        let keys: Vec<Vec<u8>> = attached.map(|entry| entry.key.clone()).collect();
         if keys.is_empty() {
             return true;
         }
@@ -195,24 +189,24 @@
         true
     }
 
-    /// Ends the leases whose time is over, and says whether there were any.
+    /// Revokes leases whose TTL has passed and returns whether there were any.
     pub fn expire_leases(&mut self, now: Millis) -> bool {
-        let over = self
+        let expired = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.expires_at <= now);
-        let names: Vec<i64> = over.map(|(name, _)| *name).collect();
-        for name in &names {
-            self.revoke_lease(*name);
+        let ids: Vec<i64> = expired.map(|(id, _)| *id).collect();
+        for id in &ids {
+            self.revoke_lease(*id);
         }
-        !names.is_empty()
+        !ids.is_empty()
     }
 
-    /// Ends all leases.
+    /// Revokes all leases.
     pub fn revoke_all_leases(&mut self) {
-        let names: Vec<i64> = self.leases.keys().copied().collect();
-        for name in names {
-            self.revoke_lease(name);
+        let ids: Vec<i64> = self.leases.keys().copied().collect();
+        for id in ids {
+            self.revoke_lease(id);
         }
     }
 
@@ -225,15 +219,12 @@
         self.record_event(entry, true);
     }
 
-    fn record_event(&mut self, entry: Entry, removed: bool) {
-        self.events.push_back(Event {
-            entry,
-            deleted: removed,
-        });
+    fn record_event(&mut self, entry: Entry, deleted: bool) {
+        self.events.push_back(Event { entry, deleted });
         if self.events.len() > MAX_HISTORY_EVENTS
-            && let Some(old) = self.events.pop_front()
+            && let Some(oldest) = self.events.pop_front()
         {
-            self.compacted_revision = old.entry.mod_revision;
+            self.compacted_revision = oldest.entry.mod_revision;
         }
     }
 }
--- a/crates/siskinyoke-standin/src/etcd/wire.rs
+++ b/crates/siskinyoke-standin/src/etcd/wire.rs
@@ -1,7 +1,7 @@
-//! The requests of etcd's v3 JSON gateway, as far as the stand-in knows them.
+//! The JSON format of the supported requests and responses of etcd's v3 gateway.
 //!
-//! Field names are taken in both of the forms that the gateway takes; keys and values are in
-//! base64, 64-bit numbers in strings or as they are.
+//! As in etcd, field names may be in snake case or camel case. Keys and values are encoded in base64,
+//! and 64-bit numbers are strings or JSON numbers.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -14,18 +14,18 @@
 use super::store::Entry;
 use super::store::KeyRange;
 
-/// `POST /v3/kv/range`, and a read within a transaction.
+/// The body of `POST /v3/kv/range`, or a read in a transaction.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Range {
     /// The first key.
-    #[serde(deserialize_with = "bytes")]
+    #[serde(deserialize_with = "decode_base64")]
     pub key: Vec<u8>,
     /// The end of the range.
-    #[serde(alias = "rangeEnd", deserialize_with = "bytes")]
+    #[serde(alias = "rangeEnd", deserialize_with = "decode_base64")]
     pub range_end: Vec<u8>,
-    /// The most keys to return, or 0 for all.
-    #[serde(deserialize_with = "number")]
+    /// The maximum number of keys to return, or 0 for all.
+    #[serde(deserialize_with = "decode_i64")]
     pub limit: i64,
 }
 
@@ -39,34 +39,34 @@
     }
 }
 
-/// `POST /v3/kv/put`, and a write within a transaction.
+/// The body of `POST /v3/kv/put`, or a write in a transaction.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Put {
     /// The key.
-    #[serde(deserialize_with = "bytes")]
+    #[serde(deserialize_with = "decode_base64")]
     pub key: Vec<u8>,
     /// The value.
-    #[serde(deserialize_with = "bytes")]
+    #[serde(deserialize_with = "decode_base64")]
     pub value: Vec<u8>,
-    /// The lease, or 0.
-    #[serde(deserialize_with = "number")]
+    /// The ID of the lease, or 0.
+    #[serde(deserialize_with = "decode_i64")]
     pub lease: i64,
 }
 
-/// `POST /v3/kv/txn`.
+/// The body of `POST /v3/kv/txn`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Txn {
-    /// What must hold.
+    /// The conditions.
     pub compare: Vec<Compare>,
-    /// What is done if all of it holds.
+    /// The operations to execute if all conditions hold.
     pub success: Vec<Op>,
-    /// What is done if not.
+    /// The operations to execute otherwise.
     pub failure: Vec<Op>,
 }
 
-/// One operation of a transaction.
+/// An operation in a transaction, of which one field is set.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Op {
@@ -76,65 +76,65 @@
     /// A write.
     #[serde(alias = "requestPut")]
     pub request_put: Option<Put>,
-    /// A removal.
+    /// A deletion.
     #[serde(alias = "requestDeleteRange")]
     pub request_delete_range: Option<Range>,
 }
 
-/// One condition of a transaction.
+/// A condition of a transaction.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// How the numbers are to stand to one another.
+    /// The required relation between the key's number and the given one.
     pub result: Relation,
-    /// Which number of the key is compared.
+    /// The number of the key to compare.
     pub target: Target,
     /// The key.
-    #[serde(deserialize_with = "bytes")]
+    #[serde(deserialize_with = "decode_base64")]
     pub key: Vec<u8>,
     /// The version to compare with.
-    #[serde(deserialize_with = "number")]
+    #[serde(deserialize_with = "decode_i64")]
     pub version: i64,
-    /// The revision of creation to compare with.
-    #[serde(alias = "createRevision", deserialize_with = "number")]
+    /// The create revision to compare with.
+    #[serde(alias = "createRevision", deserialize_with = "decode_i64")]
     pub create_revision: i64,
-    /// The revision of the last write to compare with.
-    #[serde(alias = "modRevision", deserialize_with = "number")]
+    /// The mod revision to compare with.
+    #[serde(alias = "modRevision", deserialize_with = "decode_i64")]
     pub mod_revision: i64,
 }
 
-/// How two numbers are to stand to one another.
+/// A relation between the number of a key and a given number.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Relation {
-    /// The same.
+    /// Both numbers are equal.
     #[default]
     Equal,
-    /// The key's is greater.
+    /// The key's number is greater.
     Greater,
-    /// The key's is less.
+    /// The key's number is less.
     Less,
-    /// Not the same.
+    /// The numbers differ.
     NotEqual,
 }
 
-/// Which number of a key is compared.
+/// The number of a key that a condition compares.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Target {
-    /// Its version.
+    /// The version.
     #[default]
     Version,
-    /// The revision of its creation.
+    /// The create revision.
     Create,
-    /// The revision of its last write.
+    /// The mod revision, which is that of the last write.
     Mod,
 }
 
 impl Compare {
-    /// Says whether the condition holds of a key, which may be missing.
+    /// Returns whether a key meets the condition. All numbers of a missing key are 0.
     pub fn matches(&self, entry: Option<&Entry>) -> bool {
-        let (found, wanted) = match self.target {
+        let (actual, expected) = match self.target {
             Target::Version => (entry.map(|entry| entry.version), self.version),
             Target::Create => (
                 entry.map(|entry| entry.create_revision),
@@ -142,53 +142,53 @@
             ),
             Target::Mod => (entry.map(|entry| entry.mod_revision), self.mod_revision),
         };
-        let found = found.unwrap_or_default();
+        let actual = actual.unwrap_or_default();
         match self.result {
-            Relation::Equal => found == wanted,
-            Relation::Greater => found > wanted,
-            Relation::Less => found < wanted,
-            Relation::NotEqual => found != wanted,
+            Relation::Equal => actual == expected,
+            Relation::Greater => actual > expected,
+            Relation::Less => actual < expected,
+            Relation::NotEqual => actual != expected,
         }
     }
 }
 
-/// The requests about leases.
+/// The body of the lease requests.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct LeaseRequest {
-    /// Its span in seconds.
-    #[serde(rename = "TTL", deserialize_with = "number")]
+    /// The TTL in seconds.
+    #[serde(rename = "TTL", deserialize_with = "decode_i64")]
     pub ttl: i64,
-    /// Its name.
-    #[serde(rename = "ID", deserialize_with = "number")]
+    /// The ID of the lease.
+    #[serde(rename = "ID", deserialize_with = "decode_i64")]
     pub id: i64,
 }
 
-/// `POST /v3/watch`.
+/// The body of `POST /v3/watch`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Watch {
-    /// What is watched.
+    /// The range to watch and the first revision.
     #[serde(alias = "createRequest")]
     pub create_request: WatchCreate,
 }
 
-/// What is watched.
+/// The range to watch and the first revision.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
     /// The first key.
-    #[serde(deserialize_with = "bytes")]
+    #[serde(deserialize_with = "decode_base64")]
     pub key: Vec<u8>,
     /// The end of the range.
-    #[serde(alias = "rangeEnd", deserialize_with = "bytes")]
+    #[serde(alias = "rangeEnd", deserialize_with = "decode_base64")]
     pub range_end: Vec<u8>,
-    /// The first revision whose changes are sent, or 0 for those to come.
-    #[serde(alias = "startRevision", deserialize_with = "number")]
+    /// The first revision whose changes are sent, or 0 for future changes only.
+    #[serde(alias = "startRevision", deserialize_with = "decode_i64")]
     pub start_revision: i64,
 }
 
-/// Writes the head of every answer.
+/// Returns the header of a response.
 pub fn response_header(revision: i64) -> Value {
     json!({
         "cluster_id": "1",
@@ -198,7 +198,7 @@
     })
 }
 
-/// Writes a key as answers hold it.
+/// Encodes an entry as in responses.
 pub fn encode_entry(entry: &Entry) -> Value {
     let mut value = json!({
         "key": STANDARD.encode(&entry.key),
@@ -215,12 +215,12 @@
     value
 }
 
-fn bytes<'de, D: Deserializer<'de>>(source: D) -> Result<Vec<u8>, D::Error> {
+fn decode_base64<'de, D: Deserializer<'de>>(source: D) -> Result<Vec<u8>, D::Error> {
     let text = String::deserialize(source)?;
     STANDARD.decode(text).map_err(D::Error::custom)
 }
 
-fn number<'de, D: Deserializer<'de>>(source: D) -> Result<i64, D::Error> {
+fn decode_i64<'de, D: Deserializer<'de>>(source: D) -> Result<i64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
     enum Form {
