--- a/crates/siskinyoke-standin/src/engine/mod.rs
+++ b/crates/siskinyoke-standin/src/engine/mod.rs
@@ -103,9 +103,7 @@
                 let counts = self.lock().counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => {
-                exchange.handle_control(|proxy, command| self.control(proxy, command))
-            }
+            ("POST", "/control") => exchange.control(|proxy, command| self.control(proxy, command)),
             _ => exchange.reply_error(404, "no such path"),
         }
     }
--- a/crates/siskinyoke-standin/src/etcd/server.rs
+++ b/crates/siskinyoke-standin/src/etcd/server.rs
@@ -181,9 +181,7 @@
                 let counts = self.lock().call_counts.clone();
                 exchange.reply_json(200, &counts);
             }
-            ("POST", "/control") => {
-                exchange.handle_control(|proxy, command| self.control(proxy, command))
-            }
+            ("POST", "/control") => exchange.control(|proxy, command| self.control(proxy, command)),
             _ => exchange.reply_error(404, "no such control"),
         }
     }
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -163,7 +163,7 @@
 
     /// Responds to a control request, then applies it. Applying it first could close the connection
     /// before the response is sent.
-    pub fn handle_control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
+    pub fn control<T: DeserializeOwned>(mut self, apply: impl FnOnce(&Proxy, &T)) {
         match self.json() {
             Ok(command) => {
                 let proxy = Arc::clone(&self.proxy);
--- a/crates/siskinyoke-standin/src/service.rs
+++ b/crates/siskinyoke-standin/src/service.rs
@@ -121,9 +121,7 @@
 impl Handler for Shared {
     fn handle(&self, mut exchange: Exchange) {
         match (exchange.method().as_str(), exchange.path()) {
-            ("POST", "/control") => {
-                exchange.handle_control(|proxy, command| self.control(proxy, command))
-            }
+            ("POST", "/control") => exchange.control(|proxy, command| self.control(proxy, command)),
             ("GET", "/control/counts") => {
                 let counts = self.lock().executions.clone();
                 exchange.reply_json(200, &counts);
