--- a/crates/siskinyoke-dispatch/src/cold_start.rs
+++ b/crates/siskinyoke-dispatch/src/cold_start.rs
@@ -26,8 +26,10 @@
 /// How long a request without a timeout is held.
 const DEFAULT_HOLD: Millis = Millis(250);
 
-/// Bounds of the retry delay sent to refused callers.
+/// Minimum retry delay sent to refused callers.
 pub const MIN_RETRY_AFTER: Millis = Millis(300);
+
+/// Maximum retry delay sent to refused callers.
 const MAX_RETRY_AFTER: Millis = Millis(2_000);
 
 /// Returns how long a request may wait for the first configuration, from its arrival.
--- a/crates/siskinyoke-dispatch/src/latency_model.rs
+++ b/crates/siskinyoke-dispatch/src/latency_model.rs
@@ -21,11 +21,12 @@
 /// The interval between two parts that is assumed before the first observation.
 const INITIAL_PART_INTERVAL_MS: f64 = 20.0;
 
-/// How far the long pause moves towards an observation above it, as a share of the difference, and
-/// how far it falls with an observation below it, as a share of itself.
+/// How far the long pause moves towards an observation above it, as a share of the difference.
 ///
-/// In equilibrium, one pause in thirty lies above it.
+/// Together with the fall, it settles where one pause in thirty lies above it.
 const PAUSE_RISE_RATIO: f64 = 0.25;
+
+/// How far the long pause falls with an observation below it, as a share of itself.
 const PAUSE_FALL_RATIO: f64 = 0.005;
 
 /// The number of parts per output token that is assumed before the first observation: engines send
--- a/crates/siskinyoke-dispatch/src/queue.rs
+++ b/crates/siskinyoke-dispatch/src/queue.rs
@@ -37,7 +37,8 @@
         self.keys.is_empty()
     }
 
-    /// Returns a summary of the waiting requests by order, with the sum of their service times.
+    /// Returns a summary of the waiting requests: a row for each queue order, with the sum of their
+    /// service times.
     pub fn summary(
         &self,
         now: Millis,
--- a/crates/siskinyoke-dispatch/src/rollout.rs
+++ b/crates/siskinyoke-dispatch/src/rollout.rs
@@ -1,8 +1,8 @@
 //! Canary rollout of a new version of a service's endpoints, with automatic rollback.
 //!
 //! New endpoints start beside the old ones and would immediately get an even share of the traffic.
-//! If their version failed or were slow, a large share of all requests would be lost before anybody
-//! noticed.
+//! If their version failed or were slow, a large share of all requests would be lost before an
+//! operator noticed.
 //!
 //! Every instance applies the same rules to the state in the store, which tells which version is
 //! being rolled out and what the outcome is. A canary share of the requests is sent to the new
--- a/crates/siskinyoke-dispatch/src/scheduled_request.rs
+++ b/crates/siskinyoke-dispatch/src/scheduled_request.rs
@@ -28,7 +28,8 @@
     }
 }
 
-/// Sort key of queued requests: priority first, then requests that can still meet their target.
+/// Precedence of queued requests: by priority, then those that can still meet their latency target
+/// before late ones. Lower values go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct QueueOrder(pub u32);
@@ -74,7 +75,7 @@
 }
 
 impl ScheduledRequest {
-    /// Returns its sort key in the queue.
+    /// Returns its precedence in the queue.
     pub fn queue_order(&self) -> QueueOrder {
         QueueOrder::new(self.priority, self.late)
     }
--- a/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -21,13 +21,14 @@
 use crate::wait;
 use siskinyoke_base::Millis;
 
-/// At an endpoint of unknown speed, its slots divided by this are used, but no fewer than the
-/// minimum.
+/// At an endpoint of unknown speed, only its slots divided by this are used.
 ///
 /// An endpoint that has just started has all its slots free. Without this limit every instance
 /// sends its next requests there, and if the endpoint is slow, they wait there for seconds. Its
 /// first response, about a tenth of a second later, shows its speed.
 const UNKNOWN_SPEED_DIVISOR: u32 = 4;
+
+/// The minimum number of slots that are used at an endpoint of unknown speed.
 const MIN_UNKNOWN_SPEED_SLOTS: u32 = 2;
 
 /// The speed factor up to which an endpoint is sent one request more than it has slots.
--- a/crates/siskinyoke-dispatch/src/scheduler/lending.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/lending.rs
@@ -51,10 +51,12 @@
 /// loans.
 const RESERVED_SLOTS_DIVISOR: u32 = 8;
 
-/// How long a slot is lent, as a multiple of the expected service time, and the time that is added.
+/// How long a slot is lent, as a multiple of the expected service time.
 ///
 /// A lent slot expires because the message that returns it may be lost.
 const LOAN_DURATION_RATIO: f64 = 3.0;
+
+/// The time that is added to the duration of a loan.
 const LOAN_GRACE: Millis = Millis(1_000);
 
 /// A slot that was lent to another shard.
