--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -1,4 +1,4 @@
-//! The calls of the key-value service against the stand-in.
+//! The native interface's calls to etcd against the stand-in.
 
 use std::thread;
 use std::time::Duration;
@@ -30,30 +30,30 @@
         .timeout_global(Some(Duration::from_secs(5)))
         .build();
     let url = format!("http://{}{}", etcd.address(), call.path);
-    let mut answer = Agent::new_with_config(config).post(url).send(&call.body)?;
-    answer.body_mut().read_to_vec()
+    let mut response = Agent::new_with_config(config).post(url).send(&call.body)?;
+    response.body_mut().read_to_vec()
 }
 
 fn read_all(etcd: &Etcd) -> Batch {
-    let body = send_call(etcd, &Calls.range("", Consistency::Linearizable)).expect("an answer");
+    let body = send_call(etcd, &Calls.range("", Consistency::Linearizable)).expect("a response");
     Calls.decode_range(&body).expect("a page")
 }
 
-// Reads a watch as far as it has come within a span.
+// Returns the first batch of changes of a watch, or none if there is none within 600 ms.
 fn read_watch(etcd: &Etcd, revision: u64) -> Result<Option<Batch>, FormatError> {
     let config = Agent::config_builder()
         .timeout_global(Some(Duration::from_millis(600)))
         .build();
     let watch = Calls.watch(revision, Millis(500));
     let url = format!("http://{}{}", etcd.address(), watch.path);
-    let answer = Agent::new_with_config(config).post(url).send(&watch.body);
-    let mut reader = answer.expect("a watch").into_body().into_reader();
+    let response = Agent::new_with_config(config).post(url).send(&watch.body);
+    let mut reader = response.expect("a watch").into_body().into_reader();
     let mut bytes = Vec::new();
-    let mut piece = [0; 1024];
+    let mut buffer = [0; 1024];
     loop {
-        match std::io::Read::read(&mut reader, &mut piece) {
-            Ok(count) if count > 0 => bytes.extend_from_slice(&piece[..count]),
-            // Its end, or our patience's.
+        match std::io::Read::read(&mut reader, &mut buffer) {
+            Ok(count) if count > 0 => bytes.extend_from_slice(&buffer[..count]),
+            // The end of the response, or the timeout.
             _ => return Calls.decode_watch(&bytes, false),
         }
         if let Some(batch) = Calls.decode_watch(&bytes, false)? {
@@ -74,21 +74,21 @@
     assert!(page.revision > page.items[0].revision);
 }
 
-// Two operators read the same configuration and both write. The later write takes out the change of
-// the first, which was told that it is in force.
+// Two operators read the same configuration and both write it. Guards against the later write
+// overwriting the first one, which was reported as applied.
 #[test]
 fn the_later_of_two_writes_over_the_same_revision_fails() {
     let etcd = start_etcd();
     let first = send_call(&etcd, &etcd::compare_and_swap(CONFIGURATION_KEY, b"one", 0)).unwrap();
     assert!(etcd::decode_txn(&first).unwrap());
     let revision = read_all(&etcd).items[0].revision;
-    for (value, takes) in [("two", true), ("three", false)] {
-        let answer = send_call(
+    for (value, succeeds) in [("two", true), ("three", false)] {
+        let response = send_call(
             &etcd,
             &etcd::compare_and_swap(CONFIGURATION_KEY, value.as_bytes(), revision),
         )
         .unwrap();
-        assert_eq!(etcd::decode_txn(&answer).unwrap(), takes);
+        assert_eq!(etcd::decode_txn(&response).unwrap(), succeeds);
     }
     assert_eq!(etcd.get(CONFIGURATION_KEY).as_deref(), Some("two"));
 }
@@ -113,20 +113,20 @@
     etcd.put("siskinyoke/endpoints/e", "{}");
     send_call(&etcd, &etcd::remove(CONFIGURATION_KEY)).unwrap();
     let batch = read_watch(&etcd, revision).unwrap().expect("changes");
-    let told: Vec<_> = batch
+    let changes: Vec<_> = batch
         .items
         .iter()
         .map(|it| (it.key.as_str(), it.value.is_some()))
         .collect();
     assert_eq!(
-        told,
+        changes,
         [("siskinyoke/endpoints/e", true), (CONFIGURATION_KEY, false)]
     );
     assert_eq!(batch.revision, read_all(&etcd).revision);
 }
 
-// The service keeps a bounded history. A watch from before it has to fail, or changes are missed for
-// good and nobody knows.
+// etcd keeps a limited history. A watch from a compacted revision must fail; otherwise changes would
+// be missed for good without an error.
 #[test]
 fn a_watch_from_a_compacted_revision_fails() {
     let etcd = start_etcd();
@@ -144,16 +144,16 @@
     let granted = send_call(&etcd, &Calls.grant_lease(Millis(4_500))).unwrap();
     let lease = Calls.decode_lease(&granted).unwrap();
     send_call(&etcd, &Calls.put("siskinyoke/instances/i", b"{}", lease)).unwrap();
-    let kept = send_call(&etcd, &Calls.renew_lease(lease)).unwrap();
-    assert!(Calls.decode_renewal(&kept).unwrap());
+    let renewal = send_call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    assert!(Calls.decode_renewal(&renewal).unwrap());
     assert_eq!(read_all(&etcd).items.len(), 1);
     etcd.control(&EtcdControl {
         lapse: Some(Lapse::All),
         ..EtcdControl::default()
     });
     assert_eq!(read_all(&etcd).items, []);
-    let kept = send_call(&etcd, &Calls.renew_lease(lease)).unwrap();
-    assert!(!Calls.decode_renewal(&kept).unwrap());
+    let renewal = send_call(&etcd, &Calls.renew_lease(lease)).unwrap();
+    assert!(!Calls.decode_renewal(&renewal).unwrap());
 }
 
 #[test]
@@ -168,7 +168,7 @@
         }
         thread::sleep(Duration::from_millis(10));
     }
-    panic!("it never ended");
+    panic!("the lease did not expire within 4 s");
 }
 
 #[test]
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The whole path over the product's own interface: instances, store, engines and a service.
+//! End-to-end tests over the native interface with instances, a store, engines and a service.
 
 use std::thread;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 
 fn send(fleet: &Fleet, request: &Request) -> Outcome {
     let mut client = fleet.client(0);
-    client.send(request, &mut |_| {}).expect("an answer")
+    client.send(request, &mut |_| {}).expect("a response")
 }
 
 fn chat_request(text: &str) -> Request {
@@ -46,7 +46,7 @@
     words.collect()
 }
 
-// Sends without the client's care, as any HTTP client does.
+// Sends one request without the client library, as any HTTP client does.
 fn post(fleet: &Fleet, path: &str, key: &str, body: &str) -> Response<Body> {
     let address = fleet.client(0).locate().unwrap().addresses[0].clone();
     post_to(&address, path, key, body)
@@ -61,11 +61,11 @@
     request
         .header("Authorization", format!("Bearer {key}"))
         .send(body)
-        .expect("an answer")
+        .expect("a response")
 }
 
-fn result_code(answer: &Response<Body>) -> (u16, &str) {
-    let header = |name: &str| answer.headers()[name].to_str().unwrap();
+fn result_code(response: &Response<Body>) -> (u16, &str) {
+    let header = |name: &str| response.headers()[name].to_str().unwrap();
     (
         header("siskinyoke-code").parse().unwrap(),
         header("siskinyoke-kind"),
@@ -78,14 +78,14 @@
     fleet.etcd.put(CONFIGURATION_KEY, &text.replace(from, to));
 }
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..400 {
         if holds() {
             return;
         }
         thread::sleep(Duration::from_millis(25));
     }
-    panic!("not in ten seconds: {what}");
+    panic!("condition not met within 10 s: {condition}");
 }
 
 #[test]
@@ -96,7 +96,7 @@
         let mut client = fleet.client(number % 3);
         let outcome = client
             .send(&chat_request(&text), &mut |_| {})
-            .expect("an answer");
+            .expect("a response");
         assert_eq!(outcome.kind, Kind::Done);
         assert_eq!(
             completion_text(&outcome),
@@ -108,10 +108,10 @@
         .unwrap()
         .replace("\"stream\":true", "\"stream\":false")
         .into_bytes();
-    let whole = send(&fleet, &request);
-    assert_eq!((whole.kind, whole.code), (Kind::Done, 1000));
-    let answer: Value = serde_json::from_str(&whole.body[0]).unwrap();
-    let content = &answer["choices"][0]["message"]["content"];
+    let unstreamed = send(&fleet, &request);
+    assert_eq!((unstreamed.kind, unstreamed.code), (Kind::Done, 1000));
+    let response: Value = serde_json::from_str(&unstreamed.body[0]).unwrap();
+    let content = &response["choices"][0]["message"]["content"];
     assert_eq!(
         *content,
         Completion::generate("composition", Some(12)).text()
@@ -122,10 +122,10 @@
 fn rejected_requests_have_a_result_code() {
     let fleet = Fleet::start(1).expect("a fleet");
     let chat = "/v1/chat/completions";
-    let good = r#"{ "model": "qalam-small", "messages": [] }"#;
+    let valid = r#"{ "model": "qalam-small", "messages": [] }"#;
     let cases = [
         (chat, API_KEY, r#"{ "model": 7 }"#, 400, Code::Malformed),
-        (chat, "nobody", good, 401, Code::WrongKey),
+        (chat, "nobody", valid, 401, Code::WrongKey),
         (
             chat,
             API_KEY,
@@ -135,32 +135,32 @@
         ),
         ("/v1/services/none/", API_KEY, "", 404, Code::UnknownRoute),
     ];
-    for (path, key, body, status, wanted) in cases {
-        let mut answer = post(&fleet, path, key, body);
-        assert_eq!(answer.status().as_u16(), status, "{path} {body}");
-        assert_eq!(result_code(&answer), (wanted.number(), "not-run"));
-        let told: Value = answer.body_mut().read_json().unwrap();
-        assert_eq!(told["error"]["message"], wanted.text());
+    for (path, key, body, status, expected) in cases {
+        let mut response = post(&fleet, path, key, body);
+        assert_eq!(response.status().as_u16(), status, "{path} {body}");
+        assert_eq!(result_code(&response), (expected.number(), "not-run"));
+        let error: Value = response.body_mut().read_json().unwrap();
+        assert_eq!(error["error"]["message"], expected.text());
     }
 }
 
-// The store is empty on a first start. A caller told that its request came too slowly would look for
-// the fault in its own line.
+// The store is empty on a first start. Guards against a response that the request was sent too
+// slowly, as a caller would look for the cause in its own network.
 #[test]
 fn an_instance_without_a_configuration_responds_with_its_code() {
     let fleet = Fleet::start_unconfigured().expect("a fleet");
     let path = "/v1/chat/completions";
     let body = r#"{ "model": "qalam-small", "messages": [] }"#;
-    let answer = post_to(&fleet.caller_addresses[0].to_string(), path, API_KEY, body);
-    assert_eq!(answer.status().as_u16(), 503);
+    let response = post_to(&fleet.caller_addresses[0].to_string(), path, API_KEY, body);
+    assert_eq!(response.status().as_u16(), 503);
     assert_eq!(
-        result_code(&answer),
+        result_code(&response),
         (Code::NoConfiguration.number(), "not-run")
     );
 }
 
-// An engine dies in the middle of a composition. Its caller would get a word twice, a hole, or
-// nothing; the other engine goes on after the last event that came.
+// An engine fails in the middle of a stream, and the other engine continues after the last event
+// received. Guards against repeated words, gaps, and an empty response.
 #[test]
 fn a_broken_stream_is_resumed_at_another_engine() {
     let fleet = Fleet::start(1).expect("a fleet");
@@ -173,21 +173,22 @@
             ..EngineControl::default()
         });
     }
-    // Each engine breaks once, so the second sending may break as well; then it is cut and said so.
+    // Each engine breaks one stream, so a second attempt may break as well. The response is then
+    // reported as incomplete.
     let outcomes: Vec<_> = (0..3)
         .map(|number| send(&fleet, &chat_request(&format!("composition {number}"))))
         .collect();
     for (number, outcome) in outcomes.iter().enumerate() {
-        let wanted = Completion::generate(&format!("composition {number}"), Some(12)).text();
+        let expected = Completion::generate(&format!("composition {number}"), Some(12)).text();
         if outcome.kind == Kind::Done {
-            assert_eq!(completion_text(outcome), wanted);
+            assert_eq!(completion_text(outcome), expected);
         }
     }
     assert_eq!(outcomes.last().unwrap().kind, Kind::Done);
 }
 
-// A booking is made and the connection breaks before its confirmation. Sent again, two troupes stand
-// in one room; called "not run", the caller sends it again.
+// A booking is executed, and the connection breaks before the confirmation. Guards against a second
+// execution, by a retry or by a caller to whom it is reported as not run.
 #[test]
 fn a_call_whose_response_is_lost_runs_once_and_is_reported_unknown() {
     let fleet = Fleet::start(1).expect("a fleet");
@@ -216,18 +217,16 @@
     wait_until("closed", || {
         result_code(&post(&fleet, path, API_KEY, "")) == (Code::NoEndpoint.number(), "not-run")
     });
-    let refused = post(&fleet, path, API_KEY, "");
-    assert_eq!(refused.headers()["retry-after"], "1");
+    let rejected = post(&fleet, path, API_KEY, "");
+    assert_eq!(rejected.headers()["retry-after"], "1");
     assert_eq!(send(&fleet, &chat_request("still marked")).kind, Kind::Done);
     edit_configuration(&fleet, r#""preset": "peak""#, r#""preset": "ordinary""#);
     edit_configuration(&fleet, r#""revision": 3"#, r#""revision": 4"#);
-    wait_until("open again", || {
-        post(&fleet, path, API_KEY, "").status() == 200
-    });
+    wait_until("open", || post(&fleet, path, API_KEY, "").status() == 200);
 }
 
-// An operator restores an old copy of the store. A revoked key would be good again, at some
-// instances only.
+// An operator restores an old copy of the store. Guards against a revoked key becoming valid again,
+// at some instances only.
 #[test]
 fn a_lower_configuration_revision_is_never_applied() {
     let fleet = Fleet::start(1).expect("a fleet");
@@ -245,7 +244,8 @@
     }
 }
 
-// The store is away for a while. Instances that need it for each request would serve nothing.
+// The store is unavailable for a while. Guards against instances that need the store to serve
+// requests.
 #[test]
 fn requests_succeed_during_a_store_outage_and_later_changes_are_applied() {
     let fleet = Fleet::start(2).expect("a fleet");
@@ -269,8 +269,8 @@
     });
 }
 
-// Leases end before their time, and every instance's entry goes with its own. Callers that ask then
-// would be told that nobody is there.
+// All leases are revoked, and the instances' entries are deleted with them. Guards against a
+// directory that stays empty for callers.
 #[test]
 fn instances_register_again_after_their_leases_expire() {
     let fleet = Fleet::start(2).expect("a fleet");
