--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -391,7 +391,7 @@
     shell.log_refusal(request, refusal);
     shell
         .metrics
-        .record_answer(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
+        .record_response(u8::MAX, refusal.reason.as_str(), Millis::ZERO);
     response::from_buffered(shell.interface.exchange.refusal_response(refusal))
 }
 
--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -52,7 +52,7 @@
     shell.log("store_read", fields);
     rollouts::advance(shell);
     // Report the new state to other shards at once.
-    shell.search_peers();
+    shell.start_discovery();
     shell.decide();
 }
 
--- a/crates/siskinyoke-gateway/src/gateway.rs
+++ b/crates/siskinyoke-gateway/src/gateway.rs
@@ -95,7 +95,7 @@
     }
     spawn_local(gossip.clone().send_reports(shell.clone()));
     spawn_local(gossip.receive_messages(shell.clone()));
-    spawn_local(watcher::follow(shell.clone()));
+    spawn_local(watcher::run(shell.clone()));
     spawn_local(registration::maintain(shell.clone()));
     spawn_local(reload::poll_file(shell.clone(), path.clone()));
     spawn_local(signals::reload_on_signal(shell.clone(), path));
@@ -138,9 +138,9 @@
         shell.core.borrow_mut().sweep(now);
         cluster_view::update_store_status(&shell);
         rollouts::advance(&shell);
-        rollouts::write_due_states(&shell);
+        rollouts::write_due_statuses(&shell);
         shell.pool.remove_expired(now);
         shell.lending.remove_expired(now);
-        shell.flush();
+        shell.flush_log();
     }
 }
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -85,7 +85,7 @@
         loop {
             let now = shell.now();
             let search =
-                shell.search_due.replace(false) || now.since(last_search) >= DISCOVERY_INTERVAL;
+                shell.discovery_due.replace(false) || now.since(last_search) >= DISCOVERY_INTERVAL;
             if search {
                 last_search = now;
             }
@@ -150,7 +150,7 @@
         let first = shell.core.borrow_mut().receive_report(shell.now(), report);
         if first {
             shell.log("peer", fields);
-            shell.search_due.set(true);
+            shell.discovery_due.set(true);
         }
         rate_limits::log_changes(shell);
         peer_api::catch_up(shell, from, revision);
--- a/crates/siskinyoke-gateway/src/job/completion.rs
+++ b/crates/siskinyoke-gateway/src/job/completion.rs
@@ -112,7 +112,7 @@
         let took = self.shell.now().since(self.routed.arrived);
         self.shell
             .metrics
-            .record_answer(self.routed.route.priority, outcome, took);
+            .record_response(self.routed.route.priority, outcome, took);
         let progress = &self.progress;
         let fields = json!({
             "id": self.id,
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -150,7 +150,7 @@
         return std::future::pending().await;
     }
     while !shell.core.borrow().is_shutting_down() {
-        shell.leaving.notified().await;
+        shell.shutdown_started.notified().await;
     }
     sleep(DRAIN_PERIOD.into()).await;
 }
--- a/crates/siskinyoke-gateway/src/metrics.rs
+++ b/crates/siskinyoke-gateway/src/metrics.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    answers: Counter<u64>,
+    responses: Counter<u64>,
     attempts: Counter<u64>,
     store_calls: Counter<u64>,
     latency: Histogram<f64>,
@@ -53,7 +53,7 @@
         };
         Ok(Self {
             registry,
-            answers: meter.u64_counter("siskinyoke_answers").build(),
+            responses: meter.u64_counter("siskinyoke_answers").build(),
             attempts: meter.u64_counter("siskinyoke_attempts").build(),
             store_calls: meter.u64_counter("siskinyoke_store_calls").build(),
             latency: seconds("siskinyoke_latency"),
@@ -64,12 +64,12 @@
     }
 
     /// Counts an answer and records its latency, by tier and outcome.
-    pub fn record_answer(&self, tier: u8, outcome: &'static str, took: Millis) {
+    pub fn record_response(&self, tier: u8, outcome: &'static str, took: Millis) {
         let attributes = [
             KeyValue::new("tier", i64::from(tier)),
             KeyValue::new("outcome", outcome),
         ];
-        self.answers.add(1, &attributes);
+        self.responses.add(1, &attributes);
         self.latency.record(took.as_secs(), &attributes);
     }
 
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -65,7 +65,7 @@
         tokio::select! {
             () = sleep(pause.into()) => {}
             () = shell.lease_renewal.notified() => {}
-            () = shell.leaving.notified() => {}
+            () = shell.shutdown_started.notified() => {}
         }
         if shell.core.borrow().is_shutting_down() {
             deregister(&shell, &mut client, lease).await;
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -33,12 +33,12 @@
         shell.log("rollout", fields);
     }
     // Report a verdict to other shards at once.
-    shell.search_peers();
+    shell.start_discovery();
     shell.decide();
 }
 
 /// Writes the rollout states due from this instance, unless a write is in progress.
-pub fn write_due_states(shell: &Rc<Shell>) {
+pub fn write_due_statuses(shell: &Rc<Shell>) {
     let due = shell.core.borrow().status_writes(shell.now());
     if due.is_empty() || shell.writing_status.replace(true) {
         return;
@@ -47,13 +47,13 @@
     spawn_local(async move {
         let mut client = Client::default();
         for due in due {
-            write_state(&shell, &mut client, &due).await;
+            write_status(&shell, &mut client, &due).await;
         }
         shell.writing_status.set(false);
     });
 }
 
-async fn write_state(shell: &Shell, client: &mut Client, due: &StatusWrite) {
+async fn write_status(shell: &Shell, client: &mut Client, due: &StatusWrite) {
     let documents = &shell.interface.documents;
     let store = &shell.interface.store;
     let key = documents.rollout_state_key(&due.order.service);
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -88,7 +88,7 @@
     /// Whether the last read or watch of the store by this instance succeeded.
     pub store_reachable: Cell<bool>,
     /// When the store last answered a read or a watch.
-    pub store_answered: Cell<Millis>,
+    pub last_store_response: Cell<Millis>,
     /// Whether this instance watches the store itself, rather than following a peer.
     pub watching: Cell<bool>,
     /// The UDP socket for messages between instances, once it is bound.
@@ -104,19 +104,19 @@
     /// Wakes the sender of reports to peers.
     pub report_due: Notify,
     /// Whether the next report is also sent to addresses where no peer is known yet.
-    pub search_due: Cell<bool>,
+    pub discovery_due: Cell<bool>,
     /// Wakes the task that renews this instance's lease in the store.
     pub lease_renewal: Notify,
     /// Aborts a watch call after the store failed to answer another call.
     pub store_unresponsive: Notify,
     /// Ends the watcher's pause between two calls when no peer could hand over changes.
-    pub handover_failed: Notify,
+    pub peer_fetch_failed: Notify,
     /// The peer that last failed to hand over changes, and when.
     pub failed_peer: Cell<Option<(SocketAddr, Millis)>>,
     /// Wakes the timer that reschedules queued requests.
     pub queue_timer: Notify,
     /// Wakes the tasks that wait for the start of the shutdown.
-    pub leaving: Notify,
+    pub shutdown_started: Notify,
     /// Whether changes are being fetched from a peer.
     pub catching_up: Cell<bool>,
     /// Whether rollout statuses are being written to the store.
@@ -152,7 +152,7 @@
             metrics: Metrics::new()?,
             replica: RefCell::default(),
             store_reachable: Cell::new(false),
-            store_answered: Cell::new(BootClock.now()),
+            last_store_response: Cell::new(BootClock.now()),
             watching: Cell::new(false),
             socket: OnceCell::new(),
             lending: Lending::default(),
@@ -160,13 +160,13 @@
             started_at: BootClock.now(),
             configuration_known: Notify::new(),
             report_due: Notify::new(),
-            search_due: Cell::new(false),
+            discovery_due: Cell::new(false),
             lease_renewal: Notify::new(),
             store_unresponsive: Notify::new(),
-            handover_failed: Notify::new(),
+            peer_fetch_failed: Notify::new(),
             failed_peer: Cell::new(None),
             queue_timer: Notify::new(),
-            leaving: Notify::new(),
+            shutdown_started: Notify::new(),
             catching_up: Cell::new(false),
             writing_status: Cell::new(false),
             held_bytes: Cell::new(0),
@@ -217,7 +217,7 @@
             "configuration": core.configuration_version(),
             "store": core.store_available(),
             "revision": core.store_revision(),
-            "store_age_ms": now.since(self.store_answered.get()).0,
+            "store_age_ms": now.since(self.last_store_response.get()).0,
         });
         self.log("refusal", fields);
     }
@@ -226,13 +226,13 @@
     ///
     /// Until instances receive each other's reports, each can only estimate the quota that the
     /// others use.
-    pub fn search_peers(&self) {
-        self.search_due.set(true);
+    pub fn start_discovery(&self) {
+        self.discovery_due.set(true);
         self.report_due.notify_one();
     }
 
     /// Passes buffered log lines to the writer thread.
-    pub fn flush(&self) {
+    pub fn flush_log(&self) {
         self.log_writer.borrow_mut().flush();
     }
 
--- a/crates/siskinyoke-gateway/src/signals.rs
+++ b/crates/siskinyoke-gateway/src/signals.rs
@@ -46,7 +46,7 @@
     let start = shell.now();
     shell.core.borrow_mut().begin_shutdown();
     shell.report_due.notify_one();
-    shell.leaving.notify_waiters();
+    shell.shutdown_started.notify_waiters();
     shell.log("leaving", json!({ "open": shell.caller_connections.get() }));
     let end = start + shell.settings().grace_period().since(LOG_FLUSH_TIME);
     loop {
@@ -58,7 +58,7 @@
         }
     }
     shell.log("stop", json!({ "open": shell.caller_connections.get() }));
-    shell.flush();
+    shell.flush_log();
     sleep(DRAIN_POLL_INTERVAL.into()).await;
     Ok(())
 }
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -117,7 +117,7 @@
         read: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
     ) -> Result<T, StoreError> {
         let limit = Duration::from(limit);
-        let result = timeout(limit, self.exchange(address, call, read)).await;
+        let result = timeout(limit, self.send_call(address, call, read)).await;
         let Ok(result) = result else {
             self.connection = None;
             return Err(StoreError::NoReply);
@@ -129,7 +129,7 @@
     }
 
     // Sends a call over the kept connection or a new one, and reads the response.
-    async fn exchange<T>(
+    async fn send_call<T>(
         &mut self,
         address: SocketAddr,
         call: &Call,
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -38,7 +38,7 @@
 const ROLE_CHECK_INTERVAL: Millis = Millis(200);
 
 /// Follows the store for as long as the process runs, directly or through peers.
-pub async fn follow(shell: Rc<Shell>) {
+pub async fn run(shell: Rc<Shell>) {
     let mut watcher = Watcher {
         shell,
         client: Client::default(),
@@ -51,7 +51,7 @@
             sleep(ROLE_CHECK_INTERVAL.into()).await;
             continue;
         }
-        match watcher.step().await {
+        match watcher.read_or_watch().await {
             Ok(()) => pause = MIN_RETRY_DELAY,
             Err(err) => {
                 watcher.call_failed(&err);
@@ -94,7 +94,7 @@
 
     // Waits for the next changes. Reads the full state first if changes are missing. The very first
     // read is serializable, and repeated as a linearizable one if it has no configuration.
-    async fn step(&mut self) -> Result<(), StoreError> {
+    async fn read_or_watch(&mut self) -> Result<(), StoreError> {
         let revision = self.shell.replica.borrow().revision();
         if revision > 0 && !self.compacted {
             return self.watch(revision).await;
@@ -230,14 +230,14 @@
             let delay = self.shell.core.borrow().update_batch_delay();
             tokio::select! {
                 () = sleep(delay.into()) => {}
-                () = self.shell.handover_failed.notified() => {}
+                () = self.shell.peer_fetch_failed.notified() => {}
             }
         }
         Ok(())
     }
 
     fn call_succeeded(&mut self) {
-        self.shell.store_answered.set(self.shell.now());
+        self.shell.last_store_response.set(self.shell.now());
         self.shell.core.borrow_mut().store_call_succeeded();
         if !self.shell.store_reachable.replace(true) {
             self.shell.log("store_regained", json!({}));
