--- a/crates/siskinyoke-cli/src/operate/rollout.rs
+++ b/crates/siskinyoke-cli/src/operate/rollout.rs
@@ -104,8 +104,8 @@
         let name = item.key.trim_start_matches(names::ROLLOUT_ORDER_PREFIX);
         rows.entry(name.to_owned()).or_default().order = parse_value(&item)?;
     }
-    for item in list_items(context, names::ROLLOUT_STATE_PREFIX)? {
-        let name = item.key.trim_start_matches(names::ROLLOUT_STATE_PREFIX);
+    for item in list_items(context, names::ROLLOUT_STATUS_PREFIX)? {
+        let name = item.key.trim_start_matches(names::ROLLOUT_STATUS_PREFIX);
         rows.entry(name.to_owned()).or_default().status = parse_value(&item)?;
     }
     if let Some(service) = service {
--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -145,7 +145,7 @@
 }
 
 fn decode_status(shell: &Shell, service: &str, value: &[u8], revision: u64) -> Option<Status> {
-    match shell.interface.documents.decode_rollout_state(value) {
+    match shell.interface.documents.decode_rollout_status(value) {
         Ok((state, version)) => Some(Status {
             state,
             version: version.into(),
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -56,8 +56,8 @@
 async fn write_status(shell: &Shell, client: &mut Client, due: &StatusWrite) {
     let documents = &shell.interface.documents;
     let store = &shell.interface.store;
-    let key = documents.rollout_state_key(&due.order.service);
-    let value = documents.encode_rollout_state(due.state, &due.order.version);
+    let key = documents.rollout_status_key(&due.order.service);
+    let value = documents.encode_rollout_status(due.state, &due.order.version);
     let order = documents.rollout_order_key(&due.order.service);
     let expected = [(&*order, due.order_revision), (&*key, due.status_revision)];
     let call = store.put_if(&key, &value, &expected);
--- a/crates/siskinyoke-interface/src/documents.rs
+++ b/crates/siskinyoke-interface/src/documents.rs
@@ -37,7 +37,7 @@
     /// The prefix of rollout orders, followed by the service's name.
     pub rollout_orders: &'static str,
     /// The prefix of rollout states, followed by the service's name.
-    pub rollout_states: &'static str,
+    pub rollout_statuses: &'static str,
 }
 
 /// A rollout as an operator ordered it.
@@ -69,7 +69,7 @@
         if let Some(service) = key.strip_prefix(keys.rollout_orders) {
             return ItemKind::RolloutOrder(service);
         }
-        let service = key.strip_prefix(keys.rollout_states);
+        let service = key.strip_prefix(keys.rollout_statuses);
         service.map_or(ItemKind::Other, ItemKind::RolloutStatus)
     }
 
@@ -79,8 +79,8 @@
     }
 
     /// Returns the key of a service's rollout state.
-    fn rollout_state_key(&self, service: &str) -> String {
-        format!("{}{service}", self.keys().rollout_states)
+    fn rollout_status_key(&self, service: &str) -> String {
+        format!("{}{service}", self.keys().rollout_statuses)
     }
 
     /// Returns the key of an instance's entry.
@@ -115,8 +115,8 @@
     /// # Errors
     ///
     /// The document is malformed. It is ignored.
-    fn decode_rollout_state(&self, bytes: &[u8]) -> Result<(State, String), FormatError>;
+    fn decode_rollout_status(&self, bytes: &[u8]) -> Result<(State, String), FormatError>;
 
     /// Encodes the state of a rollout of this version.
-    fn encode_rollout_state(&self, state: State, version: &str) -> Vec<u8>;
+    fn encode_rollout_status(&self, state: State, version: &str) -> Vec<u8>;
 }
--- a/crates/siskinyoke-native/src/names.rs
+++ b/crates/siskinyoke-native/src/names.rs
@@ -45,7 +45,7 @@
 /// The key prefix of rollout orders.
 pub const ROLLOUT_ORDER_PREFIX: &str = "siskinyoke/rollouts/";
 /// The key prefix of rollout states.
-pub const ROLLOUT_STATE_PREFIX: &str = "siskinyoke/rollout-states/";
+pub const ROLLOUT_STATUS_PREFIX: &str = "siskinyoke/rollout-states/";
 
 /// Returns the hexadecimal digest of an API key, as stored in the configuration.
 pub fn key_digest(key: &str) -> String {
--- a/crates/siskinyoke-native/src/rollout.rs
+++ b/crates/siskinyoke-native/src/rollout.rs
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// The document is malformed.
-pub fn decode_state(bytes: &[u8]) -> Result<(State, String), FormatError> {
+pub fn decode_status(bytes: &[u8]) -> Result<(State, String), FormatError> {
     let status: RolloutStatus = serde_json::from_slice(bytes)?;
     let state = match status.state {
         RolloutState::Running => State::Running,
@@ -84,7 +84,7 @@
 }
 
 /// Encodes the state of a rollout of this version.
-pub fn encode_state(state: State, version: &str) -> Vec<u8> {
+pub fn encode_status(state: State, version: &str) -> Vec<u8> {
     let state = match state {
         State::Running => RolloutState::Running,
         State::Completed => RolloutState::Completed,
