--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -187,7 +187,9 @@
             let mut client = self.client(index);
             let lists_all = |client: &mut Client| {
                 let located = client.locate();
-                located.is_ok_and(|it| it.addresses.len() == self.directory_addresses.len())
+                located.is_ok_and(|location| {
+                    location.addresses.len() == self.directory_addresses.len()
+                })
             };
             let mut polls = 0;
             while !lists_all(&mut client) {
@@ -243,10 +245,10 @@
 // an outgoing connection of this machine before the instance listens on it.
 fn allocate_addresses() -> [SocketAddr; 5] {
     static NEXT_INSTANCE: AtomicU8 = AtomicU8::new(1);
-    let process = u8::try_from(std::process::id() % 200).unwrap_or(0) + 20;
+    let second_octet = u8::try_from(std::process::id() % 200).unwrap_or(0) + 20;
     let ip = Ipv4Addr::new(
         127,
-        process,
+        second_octet,
         NEXT_INSTANCE.fetch_add(1, Ordering::Relaxed),
         2,
     );
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -168,7 +168,7 @@
         }
         thread::sleep(Duration::from_millis(10));
     }
-    panic!("the lease did not expire within 4 s");
+    panic!("the lease did not expire in time");
 }
 
 #[test]
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -144,8 +144,8 @@
     }
 }
 
-// The store is empty on a first start. Guards against a response that the request was sent too
-// slowly, as a caller would look for the cause in its own network.
+// The store is empty on a first start. Guards against a time-out response for a slow request, which
+// would make callers look for the cause in their own network.
 #[test]
 fn an_instance_without_a_configuration_responds_with_its_code() {
     let fleet = Fleet::start_unconfigured().expect("a fleet");
@@ -263,13 +263,13 @@
         down: Some(Millis::ZERO),
         ..EtcdControl::default()
     });
-    wait_until("in force", || {
+    wait_until("preset in force", || {
         result_code(&post(&fleet, "/v1/services/portal/seats", API_KEY, "")).0
             == Code::NoEndpoint.number()
     });
 }
 
-// All leases are revoked, and the instances' entries are deleted with them. Guards against a
+// All leases expire early, and the instances' entries are deleted with them. Guards against a
 // directory that stays empty for callers.
 #[test]
 fn instances_register_again_after_their_leases_expire() {
@@ -278,7 +278,7 @@
         lapse: Some(siskinyoke_standin::etcd::control::Lapse::All),
         ..EtcdControl::default()
     });
-    wait_until("both entries", || {
+    wait_until("both instances registered", || {
         let name = |number| format!("siskinyoke/instances/instance-{number}");
         fleet.etcd.get(&name(1)).is_some() && fleet.etcd.get(&name(2)).is_some()
     });
