--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -88,7 +88,7 @@
         for number in 1..=instances {
             fleet.start_instance(number)?;
         }
-        fleet.wait_until_serving()?;
+        fleet.wait_until_listed()?;
         Ok(fleet)
     }
 
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    fn wait_until_serving(&self) -> Result<(), StandinError> {
+    fn wait_until_listed(&self) -> Result<(), StandinError> {
         for index in 0..self.directory_addresses.len() {
             let mut client = self.client(index);
             let lists_all = |client: &mut Client| {
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -247,7 +247,7 @@
 // The store is unavailable for a while. Guards against instances that need the store to serve
 // requests.
 #[test]
-fn requests_succeed_during_a_store_outage_and_later_changes_are_applied() {
+fn requests_succeed_during_a_store_outage_and_changes_made_meanwhile_are_applied() {
     let fleet = Fleet::start(2).expect("a fleet");
     fleet.etcd.control(&EtcdControl {
         down: Some(Millis::from_secs(60)),
