--- a/crates/siskinyoke-gateway/src/attempt.rs
+++ b/crates/siskinyoke-gateway/src/attempt.rs
@@ -29,7 +29,7 @@
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// Identifies the work: equal for every resend of the same request.
+    /// Hash of the path, organisation and body: equal for every resend of the same request.
     pub fingerprint: u64,
     /// Accounts for the body's memory until the last clone is dropped.
     pub reservation: Rc<MemoryReservation>,
@@ -84,7 +84,7 @@
             json!({
                 "endpoint": &*endpoint.id,
                 "address": &*endpoint.address,
-                "hint": "expected IP:PORT"
+                "hint": "an endpoint's address must be IP:PORT"
             }),
         );
         return None;
--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -59,7 +59,7 @@
     OutOfMemory,
 }
 
-/// Arrival of a request.
+/// When a request arrived, and whether it was held.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at: Millis,
@@ -109,7 +109,7 @@
     arrival: Arrival,
 ) -> Response<ResponseBody> {
     let (limits, body, reservation) = match hold::until_configured(shell, &parts, body).await {
-        Ok(taken) => taken,
+        Ok(received) => received,
         Err(refusal) => {
             let id = shell.interface.exchange.request_id(&parts);
             return refuse(shell, RefusalInfo::unrouted(id), refusal);
@@ -177,7 +177,7 @@
 ) -> Response<ResponseBody> {
     let (body, reservation) =
         match read_body(shell, limits.max_body, limits.head_timeout, body).await {
-            Ok(taken) => taken,
+            Ok(received) => received,
             Err(error) => return reject_body(shell, None, &error),
         };
     handle_buffered(shell, parts, body, reservation, arrival).await
--- a/crates/siskinyoke-gateway/src/callers/hold.rs
+++ b/crates/siskinyoke-gateway/src/callers/hold.rs
@@ -48,7 +48,7 @@
     };
     let remaining = deadline.since(shell.now());
     let (body, reservation) = match read_body(shell, MAX_HELD_BODY_BYTES, remaining, body).await {
-        Ok(taken) => taken,
+        Ok(received) => received,
         Err(BodyError::OutOfMemory) => return Err(out_of_memory()),
         Err(_) => return Err(not_ready(shell)),
     };
--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -32,10 +32,10 @@
         .into_iter()
         .filter_map(|item| decode(shell, item, source))
         .collect();
-    // The first read contains every endpoint.
+    // The first read contains every endpoint, so its endpoints are not logged.
     if before > 0 {
-        for it in &updates {
-            log_endpoint(shell, it);
+        for update in &updates {
+            log_endpoint(shell, update);
         }
     }
     shell
--- a/crates/siskinyoke-gateway/src/connection.rs
+++ b/crates/siskinyoke-gateway/src/connection.rs
@@ -18,7 +18,7 @@
 /// Time within which a connection must be established.
 ///
 /// The round trip between two data centres takes about 3 ms. A host that is down or cut off never
-/// answers, and a lost SYN packet is sent again only after a second.
+/// responds, and a lost SYN packet is sent again only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time that sent data may stay unacknowledged before the connection is closed.
--- a/crates/siskinyoke-gateway/src/events.rs
+++ b/crates/siskinyoke-gateway/src/events.rs
@@ -53,11 +53,11 @@
     let lf = bytes
         .windows(2)
         .rposition(|pair| pair == b"\n\n")
-        .map(|at| at + 2);
+        .map(|start| start + 2);
     let crlf = bytes
         .windows(4)
         .rposition(|four| four == b"\r\n\r\n")
-        .map(|at| at + 4);
+        .map(|start| start + 4);
     lf.max(crlf)
 }
 
--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -81,15 +81,15 @@
         {
             shell.log("peers_untold", json!({ "error": err.to_string() }));
         }
-        let mut last_search = Millis::ZERO;
+        let mut last_discovery = Millis::ZERO;
         loop {
             let now = shell.now();
-            let search =
-                shell.discovery_due.replace(false) || now.since(last_search) >= DISCOVERY_INTERVAL;
-            if search {
-                last_search = now;
+            let discover = shell.discovery_due.replace(false)
+                || now.since(last_discovery) >= DISCOVERY_INTERVAL;
+            if discover {
+                last_discovery = now;
             }
-            self.send_report(&shell, search);
+            self.send_report(&shell, discover);
             let spacing = if requests_waiting(&shell, now) {
                 LOADED_REPORT_SPACING
             } else {
@@ -97,8 +97,8 @@
             };
             sleep(spacing.into()).await;
             // After either a time-out or a notification, the next report is due.
-            let rest = Duration::from(REPORT_INTERVAL.since(spacing));
-            drop(timeout(rest, shell.report_due.notified()).await);
+            let remaining = Duration::from(REPORT_INTERVAL.since(spacing));
+            drop(timeout(remaining, shell.report_due.notified()).await);
         }
     }
 
@@ -119,7 +119,7 @@
     fn handle_message(&self, shell: &Rc<Shell>, bytes: &[u8], from: SocketAddr) {
         match postcard::from_bytes(bytes) {
             Ok(Message::Report(report)) => self.handle_report(shell, *report, from),
-            Ok(Message::Borrow(id, need)) => lending::handle_request(shell, from, id, need),
+            Ok(Message::Borrow(id, request)) => lending::handle_request(shell, from, id, request),
             Ok(Message::Lend(id, grant)) => lending::handle_reply(shell, from, id, grant),
             Ok(Message::Return(id)) => {
                 shell.core.borrow_mut().reclaim_slot(id);
@@ -147,8 +147,8 @@
             Self::send_full_report(shell, from);
         }
         let fields = json!({ "peer": name, "age_ms": report.age, "from": from.to_string() });
-        let first = shell.core.borrow_mut().receive_report(shell.now(), report);
-        if first {
+        let is_new_process = shell.core.borrow_mut().receive_report(shell.now(), report);
+        if is_new_process {
             shell.log("peer", fields);
             shell.discovery_due.set(true);
         }
@@ -159,9 +159,9 @@
         }
     }
 
-    fn send_report(&self, shell: &Shell, search: bool) {
-        let recipients = self.recipients(shell, shell.now(), search);
-        Self::send_report_to(shell, &recipients, search);
+    fn send_report(&self, shell: &Shell, discover: bool) {
+        let recipients = self.recipients(shell, shell.now(), discover);
+        Self::send_report_to(shell, &recipients, discover);
     }
 
     fn send_report_to(shell: &Shell, to: &BTreeSet<SocketAddr>, full: bool) {
@@ -186,9 +186,9 @@
         }
     }
 
-    // Returns the peers that currently report. A search adds listed instances and, if none are
-    // listed, the seeds and the addresses from reports.
-    fn recipients(&self, shell: &Shell, now: Millis, search: bool) -> BTreeSet<SocketAddr> {
+    // Returns the peers that currently report. A discovery round adds listed instances and, if none
+    // are listed, the seeds and the addresses from reports.
+    fn recipients(&self, shell: &Shell, now: Millis, discover: bool) -> BTreeSet<SocketAddr> {
         let core = shell.core.borrow();
         let mut all: BTreeSet<SocketAddr> = core
             .peers()
@@ -196,7 +196,7 @@
             .filter_map(|peer| peer.info.location.peer_address.parse().ok())
             .collect();
         let settings = shell.settings();
-        if search {
+        if discover {
             all.extend(discovery_targets(&core));
             if core.other_instances().next().is_none() {
                 all.append(&mut self.advertised.borrow_mut());
@@ -233,7 +233,7 @@
     }
 }
 
-// Returns the listed instances of this shard and a few random ones of other shards. Thereby reports
+// Returns the listed instances of this shard and a few random ones of other shards, so that reports
 // of poison requests reach all shards within a few rounds.
 fn discovery_targets(core: &Core) -> Vec<SocketAddr> {
     let (members, others): (Vec<_>, Vec<_>) = core.other_instances().partition(|row| row.1);
--- a/crates/siskinyoke-gateway/src/job/forwarding.rs
+++ b/crates/siskinyoke-gateway/src/job/forwarding.rs
@@ -37,7 +37,7 @@
         response: Response<Incoming>,
         connection: Connection,
     ) -> AttemptEnd {
-        let (parts, mut body) = response.into_parts();
+        let (head, mut body) = response.into_parts();
         let mut buffered = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
@@ -45,16 +45,16 @@
             };
             buffered.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
             if buffered.len() > MAX_BUFFERED_BYTES {
-                return self.relay(&parts, buffered.freeze(), body, start).await;
+                return self.relay(&head, buffered.freeze(), body, start).await;
             }
         }
-        pool::reuse(&self.shell, endpoint, &parts.headers, connection);
+        pool::reuse(&self.shell, endpoint, &head.headers, connection);
         let mut response = Response::new(ResponseBody::Full(Some(buffered.freeze())));
-        *response.status_mut() = parts.status;
-        *response.headers_mut() = self.response_headers(&parts);
+        *response.status_mut() = head.status;
+        *response.headers_mut() = self.response_headers(&head);
         self.response = Some(response);
         // After a stream has started, only the rest of its events can complete it.
-        if parts.status.is_server_error() || self.caller.start.is_none() {
+        if head.status.is_server_error() || self.caller.start.is_none() {
             return AttemptEnd::Retry(Outcome::Failed);
         }
         let took = self.shell.now().since(start);
@@ -70,19 +70,19 @@
     // taken back, so the request is not retried if the connection breaks.
     async fn relay(
         &mut self,
-        parts: &http::response::Parts,
+        head: &http::response::Parts,
         buffered: Bytes,
         mut body: Incoming,
         start: Millis,
     ) -> AttemptEnd {
         let first = self.shell.now().since(start);
-        self.forward(parts, buffered).await;
+        self.forward(head, buffered).await;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
                 return AttemptEnd::Truncated;
             };
             let chunk = frame.into_data().unwrap_or_default();
-            self.forward(parts, chunk).await;
+            self.forward(head, chunk).await;
         }
         let took = self.shell.now().since(start);
         AttemptEnd::Finished(Outcome::Completed {
@@ -103,7 +103,7 @@
         response: Response<Incoming>,
         connection: Connection,
     ) -> AttemptEnd {
-        let (parts, mut body) = response.into_parts();
+        let (head, mut body) = response.into_parts();
         let mut progress = Progress::default();
         let mut stall_timeout = permit.stall_timeout();
         loop {
@@ -134,11 +134,11 @@
             }
             progress.record_parts(self.shell.now(), self.events.event_count() - before);
             stall_timeout = STREAM_STALL_TIMEOUT;
-            self.forward(&parts, chunk).await;
+            self.forward(&head, chunk).await;
         }
         let rest = self.events.take_rest();
-        self.forward(&parts, rest).await;
-        pool::reuse(&self.shell, endpoint, &parts.headers, connection);
+        self.forward(&head, rest).await;
+        pool::reuse(&self.shell, endpoint, &head.headers, connection);
         let took = self.shell.now().since(start);
         AttemptEnd::Finished(Outcome::Completed {
             to_first_part: progress.first_part.map_or(took, |it| it.since(start)),
@@ -154,14 +154,14 @@
     }
 
     // Send errors are ignored: a caller that disconnects closes the channel, which ends the job.
-    async fn forward(&mut self, parts: &http::response::Parts, chunk: Bytes) {
+    async fn forward(&mut self, head: &http::response::Parts, chunk: Bytes) {
         if let Some(sender) = self.caller.start.take() {
-            let headers = self.response_headers(parts);
-            drop(sender.send(ResponseStart::Stream(parts.status, headers)));
+            let headers = self.response_headers(head);
+            drop(sender.send(ResponseStart::Stream(head.status, headers)));
         }
         if !chunk.is_empty() {
-            let parts = self.events.event_count() - self.progress.parts;
-            self.progress.record_parts(self.shell.now(), parts);
+            let new_parts = self.events.event_count() - self.progress.parts;
+            self.progress.record_parts(self.shell.now(), new_parts);
             drop(self.caller.chunks.send(Some(chunk)).await);
         }
     }
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -74,7 +74,7 @@
     pub fn remove_expired(&self, now: Millis) {
         self.quota_denied
             .borrow_mut()
-            .retain(|_, at| now.since(*at) < QUOTA_RETRY_DELAY);
+            .retain(|_, denied_at| now.since(*denied_at) < QUOTA_RETRY_DELAY);
         let mut requests = self.slot_requests.borrow_mut();
         requests.retain(|_, request| now.since(request.sent_at) < SLOT_REQUEST_TTL);
     }
@@ -208,14 +208,14 @@
         .borrow()
         .get(&organisation)
         .copied();
-    if denied.is_some_and(|at| now.since(at) < QUOTA_RETRY_DELAY) {
+    if denied.is_some_and(|denied_at| now.since(denied_at) < QUOTA_RETRY_DELAY) {
         return 0;
     }
-    let part = UnitsRequest {
+    let request = UnitsRequest {
         organisation,
         units: units.div_ceil(QUOTA_REQUEST_DIVISOR),
     };
-    let grants = request_quota(shell, BorrowRequest::Units(part)).await;
+    let grants = request_quota(shell, BorrowRequest::Units(request)).await;
     let granted: u64 = grants.iter().map(|grant| granted_units(*grant)).sum();
     let fields = json!({
         "organisation": organisation,
--- a/crates/siskinyoke-gateway/src/listener.rs
+++ b/crates/siskinyoke-gateway/src/listener.rs
@@ -24,7 +24,8 @@
 use crate::shell::Shell;
 use siskinyoke_base::Millis;
 
-/// How long callers' connections are accepted and kept open after this instance starts to leave.
+/// How long callers' connections are accepted and kept open after this instance starts to shut
+/// down.
 ///
 /// Callers cache the directory for two seconds and may still send requests here during that time;
 /// without the delay their connections would be refused or closed.
@@ -69,7 +70,7 @@
             Err(err) => {
                 let fields = json!({
                     "error": err.to_string(),
-                    "hint": "check the limit on open file descriptors",
+                    "hint": "check the process's limit on open file descriptors",
                 });
                 shell.log("accept_failed", fields);
                 sleep(ACCEPT_RETRY_DELAY).await;
@@ -144,7 +145,7 @@
     }
 }
 
-// Completes when connections of this kind are to be closed because this instance is leaving.
+// Completes when connections of this kind are to be closed because this instance is shutting down.
 async fn drain_period_elapsed(shell: Rc<Shell>, kind: ListenerKind) {
     if kind != ListenerKind::Callers {
         return std::future::pending().await;
--- a/crates/siskinyoke-gateway/src/metrics.rs
+++ b/crates/siskinyoke-gateway/src/metrics.rs
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Counts an answer and records its latency, by tier and outcome.
+    /// Counts a response and records its latency, by tier and outcome.
     pub fn record_response(&self, tier: u8, outcome: &'static str, took: Millis) {
         let attributes = [
             KeyValue::new("tier", i64::from(tier)),
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -58,7 +58,7 @@
         }
         /// The response cannot be decoded.
         Format(err: postcard::Error) {
-            display("{err}")
+            display("response cannot be decoded: {err}")
             source(err)
             from()
         }
@@ -85,21 +85,21 @@
     let now = shell.now();
     let ahead = shell.core.borrow_mut().record_peer_revision(now, revision);
     let failed = shell.failed_peer.get();
-    let backing_off =
-        failed.is_some_and(|it| it.0 == from && now.since(it.1) < FAILED_PEER_BACKOFF);
+    let backing_off = failed
+        .is_some_and(|failure| failure.0 == from && now.since(failure.1) < FAILED_PEER_BACKOFF);
     if !ahead || backing_off || shell.catching_up.replace(true) {
         return;
     }
     let shell = shell.clone();
     tokio::task::spawn_local(async move {
-        let pause = if shell.core.borrow().is_first_read() {
+        let delay = if shell.core.borrow().is_first_read() {
             FIRST_READ_FETCH_DELAY
         } else if shell.watching.get() {
             WATCHER_FETCH_DELAY
         } else {
             Millis(rand::rng().random_range(0..MAX_FETCH_JITTER.0))
         };
-        sleep(pause.into()).await;
+        sleep(delay.into()).await;
         if shell.core.borrow().store_revision() < revision {
             fetch(&shell, from).await;
         }
@@ -107,8 +107,8 @@
     });
 }
 
-// Fetches and applies changes from a peer. A failure ends the watcher's pause between two calls of
-// the store.
+// Fetches and applies changes from a peer. A failure ends the watcher's delay before its next call
+// of the store.
 async fn fetch(shell: &Shell, from: SocketAddr) {
     match request_update(shell, from).await {
         Ok(update) => cluster_view::apply(shell, update, "peer"),
--- a/crates/siskinyoke-gateway/src/registration.rs
+++ b/crates/siskinyoke-gateway/src/registration.rs
@@ -40,12 +40,12 @@
 pub async fn maintain(shell: Rc<Shell>) {
     let mut client = Client::default();
     let mut lease = None;
-    let mut retry = MIN_RETRY_DELAY;
+    let mut retry_delay = MIN_RETRY_DELAY;
     loop {
-        let pause = match renew_or_register(&shell, &mut client, lease).await {
+        let delay = match renew_or_register(&shell, &mut client, lease).await {
             Ok(id) => {
                 lease = Some(id);
-                retry = MIN_RETRY_DELAY;
+                retry_delay = MIN_RETRY_DELAY;
                 shell.core.borrow_mut().store_call_succeeded();
                 if shell.watching.get() {
                     WATCHER_RENEWAL_INTERVAL
@@ -57,13 +57,13 @@
                 shell.log("registration_failed", json!({ "error": err.to_string() }));
                 shell.core.borrow_mut().store_call_failed(shell.now());
                 shell.store_unresponsive.notify_waiters();
-                let pause = retry;
-                retry = Millis(retry.0 * 2).min(MAX_RETRY_DELAY);
-                pause
+                let delay = retry_delay;
+                retry_delay = Millis(retry_delay.0 * 2).min(MAX_RETRY_DELAY);
+                delay
             }
         };
         tokio::select! {
-            () = sleep(pause.into()) => {}
+            () = sleep(delay.into()) => {}
             () = shell.lease_renewal.notified() => {}
             () = shell.shutdown_started.notified() => {}
         }
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Advances rollouts and writes their states to the store.
+//! Advances rollouts and writes their statuses to the store.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use siskinyoke_base::Millis;
 use siskinyoke_dispatch::core::StatusWrite;
 
-/// Time limit for writing a state.
+/// Time limit for writing a status.
 ///
 /// A write without a response may still take effect; the condition on revisions keeps it from being
 /// applied twice.
@@ -20,24 +20,24 @@
 
 /// Advances rollouts by elapsed time and recorded responses, and logs changes of phase.
 pub fn advance(shell: &Shell) {
-    let shifts = shell.core.borrow_mut().advance_rollouts(shell.now());
-    if shifts.is_empty() {
+    let phase_changes = shell.core.borrow_mut().advance_rollouts(shell.now());
+    if phase_changes.is_empty() {
         return;
     }
-    for shift in shifts {
+    for change in phase_changes {
         let fields = json!({
-            "service": &*shift.service,
-            "version": &*shift.version,
-            "phase": shift.phase.as_str(),
+            "service": &*change.service,
+            "version": &*change.version,
+            "phase": change.phase.as_str(),
         });
         shell.log("rollout", fields);
     }
-    // Report a verdict to other shards at once.
+    // Report the new phases to other shards at once.
     shell.start_discovery();
     shell.decide();
 }
 
-/// Writes the rollout states due from this instance, unless a write is in progress.
+/// Writes the rollout statuses that are due from this instance, unless a write is in progress.
 pub fn write_due_statuses(shell: &Rc<Shell>) {
     let due = shell.core.borrow().status_writes(shell.now());
     if due.is_empty() || shell.writing_status.replace(true) {
@@ -46,20 +46,23 @@
     let shell = shell.clone();
     spawn_local(async move {
         let mut client = Client::default();
-        for due in due {
-            write_status(&shell, &mut client, &due).await;
+        for write in due {
+            write_status(&shell, &mut client, &write).await;
         }
         shell.writing_status.set(false);
     });
 }
 
-async fn write_status(shell: &Shell, client: &mut Client, due: &StatusWrite) {
+async fn write_status(shell: &Shell, client: &mut Client, write: &StatusWrite) {
     let documents = &shell.interface.documents;
     let store = &shell.interface.store;
-    let key = documents.rollout_status_key(&due.order.service);
-    let value = documents.encode_rollout_status(due.state, &due.order.version);
-    let order = documents.rollout_order_key(&due.order.service);
-    let expected = [(&*order, due.order_revision), (&*key, due.status_revision)];
+    let key = documents.rollout_status_key(&write.order.service);
+    let value = documents.encode_rollout_status(write.state, &write.order.version);
+    let order = documents.rollout_order_key(&write.order.service);
+    let expected = [
+        (&*order, write.order_revision),
+        (&*key, write.status_revision),
+    ];
     let call = store.put_if(&key, &value, &expected);
     let result = client
         .call(shell.settings().store, &call, WRITE_TIMEOUT)
@@ -75,12 +78,12 @@
         Err(err) => err.to_string(),
     };
     let fields = json!({
-        "service": &*due.order.service,
-        "version": &*due.order.version,
-        "order": due.order.revision,
-        "state": due.state.as_str(),
-        "expected": due.status_revision,
-        "standing": due.order_revision,
+        "service": &*write.order.service,
+        "version": &*write.order.version,
+        "order": write.order.revision,
+        "state": write.state.as_str(),
+        "expected": write.status_revision,
+        "standing": write.order_revision,
         "outcome": outcome,
     });
     shell.log("rollout_state", fields);
--- a/crates/siskinyoke-gateway/src/settings.rs
+++ b/crates/siskinyoke-gateway/src/settings.rs
@@ -19,13 +19,13 @@
     pub enum SettingsError {
         /// The file cannot be read.
         Read(err: std::io::Error) {
-            display("cannot be read: {err} (does the file exist, and may this user read it?)")
+            display("file cannot be read: {err} (does the file exist, and may this user read it?)")
             source(err)
             from()
         }
         /// The file is not valid JSON with comments.
         Syntax(text: String) {
-            display("is not valid JSON with comments: {text}")
+            display("file is not valid JSON with comments: {text}")
         }
         /// A field is missing, unknown or of the wrong type.
         Field(err: serde_json::Error) {
@@ -73,10 +73,10 @@
     /// Maximum time for which callers cache a directory response, in seconds.
     pub keep_s: f64,
     /// Maximum share of a service's requests that a canary version may receive.
-    #[serde(default = "usual_exposure")]
+    #[serde(default = "default_exposure_share")]
     pub exposure_share: f64,
     /// Time from the end of a disturbance until changes must take effect as fast as usual, in ms.
-    #[serde(default = "usual_settle")]
+    #[serde(default = "default_settle_ms")]
     pub settle_ms: u64,
 }
 
@@ -245,11 +245,11 @@
     }
 }
 
-fn usual_exposure() -> f64 {
+fn default_exposure_share() -> f64 {
     0.1
 }
 
-fn usual_settle() -> u64 {
+fn default_settle_ms() -> u64 {
     3_000
 }
 
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -40,7 +40,7 @@
 /// The known facts about a refused request, for its log line.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RefusalInfo<'a> {
-    /// The request id.
+    /// The request ID.
     pub id: Option<&'a str>,
     /// The name of its organisation.
     pub organisation: Option<&'a str>,
@@ -83,17 +83,17 @@
     pub pool: Pool,
     /// The metrics of this instance.
     pub metrics: Metrics,
-    /// A copy of the store's content, from which peers catch up.
+    /// The replica of the store's contents, from which peers fetch changes.
     pub replica: RefCell<Replica>,
     /// Whether the last read or watch of the store by this instance succeeded.
     pub store_reachable: Cell<bool>,
-    /// When the store last answered a read or a watch.
+    /// When a read or watch of the store last succeeded; at first, when the process started.
     pub last_store_response: Cell<Millis>,
     /// Whether this instance watches the store itself, rather than following a peer.
     pub watching: Cell<bool>,
     /// The UDP socket for messages between instances, once it is bound.
     pub socket: OnceCell<UdpSocket>,
-    /// Pending borrow requests to other shards.
+    /// Borrow requests sent to other instances, and the slots borrowed from them.
     pub lending: Lending,
     /// The client that fetches store changes from peers.
     pub peer_client: RefCell<Client>,
@@ -103,15 +103,15 @@
     pub configuration_known: Notify,
     /// Wakes the sender of reports to peers.
     pub report_due: Notify,
-    /// Whether the next report is also sent to addresses where no peer is known yet.
+    /// Whether the next report is also sent to addresses from which none has been received.
     pub discovery_due: Cell<bool>,
     /// Wakes the task that renews this instance's lease in the store.
     pub lease_renewal: Notify,
     /// Aborts a watch call after the store failed to answer another call.
     pub store_unresponsive: Notify,
-    /// Ends the watcher's pause between two calls when no peer could hand over changes.
+    /// Ends the watcher's delay before its next call when fetching changes from a peer failed.
     pub peer_fetch_failed: Notify,
-    /// The peer that last failed to hand over changes, and when.
+    /// The peer from which fetching changes last failed, and when.
     pub failed_peer: Cell<Option<(SocketAddr, Millis)>>,
     /// Wakes the timer that reschedules queued requests.
     pub queue_timer: Notify,
@@ -222,7 +222,7 @@
         self.log("refusal", fields);
     }
 
-    /// Sends the next report at once, also to addresses where no peer is known yet.
+    /// Sends the next report at once, also to addresses from which none has been received.
     ///
     /// Until instances receive each other's reports, each can only estimate the quota that the
     /// others use.
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -40,11 +40,11 @@
         }
         /// No complete response arrived in time; a write may have taken effect.
         NoReply {
-            display("no response in time")
+            display("no complete response within the time limit")
         }
         /// The response has an error status.
         Status(status: StatusCode) {
-            display("response status {status}")
+            display("response has error status {status}")
         }
         /// The response cannot be decoded.
         Format(err: FormatError) {
@@ -135,8 +135,10 @@
         call: &Call,
         read: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
     ) -> Result<T, StoreError> {
-        let (at, mut connection) = match self.connection.take() {
-            Some((at, open)) if at == address && open.is_ready() => (at, open),
+        let (connected_to, mut connection) = match self.connection.take() {
+            Some((connected_to, open)) if connected_to == address && open.is_ready() => {
+                (connected_to, open)
+            }
             _ => (address, Connection::open(address).await?),
         };
         let response = match connection.send(encode(address, call)).await {
@@ -163,7 +165,7 @@
             }
         }
         if connection.wait_ready().await {
-            self.connection = Some((at, connection));
+            self.connection = Some((connected_to, connection));
         }
         if !status.is_success() {
             return Err(StoreError::Status(status));
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -23,7 +23,7 @@
 use siskinyoke_interface::Item;
 use siskinyoke_interface::ItemKind;
 
-/// Time limit for a read; the store usually answers within four milliseconds.
+/// Time limit for a read; the store usually responds within four milliseconds.
 const READ_TIMEOUT: Millis = Millis(1_000);
 
 /// Delay after the first failed call; it doubles with each further one.
@@ -45,18 +45,18 @@
         compacted: false,
         role: None,
     };
-    let mut pause = MIN_RETRY_DELAY;
+    let mut retry_delay = MIN_RETRY_DELAY;
     loop {
         if watcher.update_role() == StoreRole::Follower {
             sleep(ROLE_CHECK_INTERVAL.into()).await;
             continue;
         }
         match watcher.read_or_watch().await {
-            Ok(()) => pause = MIN_RETRY_DELAY,
+            Ok(()) => retry_delay = MIN_RETRY_DELAY,
             Err(err) => {
                 watcher.call_failed(&err);
-                sleep(pause.into()).await;
-                pause = Millis(pause.0 * 2).min(MAX_RETRY_DELAY);
+                sleep(retry_delay.into()).await;
+                retry_delay = Millis(retry_delay.0 * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
--- a/crates/siskinyoke-interface/src/documents.rs
+++ b/crates/siskinyoke-interface/src/documents.rs
@@ -13,7 +13,7 @@
 pub enum ItemKind<'a> {
     /// The operators' configuration.
     Configuration,
-    /// The entry of the endpoint with this identity.
+    /// The entry of the endpoint with this ID.
     Endpoint(&'a str),
     /// The entry of the instance with this name.
     Instance(&'a str),
@@ -30,13 +30,13 @@
 pub struct StoreKeys {
     /// The key of the operators' configuration.
     pub configuration: &'static str,
-    /// The prefix of endpoint entries, followed by the endpoint's identity.
+    /// The prefix of endpoint entries, followed by the endpoint's ID.
     pub endpoints: &'static str,
     /// The prefix of instance entries, followed by the instance's name.
     pub instances: &'static str,
     /// The prefix of rollout orders, followed by the service's name.
     pub rollout_orders: &'static str,
-    /// The prefix of rollout states, followed by the service's name.
+    /// The prefix of rollout statuses, followed by the service's name.
     pub rollout_statuses: &'static str,
 }
 
@@ -78,7 +78,7 @@
         format!("{}{service}", self.keys().rollout_orders)
     }
 
-    /// Returns the key of a service's rollout state.
+    /// Returns the key of a service's rollout status.
     fn rollout_status_key(&self, service: &str) -> String {
         format!("{}{service}", self.keys().rollout_statuses)
     }
@@ -110,13 +110,13 @@
     fn decode_rollout_order(&self, service: &str, bytes: &[u8])
     -> Result<RolloutSpec, FormatError>;
 
-    /// Decodes the state of a rollout and the version it applies to.
+    /// Decodes a rollout's status: its state, and the version it applies to.
     ///
     /// # Errors
     ///
     /// The document is malformed. It is ignored.
     fn decode_rollout_status(&self, bytes: &[u8]) -> Result<(State, String), FormatError>;
 
-    /// Encodes the state of a rollout of this version.
+    /// Encodes a rollout's status: its state, and the version it applies to.
     fn encode_rollout_status(&self, state: State, version: &str) -> Vec<u8>;
 }
--- a/crates/siskinyoke-interface/src/error.rs
+++ b/crates/siskinyoke-interface/src/error.rs
@@ -14,7 +14,7 @@
         }
         /// The text is not valid JSON with comments.
         Syntax(text: String) {
-            display("is not valid JSON with comments: {text}")
+            display("document is not valid JSON with comments: {text}")
         }
         /// A stored key or value is not valid base64.
         Encoding(err: base64::DecodeError) {
@@ -24,7 +24,7 @@
         }
         /// The store has compacted the requested revision.
         Compacted {
-            display("the store has compacted the requested revision; rereading everything")
+            display("the store has compacted the requested revision; a full read is needed")
         }
         /// The value of a field is invalid.
         InvalidValue(field: String, hint: &'static str) {
--- a/crates/siskinyoke-interface/src/exchange.rs
+++ b/crates/siskinyoke-interface/src/exchange.rs
@@ -18,7 +18,7 @@
 /// The properties of a caller's request that routing and scheduling use.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestHead<'a> {
-    /// The identity of this attempt, if given.
+    /// The request ID, if given.
     pub id: Option<&'a str>,
     /// The requested host, without a port.
     pub host: &'a str,
@@ -54,7 +54,7 @@
         false
     }
 
-    /// Returns the identity of a request, for log entries.
+    /// Returns the ID of a request, for log entries.
     fn request_id<'a>(&self, parts: &'a Parts) -> Option<&'a str>;
 
     /// Returns how long the caller waits for the response, if the request states it.
@@ -86,7 +86,7 @@
     /// Asks the endpoint to resume a stream after this event.
     fn set_last_event(&self, headers: &mut HeaderMap, event: &str);
 
-    /// Classifies the head of an endpoint's response to the request with this identity.
+    /// Classifies the head of an endpoint's response to the request with this ID.
     fn classify_response(
         &self,
         status: StatusCode,
--- a/crates/siskinyoke-interface/src/store.rs
+++ b/crates/siskinyoke-interface/src/store.rs
@@ -105,7 +105,7 @@
     /// Requests a lease.
     fn grant_lease(&self, ttl: Millis) -> Call;
 
-    /// Decodes the identity of a granted lease.
+    /// Decodes the ID of a granted lease.
     ///
     /// # Errors
     ///
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -270,6 +270,10 @@
     if text.is_empty() {
         return Ok(0);
     }
-    text.parse()
-        .map_err(|_| FormatError::InvalidValue(text.to_owned(), "an integer was expected"))
+    text.parse().map_err(|_| {
+        FormatError::InvalidValue(
+            text.to_owned(),
+            "the store's response must have an integer here",
+        )
+    })
 }
--- a/crates/siskinyoke-native/src/exchange.rs
+++ b/crates/siskinyoke-native/src/exchange.rs
@@ -162,10 +162,10 @@
 
     fn response_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap {
         let mut out = headers::end_to_end(headers, &[names::RESULT_CODE, names::RESULT_KIND]);
-        let content = headers::header_text(headers, &header::CONTENT_TYPE).unwrap_or("");
+        let content_type = headers::header_text(headers, &header::CONTENT_TYPE).unwrap_or("");
         let code = if status.is_server_error() {
             Code::EndpointError
-        } else if content.starts_with("text/event-stream") {
+        } else if content_type.starts_with("text/event-stream") {
             Code::Streaming
         } else {
             Code::Complete
--- a/crates/siskinyoke-native/src/names.rs
+++ b/crates/siskinyoke-native/src/names.rs
@@ -2,7 +2,7 @@
 
 use http::HeaderName;
 
-/// The identity of a request, for log entries; forwarded to the endpoint, which echoes it.
+/// The ID of a request, for log entries; forwarded to the endpoint, which echoes it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// Time the sender still waits for the response, in ms.
 pub const CALLER_TIMEOUT: HeaderName = HeaderName::from_static("siskinyoke-need");
@@ -44,7 +44,7 @@
 pub const INSTANCE_PREFIX: &str = "siskinyoke/instances/";
 /// The key prefix of rollout orders.
 pub const ROLLOUT_ORDER_PREFIX: &str = "siskinyoke/rollouts/";
-/// The key prefix of rollout states.
+/// The key prefix of rollout statuses.
 pub const ROLLOUT_STATUS_PREFIX: &str = "siskinyoke/rollout-states/";
 
 /// Returns the hexadecimal digest of an API key, as stored in the configuration.
@@ -54,6 +54,6 @@
 
 /// Returns the path prefix of a model's route, which differs for streams.
 pub fn model_path(model: &str, stream: bool) -> String {
-    let end = if stream { "stream/" } else { "" };
-    format!("{MODEL_PATH}{model}/{end}")
+    let suffix = if stream { "stream/" } else { "" };
+    format!("{MODEL_PATH}{model}/{suffix}")
 }
--- a/crates/siskinyoke-native/src/rollout.rs
+++ b/crates/siskinyoke-native/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollout orders and their status.
+//! Rollout orders and statuses.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -68,7 +68,7 @@
     })
 }
 
-/// Decodes the state of a rollout and the version it applies to.
+/// Decodes a rollout's status: its state, and the version it applies to.
 ///
 /// # Errors
 ///
@@ -83,7 +83,7 @@
     Ok((state, status.version))
 }
 
-/// Encodes the state of a rollout of this version.
+/// Encodes a rollout's status: its state, and the version it applies to.
 pub fn encode_status(state: State, version: &str) -> Vec<u8> {
     let state = match state {
         State::Running => RolloutState::Running,
