--- a/crates/siskinyoke-standin/src/fleet.rs
+++ b/crates/siskinyoke-standin/src/fleet.rs
@@ -187,9 +187,7 @@
             let mut client = self.client(index);
             let lists_all = |client: &mut Client| {
                 let located = client.locate();
-                located.is_ok_and(|location| {
-                    location.addresses.len() == self.directory_addresses.len()
-                })
+                located.is_ok_and(|it| it.addresses.len() == self.directory_addresses.len())
             };
             let mut polls = 0;
             while !lists_all(&mut client) {
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -53,17 +53,17 @@
         handler: Arc<dyn Handler>,
     ) -> Result<Self, StandinError> {
         let listener = listen(control).map_err(|err| listen_error(control, &err))?;
-        let control_address = listener
+        let server_address = listener
             .local_addr()
             .map_err(|err| listen_error(control, &err))?;
         let server = new_server(control, listener)?;
         let proxy =
-            Proxy::open(address, control_address).map_err(|err| listen_error(address, &err))?;
+            Proxy::open(address, server_address).map_err(|err| listen_error(address, &err))?;
         let server_proxy = Arc::clone(&proxy);
         thread::spawn(move || serve(&server, &server_proxy, &handler));
         Ok(Self {
             proxy,
-            control_address,
+            control_address: server_address,
         })
     }
 
