--- a/crates/siskinyoke-gateway/src/cluster_view.rs
+++ b/crates/siskinyoke-gateway/src/cluster_view.rs
@@ -52,7 +52,7 @@
     shell.log("store_read", fields);
     rollouts::advance(shell);
     // Report the new state to other shards at once.
-    shell.start_discovery();
+    shell.broadcast_report();
     shell.decide();
 }
 
--- a/crates/siskinyoke-gateway/src/rollouts.rs
+++ b/crates/siskinyoke-gateway/src/rollouts.rs
@@ -33,7 +33,7 @@
         shell.log("rollout", fields);
     }
     // Report the new phases to other shards at once.
-    shell.start_discovery();
+    shell.broadcast_report();
     shell.decide();
 }
 
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -226,7 +226,7 @@
     ///
     /// Until instances receive each other's reports, each can only estimate the quota that the
     /// others use.
-    pub fn start_discovery(&self) {
+    pub fn broadcast_report(&self) {
         self.discovery_due.set(true);
         self.report_due.notify_one();
     }
