--- a/crates/siskinyoke-gateway/src/callers.rs
+++ b/crates/siskinyoke-gateway/src/callers.rs
@@ -167,7 +167,8 @@
     }
 }
 
-// Reads the body first, because the head alone does not determine the route.
+// Reads the body first, because the head alone does not determine the route. The route's timeout is
+// unknown until then, so the time limit for heads applies.
 async fn handle_by_body(
     shell: &Rc<Shell>,
     parts: Parts,
--- a/crates/siskinyoke-gateway/src/job/progress.rs
+++ b/crates/siskinyoke-gateway/src/job/progress.rs
@@ -5,7 +5,7 @@
 /// Progress of a response, for the log.
 ///
 /// It distinguishes three causes of a late response: time in the queue, a late first part, and
-/// long pauses between parts.
+/// long pauses between parts. A part is an event of a streamed response.
 #[derive(Debug, Default)]
 pub struct Progress {
     /// Time from arrival until the request was last sent.
--- a/crates/siskinyoke-gateway/src/rate_limits.rs
+++ b/crates/siskinyoke-gateway/src/rate_limits.rs
@@ -9,14 +9,14 @@
 use siskinyoke_interface::FormatError;
 use siskinyoke_interface::ResponseClass;
 
-/// Records the rate limit in the head of a response to a request sent at `sent`.
+/// Records the rate limit in the head of a response to a request sent at `sent_at`.
 ///
 /// A missing limit counts as lifted only in a regular response: a refusal need not state the rate
 /// that the endpoint accepts.
 pub fn record(
     shell: &Shell,
     endpoint: &Endpoint,
-    sent: Millis,
+    sent_at: Millis,
     class: ResponseClass,
     limit: Result<Option<f64>, FormatError>,
 ) {
@@ -33,7 +33,7 @@
     shell
         .core
         .borrow_mut()
-        .record_limit(now, endpoint, sent, rate);
+        .record_limit(now, endpoint, sent_at, rate);
     log_changes(shell);
 }
 
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -1,4 +1,5 @@
-//! The state shared by all tasks of an instance, which run on one thread.
+//! The shell around the decision core: the state shared by all tasks of an instance, which run on
+//! one thread.
 
 use std::cell::Cell;
 use std::cell::OnceCell;
--- a/crates/siskinyoke-gateway/src/store.rs
+++ b/crates/siskinyoke-gateway/src/store.rs
@@ -95,11 +95,11 @@
         store: &dyn Store,
     ) -> Result<Batch, StoreError> {
         let opened = Cell::new(false);
-        let read = |bytes: &[u8], ended: bool| {
+        let decode = |bytes: &[u8], ended: bool| {
             opened.set(true);
             store.decode_watch(bytes, ended)
         };
-        match self.call_until(address, call, limit, read).await {
+        match self.call_until(address, call, limit, decode).await {
             Err(StoreError::NoReply) if store.idle_watch_is_silent() && opened.get() => {
                 Ok(Batch::default())
             }
@@ -107,17 +107,17 @@
         }
     }
 
-    // Makes a call within a time limit. `read` gets the body received so far and whether it is
+    // Makes a call within a time limit. `decode` gets the body received so far and whether it is
     // complete, and returns the result once it can be decoded.
     async fn call_until<T>(
         &mut self,
         address: SocketAddr,
         call: &Call,
         limit: Millis,
-        read: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
+        decode: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
     ) -> Result<T, StoreError> {
         let limit = Duration::from(limit);
-        let result = timeout(limit, self.send_call(address, call, read)).await;
+        let result = timeout(limit, self.send_call(address, call, decode)).await;
         let Ok(result) = result else {
             self.connection = None;
             return Err(StoreError::NoReply);
@@ -133,7 +133,7 @@
         &mut self,
         address: SocketAddr,
         call: &Call,
-        read: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
+        decode: impl Fn(&[u8], bool) -> Result<Option<T>, FormatError>,
     ) -> Result<T, StoreError> {
         let (connected_to, mut connection) = match self.connection.take() {
             Some((connected_to, open)) if connected_to == address && open.is_ready() => {
@@ -159,7 +159,7 @@
         while let Some(frame) = body.frame().await {
             bytes.extend_from_slice(frame?.data_ref().unwrap_or(&Bytes::new()));
             if status.is_success()
-                && let Some(value) = read(&bytes, false)?
+                && let Some(value) = decode(&bytes, false)?
             {
                 return Ok(value);
             }
@@ -170,7 +170,7 @@
         if !status.is_success() {
             return Err(StoreError::Status(status));
         }
-        read(&bytes, true)?.ok_or(StoreError::NoReply)
+        decode(&bytes, true)?.ok_or(StoreError::NoReply)
     }
 }
 
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -1,4 +1,4 @@
-//! Follows the store: the configuration, the endpoints and the other instances.
+//! Watches the store for changes to the configuration, the endpoints and the other instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 /// Less than half of the time after which a peer counts as unresponsive.
 const ROLE_CHECK_INTERVAL: Millis = Millis(200);
 
-/// Follows the store for as long as the process runs, directly or through peers.
+/// Watches the store for as long as the process runs, whenever that is the role of this instance.
 pub async fn run(shell: Rc<Shell>) {
     let mut watcher = Watcher {
         shell,
@@ -196,7 +196,7 @@
             timeout + RESPONSE_MARGIN
         };
         let call = store.watch(revision, timeout);
-        let sent = self.shell.now();
+        let sent_at = self.shell.now();
         let unreachable = !self.shell.core.borrow().reaches_store();
         let result = tokio::select! {
             result = self.client.watch(address, &call, limit, store) => result,
@@ -208,7 +208,7 @@
             .record_store_call("watch", result.is_ok());
         if let Err(err) = &result {
             let fields = json!({
-                "sent_ms_ago": self.shell.now().since(sent).0,
+                "sent_ms_ago": self.shell.now().since(sent_at).0,
                 "held_ms": timeout.0,
                 "doubted": unreachable,
                 "revision": revision,
--- a/crates/siskinyoke-interface/src/store.rs
+++ b/crates/siskinyoke-interface/src/store.rs
@@ -72,7 +72,7 @@
 
 /// Builds calls to a store and decodes its responses.
 pub trait Store: Debug {
-    /// Reads a page of our items after a key.
+    /// Reads the page of items that follows a key; an empty key gives the first page.
     fn range(&self, after: &str, consistency: Consistency) -> Call;
 
     /// Decodes a page of items.
@@ -82,8 +82,7 @@
     /// The response is malformed.
     fn decode_range(&self, bytes: &[u8]) -> Result<Batch, FormatError>;
 
-    /// Waits for changes to our items after a revision, for at most `timeout` if the store supports
-    /// a limit.
+    /// Waits for changes after a revision, for at most `timeout` if the store supports a limit.
     fn watch(&self, revision: u64, timeout: Millis) -> Call;
 
     /// Decodes the part of a watch response received so far; `ended` if it is complete.
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -270,10 +270,6 @@
     if text.is_empty() {
         return Ok(0);
     }
-    text.parse().map_err(|_| {
-        FormatError::InvalidValue(
-            text.to_owned(),
-            "the store's response must have an integer here",
-        )
-    })
+    text.parse()
+        .map_err(|_| FormatError::InvalidValue(text.to_owned(), "expected an integer from etcd"))
 }
