--- a/crates/siskinyoke-standin/src/completion.rs
+++ b/crates/siskinyoke-standin/src/completion.rs
@@ -8,7 +8,7 @@
 /// Number of possible lengths of a completion whose request sets no limit.
 const DEFAULT_WORDS_RANGE: usize = 56;
 
-/// Maximum length of a completion. The longest expected one, a draft for a whole week, is shorter.
+/// Maximum length of a completion. A draft for a whole week, the longest expected, is shorter.
 const MAX_WORDS: usize = 8192;
 
 /// Number of bytes that a word shows in hexadecimal.
@@ -21,7 +21,7 @@
     pub id: String,
     /// The words, each of which is one token. All but the first start with a space.
     pub words: Vec<String>,
-    /// Whether the limit in the request determined the length.
+    /// Whether the request's limit determined the length.
     pub truncated: bool,
 }
 
--- a/crates/siskinyoke-standin/src/etcd/wire.rs
+++ b/crates/siskinyoke-standin/src/etcd/wire.rs
@@ -1,7 +1,7 @@
 //! The JSON format of the supported requests and responses of etcd's v3 gateway.
 //!
-//! As in etcd, field names may be in snake case or camel case. Keys and values are encoded in base64,
-//! and 64-bit numbers are strings or JSON numbers.
+//! As in etcd, field names may be in snake case or camel case. Keys and values are encoded in
+//! base64, and 64-bit numbers are strings or JSON numbers.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
--- a/crates/siskinyoke-standin/src/http.rs
+++ b/crates/siskinyoke-standin/src/http.rs
@@ -41,8 +41,8 @@
 }
 
 impl HttpServer {
-    /// Starts a server behind a proxy at `address`. The address `control` bypasses the proxy and stays
-    /// reachable during outages.
+    /// Starts a server behind a proxy at `address`. The address `control` bypasses the proxy and
+    /// stays reachable during outages.
     ///
     /// # Errors
     ///
--- a/crates/siskinyoke-standin/src/thread_pool.rs
+++ b/crates/siskinyoke-standin/src/thread_pool.rs
@@ -1,7 +1,7 @@
 //! A pool of reusable threads.
 //!
-//! A proxied connection uses several threads. Starting them for each connection takes nearly as long
-//! as a short call, and would be measured as latency of the system under test.
+//! A proxied connection uses several threads. Starting them for each connection takes nearly as
+//! long as a short call, and would be measured as latency of the system under test.
 
 use std::sync::Arc;
 use std::sync::Mutex;
--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -125,8 +125,8 @@
     assert_eq!(batch.revision, read_all(&etcd).revision);
 }
 
-// etcd keeps a limited history. A watch from a compacted revision must fail; otherwise changes would
-// be missed for good without an error.
+// etcd keeps a limited history. A watch from a compacted revision must fail; otherwise changes
+// would be missed for good without an error.
 #[test]
 fn a_watch_from_a_compacted_revision_fails() {
     let etcd = start_etcd();
