--- a/crates/siskinyoke-standin/src/completion.rs
+++ b/crates/siskinyoke-standin/src/completion.rs
@@ -26,8 +26,8 @@
 }
 
 impl Completion {
-    /// Generates the completion for the content of a request. If `limit` is set, it is the length in
-    /// words.
+    /// Generates the completion for the content of a request. If `limit` is set, it is the length
+    /// in words.
     pub fn generate(content: &str, limit: Option<u32>) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(content.as_bytes());
--- a/crates/siskinyoke-standin/src/error.rs
+++ b/crates/siskinyoke-standin/src/error.rs
@@ -12,7 +12,7 @@
         }
         /// A load file or a list of instances is unreadable or invalid.
         File(detail: String) {
-            display("cannot use the file: {detail}; hint: its fields are described in docs/standins.md")
+            display("cannot use the file: {detail}; hint: its fields are in docs/standins.md")
         }
         /// A fleet in one process does not start.
         Fleet(detail: String) {
