--- a/crates/siskinyoke-gateway/src/job.rs
+++ b/crates/siskinyoke-gateway/src/job.rs
@@ -186,7 +186,7 @@
             ResponseClass::Mismatched => AttemptEnd::Retry(Outcome::ConnectionLost),
             ResponseClass::Rejected | ResponseClass::Misdirected => {
                 self.maybe_executed = executed_before;
-                pool::drain(&self.shell, endpoint, response, connection);
+                pool::drain_body(&self.shell, endpoint, response, connection);
                 let rejected = class == ResponseClass::Rejected;
                 AttemptEnd::Retry(if rejected {
                     Outcome::Full
--- a/crates/siskinyoke-gateway/src/pool.rs
+++ b/crates/siskinyoke-gateway/src/pool.rs
@@ -99,7 +99,7 @@
 
 /// Reads the body of a response to a request that did not run, so that its connection can be
 /// reused.
-pub fn drain(
+pub fn drain_body(
     shell: &Rc<Shell>,
     endpoint: &Arc<Endpoint>,
     response: Response<Incoming>,
