--- a/crates/siskinyoke-gateway/src/gossip.rs
+++ b/crates/siskinyoke-gateway/src/gossip.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    // Sends a full report to an instance that has no configuration yet, so that it can fetch ours.
+    // Sends a full report to an instance that has no configuration yet, so that it can fetch one.
     // It may have started during a store outage and belong to another shard, whose instances it
     // cannot find by itself.
     fn send_full_report(shell: &Shell, to: SocketAddr) {
--- a/crates/siskinyoke-gateway/src/lending.rs
+++ b/crates/siskinyoke-gateway/src/lending.rs
@@ -35,8 +35,8 @@
 
 /// How long no units are requested for an organisation after no lender had any.
 ///
-/// Otherwise each request of an organisation that exceeds its quota would query other shards in
-/// vain.
+/// Otherwise each request of an organisation that exceeds its quota would query other shards
+/// without result.
 const QUOTA_RETRY_DELAY: Millis = Millis(300);
 
 /// Number of instances asked for a slot at once, each of a different shard.
@@ -129,7 +129,7 @@
     }
 }
 
-// Starts the request at the lent slot. A second slot for the same request, or one that comes too
+// Starts the request at the lent slot. A second slot for the same request, or one that arrives too
 // late, is returned at once.
 fn slot_granted(shell: &Shell, from: SocketAddr, id: u64, key: EndpointKey) {
     let request = shell.lending.slot_requests.borrow_mut().remove(&id);
--- a/crates/siskinyoke-native/src/names.rs
+++ b/crates/siskinyoke-native/src/names.rs
@@ -34,7 +34,7 @@
 /// The path that lists the instances to use.
 pub const LOCATE_PATH: &str = "/v1/locate";
 
-/// The prefix of all our store keys.
+/// The prefix of all store keys.
 pub const KEY_PREFIX: &str = "siskinyoke/";
 /// The store key of the operators' configuration.
 pub const CONFIGURATION_KEY: &str = "siskinyoke/configuration";
