--- a/crates/siskinyoke-dispatch/tests/cold_start.rs
+++ b/crates/siskinyoke-dispatch/tests/cold_start.rs
@@ -19,7 +19,7 @@
     /// Holds the request for part of its deadline.
     Hold,
     /// Rejects the request immediately.
-    Reject,
+    Refuse,
 }
 
 /// The result of one client.
@@ -47,7 +47,7 @@
         let remaining = (arrived + deadline).since(at);
         let hold = match policy {
             Policy::Hold => cold_start::hold_timeout(Some(remaining)),
-            Policy::Reject => Millis::ZERO,
+            Policy::Refuse => Millis::ZERO,
         };
         if configured <= at + hold {
             return ClientOutcome::Served(configured.max(at).since(arrived));
@@ -88,10 +88,10 @@
 
 // Compares the loss of clients by immediate rejection with the loss by holding.
 #[test]
-fn holding_serves_more_than_rejecting_at_once() {
+fn holding_serves_more_than_refusing_at_once() {
     for configured in [500, 1_000, 2_000] {
         for deadline in DEADLINES_MS {
-            let [held, rejected] = [Policy::Hold, Policy::Reject]
+            let [held, rejected] = [Policy::Hold, Policy::Refuse]
                 .map(|policy| count_lost(policy, deadline, Millis(configured)));
             assert!(
                 held <= rejected,
@@ -102,7 +102,7 @@
     }
     let configured = Millis(1_000);
     assert!(
-        count_lost(Policy::Reject, DEADLINES_MS[0], configured)
+        count_lost(Policy::Refuse, DEADLINES_MS[0], configured)
             > count_lost(Policy::Hold, DEADLINES_MS[0], configured)
     );
 }
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreState {
     Healthy,
-    Refusing,
+    Rejecting,
     Unresponsive,
 }
 
@@ -204,7 +204,7 @@
         }
         if self.rng.random_bool(0.02) {
             let state = if self.rng.random() {
-                StoreState::Refusing
+                StoreState::Rejecting
             } else {
                 StoreState::Unresponsive
             };
@@ -229,7 +229,7 @@
         let state = if self.rng.random_bool(0.7) {
             StoreState::Unresponsive
         } else {
-            StoreState::Refusing
+            StoreState::Rejecting
         };
         let until = self.now + self.rng.random_range(200..8_000);
         self.store_outage = (state, until);
@@ -283,7 +283,7 @@
                 let watching = node.watch.is_some();
                 node.renewal_due = self.now + if watching { 1_000 } else { 4_000 };
             }
-            StoreState::Refusing => self.renewal_failed(at),
+            StoreState::Rejecting => self.renewal_failed(at),
             StoreState::Unresponsive => {
                 let node = &mut self.nodes[at];
                 node.renewal_timeout = Some(self.now + STORE_TIMEOUT_MS);
@@ -344,7 +344,7 @@
         }
         // The first read is not a watch.
         self.calls += u64::from(self.nodes[at].core.store_revision() > 0);
-        if self.store_state(at) == StoreState::Refusing {
+        if self.store_state(at) == StoreState::Rejecting {
             return self.watch_failed(at);
         }
         let watch = Watch {
@@ -358,7 +358,7 @@
     fn poll_watch(&mut self, at: usize, mut watch: Watch) {
         watch.lost |= self.store_state(at) == StoreState::Unresponsive;
         self.nodes[at].watch = Some(watch);
-        if watch.lost || self.store_state(at) == StoreState::Refusing {
+        if watch.lost || self.store_state(at) == StoreState::Rejecting {
             if self.now >= watch.started + watch.hold + WATCH_MARGIN_MS {
                 self.watch_failed(at);
             }
--- a/crates/siskinyoke-dispatch/tests/following/main.rs
+++ b/crates/siskinyoke-dispatch/tests/following/main.rs
@@ -18,7 +18,7 @@
 // against a healthy instance with a reporting peer applying a change later than the promised three
 // seconds.
 #[test]
-fn changes_reach_every_sound_instance_in_time() {
+fn changes_reach_every_healthy_instance_in_time() {
     for seed in seeds(0..8) {
         let mut fleet = Fleet::new(seed, 26, Faults::Mixed);
         fleet.run(30_000);
@@ -33,7 +33,7 @@
 // Guards against waiting for a watch that was lost in an outage as if the store merely had no
 // changes.
 #[test]
-fn changes_are_in_force_soon_after_an_outage_of_the_store() {
+fn changes_are_applied_soon_after_a_store_outage() {
     for size in [7, 26] {
         for seed in seeds(0..8) {
             let mut fleet = Fleet::new(seed, size, Faults::StoreOutages);
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -234,8 +234,8 @@
     }
 
     fn start_instance(&mut self, index: usize) -> Core {
-        let source = self.rng.random();
-        let mut core = Core::new(identity(&format!("i{index}"), source));
+        let incarnation = self.rng.random();
+        let mut core = Core::new(identity(&format!("i{index}"), incarnation));
         let now = Millis(self.now);
         core.configure(
             now,
@@ -423,7 +423,7 @@
                     }
                     Decision::Refuse(ticket, refusal) => {
                         if let Some(number) = self.tickets.remove(&(instance, ticket)) {
-                            self.record_rejection(number, refusal.reason);
+                            self.record_refusal(number, refusal.reason);
                         }
                     }
                 }
@@ -481,7 +481,7 @@
         }
     }
 
-    fn record_rejection(&mut self, number: usize, reason: RefusalReason) {
+    fn record_refusal(&mut self, number: usize, reason: RefusalReason) {
         let instance = self.requests[number].instance;
         if reason == RefusalReason::Displaced {
             self.check_displaced(number);
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -59,7 +59,7 @@
     arrived_ms: u64,
     /// When it was sent to an endpoint.
     started_ms: Option<u64>,
-    rejected: bool,
+    refused: bool,
     /// How long it was queued before it was rejected.
     queued_ms: u64,
 }
@@ -84,7 +84,7 @@
     lending: bool,
     /// Time and units of each grant.
     granted_units: Vec<(u64, f64)>,
-    rejected_units: f64,
+    refused_units: f64,
     unfinished: BTreeMap<(usize, Ticket), SimulatedRequest>,
     running: Vec<Attempt>,
     /// Peak number of requests that ran at one endpoint at once.
@@ -124,7 +124,7 @@
             cores,
             lending,
             granted_units: Vec::new(),
-            rejected_units: 0.0,
+            refused_units: 0.0,
             unfinished: BTreeMap::new(),
             running: Vec::new(),
             peak_running: 0,
@@ -186,7 +186,7 @@
             Ok(_) => self.granted_units.push((self.now, units as f64)),
             Err(refusal) => {
                 assert_eq!(refusal.reason, RefusalReason::QuotaExceeded);
-                self.rejected_units += units as f64;
+                self.refused_units += units as f64;
             }
         }
     }
@@ -273,7 +273,7 @@
         let request = SimulatedRequest {
             arrived_ms: self.now,
             started_ms: None,
-            rejected: false,
+            refused: false,
             queued_ms: 0,
         };
         match self.cores[index].admit(now, &pass, fingerprint) {
@@ -281,7 +281,7 @@
                 self.unfinished.insert((index, ticket), request);
             }
             Err(_) => self.finished.push(SimulatedRequest {
-                rejected: true,
+                refused: true,
                 ..request
             }),
         }
@@ -298,7 +298,7 @@
                         .remove(&(index, ticket))
                         .expect("it was queued");
                     self.finished.push(SimulatedRequest {
-                        rejected: true,
+                        refused: true,
                         queued_ms: self.now - request.arrived_ms,
                         ..request
                     });
@@ -399,15 +399,15 @@
 // small share of the bucket, which is empty at times by chance or after one large request. Without
 // lending, 0.044 of the units are then rejected although the organisation is within its quota.
 #[test]
-fn a_partly_used_quota_rejects_almost_nothing() {
+fn a_partly_used_quota_refuses_almost_nothing() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed, 64, 16, true);
         fleet.generate_quota_load(20, 0.6);
         let granted: f64 = fleet.granted_units.iter().map(|it| it.1).sum();
-        let rejected = fleet.rejected_units / (granted + fleet.rejected_units);
+        let refused = fleet.refused_units / (granted + fleet.refused_units);
         assert!(
-            rejected <= 0.01,
-            "seed {seed}: {rejected} of the units rejected"
+            refused <= 0.01,
+            "seed {seed}: {refused} of the units refused"
         );
     }
 }
@@ -415,7 +415,7 @@
 // The organisation requests far more than its quota at every instance, and all shards borrow from
 // each other. If two shards granted the same units, usage would exceed the operators' limit.
 #[test]
-fn what_is_lent_is_not_granted_twice() {
+fn lent_units_are_not_granted_twice() {
     let mut fleet = Fleet::new(1, 64, 16, true);
     fleet.generate_quota_load(20, 4.0);
     let allowed = (QUOTA_UNITS_PER_SECOND * 8.0 + QUOTA_UNITS_PER_SECOND)
@@ -432,7 +432,7 @@
 // All callers use one shard, which has too few slots for them, while the other shards are idle.
 // Without lending, 0.47 of these requests start within 200 ms.
 #[test]
-fn one_full_shard_uses_the_places_of_idle_ones() {
+fn a_full_shard_uses_the_slots_of_idle_ones() {
     let simulate = |lending| {
         let mut fleet = Fleet::new(1, 24, 20, lending);
         let full = fleet.first_shard();
@@ -455,7 +455,7 @@
 // All shards are full. Lenders need the lent slots themselves, and requests that no shard can serve
 // must not be queued in vain.
 #[test]
-fn where_all_shards_are_full_lending_serves_no_fewer_and_holds_nobody() {
+fn lending_between_full_shards_serves_no_fewer_requests_and_delays_no_refusal() {
     let simulate = |lending| {
         let mut fleet = Fleet::new(1, 24, 20, lending);
         let all: Vec<usize> = (0..24).collect();
@@ -464,7 +464,7 @@
         fleet
     };
     let (without, with) = (simulate(false), simulate(true));
-    let served = |fleet: &Fleet| fleet.finished.iter().filter(|it| !it.rejected).count();
+    let served = |fleet: &Fleet| fleet.finished.iter().filter(|it| !it.refused).count();
     assert!(
         served(&without) * 5 < without.finished.len() * 4,
         "no overload"
@@ -481,7 +481,7 @@
 // A borrower is killed, or the message that returns the slot is lost. If the slot stayed lent, the
 // lender's endpoints would seem full until the lender is restarted.
 #[test]
-fn a_place_that_is_not_returned_is_taken_back() {
+fn a_lent_slot_that_is_not_returned_is_reclaimed() {
     let mut fleet = Fleet::new(1, 24, 20, true);
     fleet.exchange_reports();
     let query = SlotRequest {
--- a/crates/siskinyoke-dispatch/tests/load/main.rs
+++ b/crates/siskinyoke-dispatch/tests/load/main.rs
@@ -62,7 +62,7 @@
 // engine, delayed the responses beside it, or was abandoned during prefill. Without regard to token
 // counts 0.93 of the drafts are in time, with it 0.99.
 #[test]
-fn a_calm_day_is_served_in_time() {
+fn the_usual_load_is_served_in_time() {
     for seed in 0..4 {
         let world = simulated(seed, 1.0);
         for class in 0..CLASSES.len() {
@@ -76,7 +76,7 @@
 // mean of the service, which abandons the attempt halfway through and starts over at the next
 // engine.
 #[test]
-fn no_sound_engine_is_given_up_while_it_reads() {
+fn no_healthy_engine_is_abandoned_during_prefill() {
     for seed in 0..4 {
         let world = simulated(seed, 1.0);
         let abandoned = world.jobs.iter().filter(|job| job.abandoned > 0).count();
@@ -87,7 +87,7 @@
 // An engine accepts requests without responding. Callers abandon a stream after three seconds
 // without an event, and another engine needs part of that time.
 #[test]
-fn a_dark_engine_is_left_in_time_for_another() {
+fn an_unresponsive_engine_is_abandoned_in_time_for_another() {
     let mut world = World::new(1, &CLASSES, &SLOWDOWNS);
     world.simulate(5_000, 1.0);
     world.engines[0].unresponsive = true;
@@ -99,17 +99,17 @@
 // Guards against first-come-first-served queueing of drafts in a peak: every draft that is served
 // is late and delays the next one, while slots that become free meanwhile go to the lowest tier.
 #[test]
-fn in_a_peak_the_top_tier_is_in_time_first() {
+fn in_a_peak_the_highest_priority_is_served_in_time_first() {
     for seed in 0..4 {
         let world = simulated(seed, PEAK_LOAD_FACTOR);
         let in_time = world.fraction(0, |job| job.outcome == JobOutcome::InTime);
         let late = world.fraction(0, |job| job.outcome == JobOutcome::LateFirstPart);
         assert!(in_time >= 0.6, "seed {seed}: in time {in_time}");
         assert!(late <= in_time / 2.0, "seed {seed}: late {late}");
-        let lowest_tier = world.fraction(1, served);
+        let low_priority = world.fraction(1, served);
         assert!(
-            lowest_tier <= world.fraction(0, served),
-            "seed {seed}: {lowest_tier}"
+            low_priority <= world.fraction(0, served),
+            "seed {seed}: {low_priority}"
         );
     }
 }
@@ -117,7 +117,7 @@
 // Serving short requests first serves more callers. Guards against starving long drafts by it in a
 // peak.
 #[test]
-fn long_work_is_not_starved_in_a_peak() {
+fn long_requests_are_not_starved_in_a_peak() {
     for seed in 0..4 {
         let world = simulated(seed, PEAK_LOAD_FACTOR);
         let mut outputs: Vec<u32> = world.jobs.iter().map(|job| job.output).collect();
@@ -137,7 +137,7 @@
 // The lowest tier has no chance of being served in a peak. Guards against refusing it only after
 // three seconds, in which its callers could have tried elsewhere.
 #[test]
-fn what_has_no_chance_is_told_so_at_once() {
+fn requests_without_a_chance_are_refused_at_once() {
     for seed in 0..4 {
         let world = simulated(seed, PEAK_LOAD_FACTOR);
         let refused: Vec<&Job> = world
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -91,7 +91,7 @@
 impl World {
     /// Starts the instances, and an engine for each of these slowdowns.
     pub fn new(seed: u64, classes: &[RequestClass], slowdowns: &[f64]) -> Self {
-        let make = |at| {
+        let start_core = |at| {
             let name = format!("i{at}");
             let mut core = Core::new(identity(&name, at as u64 + 1));
             core.configure(Millis(0), configuration(classes));
@@ -114,7 +114,7 @@
                 .collect(),
             longest_stall: 0,
             classes: classes.to_vec(),
-            cores: (0..INSTANCES).map(make).collect(),
+            cores: (0..INSTANCES).map(start_core).collect(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 1_000,
             tickets: BTreeMap::new(),
@@ -122,8 +122,8 @@
     }
 
     /// Simulates `span` ms with `load_factor` times the usual request rate.
-    pub fn simulate(&mut self, span: u64, load_factor: f64) {
-        let end = self.now + span;
+    pub fn simulate(&mut self, duration_ms: u64, load_factor: f64) {
+        let end = self.now + duration_ms;
         while self.now < end {
             self.now += STEP_MS;
             self.generate_arrivals(load_factor);
@@ -304,13 +304,13 @@
                 let job = &mut self.jobs[number];
                 let Some(ticket) = job.ticket else { continue };
                 let core = &mut self.cores[job.instance];
-                let silence = self.now - sent as u64;
+                let stalled_ms = self.now - sent as u64;
                 let limit = core.scheduler().stall_timeout(ticket);
-                if silence < limit.0 || !core.try_abandon(Millis(self.now), ticket) {
+                if stalled_ms < limit.0 || !core.try_abandon(Millis(self.now), ticket) {
                     continue;
                 }
                 job.abandoned += 1;
-                self.longest_stall = self.longest_stall.max(silence);
+                self.longest_stall = self.longest_stall.max(stalled_ms);
                 self.engines[at].runs.retain(|run| run.job != number);
                 let next = core.attempt_ended(Millis(self.now), ticket, Outcome::Stalled, true);
                 self.tickets.remove(&(job.instance, ticket));
--- a/crates/siskinyoke-dispatch/tests/peers.rs
+++ b/crates/siskinyoke-dispatch/tests/peers.rs
@@ -36,7 +36,7 @@
 // Guards against a late report of a killed process replacing its restarted successor, whose own
 // reports would then be ignored.
 #[test]
-fn a_late_report_of_the_start_before_does_not_replace_the_new_start() {
+fn a_late_report_of_a_killed_process_does_not_replace_its_successor() {
     let mut peers = Peers::default();
     let previous = Report {
         incarnation: 1,
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_process_that_just_started_does_not_claim_the_whole_fleet() {
+fn the_fleet_share_of_a_starting_process_counts_the_listed_instances() {
     let mut peers = Peers::default();
     peers.set_listed_count(4);
     assert!((peers.fleet_share(Millis(0)) - 0.25).abs() < 1e-9);
@@ -81,13 +81,13 @@
 // Guards against callers of a data centre with a single instance having no alternative when that
 // instance dies.
 #[test]
-fn a_single_local_instance_is_not_the_only_one_named() {
+fn a_single_local_instance_is_not_the_only_one_listed_for_callers() {
     let ready = [location("n1", "a"), location("far", "b")];
     assert_eq!(select_instances("a", ready.iter()), ["far:1", "n1:1"]);
 }
 
 #[test]
-fn only_ready_instances_are_named_to_callers() {
+fn only_ready_instances_are_listed_for_callers() {
     let mut core = core("i", 1);
     let leaving = Report {
         shutting_down: true,
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -57,11 +57,11 @@
         fixture
     }
 
-    fn admit(&mut self, pending: ScheduledRequest) -> Ticket {
-        let now = pending.arrived;
+    fn admit(&mut self, request: ScheduledRequest) -> Ticket {
+        let now = request.arrived;
         let admitted = self
             .scheduler
-            .admit(now, pending, &self.registry, &self.peers);
+            .admit(now, request, &self.registry, &self.peers);
         admitted.expect("the request is admitted")
     }
 
@@ -123,7 +123,7 @@
 // One slot becomes free. The longer request arrived first, but several short ones could be served
 // in its time. It must still go first once it has waited long enough.
 #[test]
-fn short_work_goes_first_but_long_work_that_waited_goes_before_it() {
+fn short_requests_start_first_unless_a_long_one_has_waited_long_enough() {
     for (gap, short_first) in [(20, true), (250, false)] {
         let mut fixture = Fixture::new(&[("e", 1, USUAL_FACTOR)]);
         let running = fixture.admit(stream(START_MS, 100.0, 20.0));
@@ -215,10 +215,10 @@
 #[test]
 fn a_stream_avoids_an_endpoint_whose_streams_stalled_recently() {
     let latency_model = LatencyModel::default();
-    let pending = stream(0, 100.0, 60.0);
+    let request = stream(0, 100.0, 60.0);
     let query = PlacementQuery {
         now: Millis(0),
-        request: &pending,
+        request: &request,
         latency_model: &latency_model,
         can_wait: true,
     };
@@ -261,10 +261,10 @@
     }
     assert!(latency_model.expected_pause(1_000.0) < latency_model.expected_pause(5_000.0));
     assert!(latency_model.expected_pause(50_000.0) <= 110.0);
-    let pending = stream(0, 8_000.0, 20.0);
+    let request = stream(0, 8_000.0, 20.0);
     let query = PlacementQuery {
         now: Millis(0),
-        request: &pending,
+        request: &request,
         latency_model: &latency_model,
         can_wait: false,
     };
@@ -294,16 +294,16 @@
 #[test]
 fn a_long_response_waits_for_an_endpoint_that_is_fast_enough() {
     let latency_model = LatencyModel::default();
-    let pending = stream(0, 100.0, 1_500.0);
-    let service_time = latency_model.service_time_of(&pending.tokens);
+    let request = stream(0, 100.0, 1_500.0);
+    let service_time = latency_model.service_time_of(&request.tokens);
     let enough_time = Millis(service_time.0 * 3 / 2);
-    let pending = ScheduledRequest {
+    let request = ScheduledRequest {
         deadline: enough_time,
-        ..pending
+        ..request
     };
     let query = PlacementQuery {
         now: Millis(0),
-        request: &pending,
+        request: &request,
         latency_model: &latency_model,
         can_wait: true,
     };
@@ -326,7 +326,7 @@
     );
     let short = ScheduledRequest {
         deadline: Millis(enough_time.0 - 100),
-        ..pending.clone()
+        ..request.clone()
     };
     let query = PlacementQuery {
         request: &short,
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -147,7 +147,7 @@
 // granted before the first reports was not counted, so that the organisation got a tenth more than
 // is tolerated.
 #[test]
-fn a_kill_of_all_instances_grants_nothing_twice() {
+fn a_restart_of_all_instances_grants_no_units_twice() {
     let mut fleet = Fleet::start(8, 0, 400);
     fleet.send_requests(0, 4_000, 5);
     fleet.restart(8, 4_100, 400);
@@ -163,7 +163,7 @@
 // A partition splits the instances in halves, and callers reach both. Each side granted the whole
 // quota, so that the organisation got it twice.
 #[test]
-fn sides_of_a_cut_share_the_quota() {
+fn both_sides_of_a_partition_share_the_quota() {
     let mut fleet = Fleet::start(6, 0, 0);
     fleet.send_requests(0, 9_000, 5);
     let mut other_side = Fleet {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_refusal_for_the_quota_says_when_there_will_be_enough() {
+fn a_request_refused_for_its_quota_is_granted_after_the_retry_time() {
     let mut core = Core::new(identity("i", 1));
     core.configure(Millis(0), configuration(1, organisation(1_000.0, 1_000.0)));
     let mut now = Millis(1_000);
@@ -202,7 +202,7 @@
 
 // A lower limit is configured while the organisation sends far more than it allows.
 #[test]
-fn a_lower_limit_binds_at_once() {
+fn a_lower_limit_applies_at_once() {
     let mut core = Core::new(identity("i", 1));
     core.configure(
         Millis(0),
@@ -231,7 +231,7 @@
 // units in the bucket and each granted a whole request at the same moment, so that the organisation
 // got more than is tolerated.
 #[test]
-fn a_crowd_does_not_take_the_same_units_at_the_same_moment() {
+fn instances_do_not_grant_the_same_units_at_the_same_moment() {
     let mut fleet = Fleet::start(11, 0, 0);
     let mut incoming = request("/safe/x");
     incoming.tokens = Some((37_000, 0));
@@ -258,7 +258,7 @@
 // rate. As most of the limit lay in the burst, steady use within the limit was rejected for as long
 // as it lasted.
 #[test]
-fn steady_use_within_the_limit_is_granted_where_the_burst_is_long() {
+fn steady_use_within_the_limit_is_granted_with_a_large_burst() {
     let (rate, burst) = (40_000.0, 144_000.0);
     let mut fleet = Fleet::start_with(4, 0, 0, (rate, burst));
     // Four instances, each 1,000 units every 66 ms: 485,000 of 620,000 units in a window.
@@ -275,7 +275,7 @@
 
 // The same organisation exceeds its quota, and all instances are killed and restarted meanwhile.
 #[test]
-fn a_long_burst_is_not_granted_beyond_the_limit() {
+fn a_large_burst_is_not_granted_beyond_the_limit() {
     let (rate, burst) = (40_000.0, 144_000.0);
     for killed in [4_000, 9_000, 12_000] {
         let mut fleet = Fleet::start_with(4, 0, 0, (rate, burst));
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -58,7 +58,7 @@
 const LENDER_COUNT: usize = 2;
 
 /// Number of instances of other shards that get a full report, as in the gateway.
-const FOREIGN_PEER_COUNT: usize = 3;
+const CROSS_SHARD_RECEIVERS: usize = 3;
 
 /// Maximum number of requests that arrive in one step.
 const MAX_ARRIVALS_PER_STEP: u32 = 4;
@@ -124,7 +124,7 @@
     // Arrivals at all endpoints with a limit.
     limited_arrivals: Vec<u64>,
     /// Number of requests that were rejected on arrival.
-    pub rejected: u64,
+    pub refused: u64,
     /// Description of each time the limit was exceeded.
     pub violations: Vec<String>,
     /// Requests a second at the checked endpoint while its limit had to hold.
@@ -153,7 +153,7 @@
             all_arrivals: Vec::new(),
             limited_arrivals: Vec::new(),
             limited_rate: 0.0,
-            rejected: 0,
+            refused: 0,
             violations: Vec::new(),
             checked_rate: 0.0,
             final_rate: 0.0,
@@ -260,7 +260,7 @@
             let core = &mut self.cores[index];
             let pass = core.route(now, incoming).expect("the route is known");
             let admitted = core.admit(now, &pass, self.now);
-            self.rejected += u64::from(admitted.is_err());
+            self.refused += u64::from(admitted.is_err());
         }
     }
 
@@ -436,12 +436,10 @@
         let report = self.cores[index].next_report(Millis(self.now), full);
         let others = self.cores[index].other_instances();
         let (shard_peers, others): (Vec<_>, Vec<_>) = others.partition(|row| row.1);
-        let foreign_peers = others
-            .choose_multiple(&mut self.rng, FOREIGN_PEER_COUNT)
+        let selected = others
+            .choose_multiple(&mut self.rng, CROSS_SHARD_RECEIVERS)
             .copied();
-        let recipients = shard_peers
-            .into_iter()
-            .chain(foreign_peers.filter(|_| full));
+        let recipients = shard_peers.into_iter().chain(selected.filter(|_| full));
         let recipients: Vec<usize> = recipients.map(|row| instance_number(row.0)).collect();
         for recipient in recipients {
             let partitioned = self
--- a/crates/siskinyoke-dispatch/tests/registry.rs
+++ b/crates/siskinyoke-dispatch/tests/registry.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_gets_no_new_work_and_stays_so() {
+fn a_draining_endpoint_gets_no_new_requests_and_stays_draining() {
     let mut registry = Registry::default();
     let draining = Endpoint {
         draining: true,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_new_start_under_the_same_identity_is_another_endpoint() {
+fn a_restart_under_the_same_id_is_a_new_endpoint() {
     let mut registry = Registry::default();
     registry.put(
         Millis(0),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_endpoint_that_a_peer_reports_as_leaving_gets_no_new_work() {
+fn an_endpoint_that_a_peer_reports_as_leaving_gets_no_new_requests() {
     let mut registry = Registry::default();
     registry.put(Millis(0), endpoint("e", 1));
     registry.record_departure(Millis(1), endpoint("e", 1).key());
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -49,7 +49,7 @@
 
 // Guards against evaluating the only version there is as a canary, which takes the traffic from it.
 #[test]
-fn an_order_for_the_version_in_force_takes_no_traffic_away() {
+fn an_order_for_the_current_version_keeps_its_traffic() {
     let mut rollout = start_rollout("v1", &["v1"]);
     assert_eq!(rollout.role(&endpoint_of("v1")), EndpointRole::Serving);
     assert_eq!(final_state(&mut rollout), Some(State::Completed));
@@ -58,7 +58,7 @@
 
 // Guards against completing such a rollout: the old endpoints would stop and none would be left.
 #[test]
-fn an_order_whose_endpoints_never_come_is_rolled_back() {
+fn an_order_whose_endpoints_never_register_is_rolled_back() {
     let mut rollout = start_rollout("v2", &["v1"]);
     assert!(!rollout.select_canary(Millis(1), 1.0));
     assert_eq!(final_state(&mut rollout), Some(State::RolledBack));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_withdrawn_order_takes_the_traffic_back() {
+fn withdrawing_an_order_returns_the_traffic_to_the_stable_version() {
     let mut rollout = start_rollout("v2", &["v1", "v2"]);
     rollout.advance(Millis(9_000));
     assert_eq!(rollout.phase(), Phase::Moved);
@@ -88,7 +88,7 @@
 // A second order is placed before the first has an outcome. Guards against treating the version
 // under evaluation as the stable one.
 #[test]
-fn a_version_whose_order_was_replaced_gets_nothing() {
+fn a_version_whose_order_was_replaced_gets_no_traffic() {
     let previous = start_rollout("v2", &["v1", "v2"]);
     let mut rollout = Rollout::begin(Millis(10), order("v3", 9), Some(previous), 0.5);
     let endpoints = [endpoint_of("v1"), endpoint_of("v2"), endpoint_of("v3")];
@@ -122,7 +122,7 @@
 // A process starts after the outcome was written. In the key order of the store, a rollout's state
 // may precede its order.
 #[test]
-fn a_process_that_starts_later_takes_the_outcome_from_the_store() {
+fn a_process_started_after_a_rollout_reads_its_outcome_from_the_store() {
     for state in [State::Completed, State::RolledBack] {
         let mut core = Core::new(identity("i1", 1));
         let status = Status {
@@ -153,7 +153,7 @@
 // Guards against a late write of one order's outcome being taken for that of the next order for the
 // same version.
 #[test]
-fn a_state_is_written_only_while_its_order_stands() {
+fn a_status_write_is_conditional_on_the_revision_of_its_order() {
     let mut core = Core::new(identity("i1", 1));
     let updates = vec![
         StoreUpdate::RolloutOrder(order("v2", 5)),
--- a/crates/siskinyoke-dispatch/tests/rollouts/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/main.rs
@@ -38,7 +38,7 @@
 // Guards against rolling back a good version, or never completing its rollout: it must then be
 // rolled out again by hand.
 #[test]
-fn a_good_version_is_in_force_by_its_deadline() {
+fn a_good_version_is_rolled_out_by_its_deadline() {
     for seed in seeds(0..1) {
         for (size, rate) in [
             (SMALL_FLEET, LOW_RATE_PER_SECOND),
@@ -94,7 +94,7 @@
 // Guards against missing a bad version because each shard of a large fleet sees only a few of its
 // responses.
 #[test]
-fn a_bad_version_is_found_by_a_fleet_of_many_shards() {
+fn a_bad_version_is_detected_by_a_fleet_of_many_shards() {
     for seed in seeds(0..1) {
         check_rolled_back(seed, LARGE_FLEET, HIGH_RATE_PER_SECOND, Fault::Fails(0.3));
     }
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -110,7 +110,7 @@
     /// Requests that were running on old endpoints when these stopped.
     pub aborted: usize,
     /// Requests that were rejected.
-    pub rejected: usize,
+    pub refused: usize,
 }
 
 /// A fleet that rolls out a new version of a service.
@@ -303,7 +303,7 @@
         let fingerprint = self.rng.random();
         let core = &mut self.instances[at].core;
         if let Ok(routed) = core.route(now, request(path)) {
-            self.observed.rejected += usize::from(core.admit(now, &routed, fingerprint).is_err());
+            self.observed.refused += usize::from(core.admit(now, &routed, fingerprint).is_err());
         }
     }
 
@@ -322,7 +322,7 @@
         if (self.now / STEP_MS + at as u64).is_multiple_of(20) {
             self.instances[at].core.sweep(now);
             self.instances[at].core.advance_rollouts(now);
-            self.write_states(at);
+            self.write_statuses(at);
         }
     }
 
@@ -449,7 +449,7 @@
         }
     }
 
-    fn write_states(&mut self, at: usize) {
+    fn write_statuses(&mut self, at: usize) {
         let instance = &self.instances[at];
         if instance.store_down_until > self.now {
             return;
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn urgent_work_goes_first_and_equal_work_in_order_of_arrival() {
+fn urgent_requests_start_first_and_equal_ones_in_order_of_arrival() {
     let registry = registry(&[("e", 2)]);
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
@@ -65,7 +65,7 @@
 // Endpoints run requests in order of arrival. If the instances together send an endpoint more
 // requests than it has slots, urgent requests wait there behind earlier ones.
 #[test]
-fn an_endpoint_is_given_no_more_than_it_runs_counted_over_all_instances() {
+fn all_instances_together_send_an_endpoint_no_more_requests_than_it_has_slots() {
     let registry = registry(&[("e", 4)]);
     let mut peers = Peers::default();
     let mut peer_report = report("peer", 1);
@@ -97,7 +97,7 @@
 // Two instances have waiting requests when a slot becomes free. The instance with the less urgent
 // request saw the free slot first and took it, and the urgent request kept waiting.
 #[test]
-fn a_free_place_is_left_to_more_urgent_work_elsewhere() {
+fn a_free_slot_is_left_to_a_more_urgent_request_at_a_peer() {
     let registry = registry(&[("e", 1)]);
     let mut peers = Peers::default();
     let mut peer_report = report("peer", 1);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn deferrable_work_that_would_be_late_is_refused_at_once_with_a_time_to_return() {
+fn a_deferrable_request_that_would_be_late_is_refused_at_once_with_a_retry_time() {
     let registry = registry(&[("e", 1)]);
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
@@ -165,7 +165,7 @@
 // during a peak. Late requests therefore get only slots that no other request needs, and are refused
 // once half of their time is over, so that their callers can still try elsewhere.
 #[test]
-fn late_work_gives_way_to_what_can_be_on_time_and_is_refused_in_the_end() {
+fn late_requests_yield_to_those_that_can_be_on_time_and_are_refused_in_the_end() {
     let registry = registry(&[("e", 1)]);
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_its_place() {
+fn a_cancelled_request_frees_its_slot() {
     let mut core = core("i", 1);
     let routed = core.route(Millis(0), request("/safe/x")).unwrap();
     let first = core.admit(Millis(0), &routed, 1).unwrap();
@@ -222,7 +222,7 @@
 // The connection is lost after a non-idempotent request was sent. If it were sent to another
 // endpoint, a booking could be made twice.
 #[test]
-fn what_may_have_run_goes_to_no_other_endpoint_unless_it_is_idempotent() {
+fn a_request_that_may_have_run_is_retried_only_if_it_is_idempotent() {
     for (path, retried) in [("/unsafe/x", false), ("/safe/x", true), ("/stream/x", true)] {
         let mut core = core("i", 1);
         core.registry().put(Millis(0), endpoint("e2", 1));
@@ -237,7 +237,7 @@
 // The connection to the only endpoint is lost. If the request were queued until its deadline, its
 // caller could not try anything else in time.
 #[test]
-fn a_request_that_no_endpoint_can_serve_any_more_is_answered_at_once() {
+fn a_request_that_no_endpoint_can_serve_any_more_is_refused_at_once() {
     let mut core = core("i", 1);
     let routed = core.route(Millis(0), request("/safe/x")).unwrap();
     let ticket = core.admit(Millis(0), &routed, 1).unwrap();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn what_surely_did_not_run_goes_to_another_endpoint() {
+fn a_request_that_did_not_run_is_retried_at_another_endpoint() {
     for outcome in [Outcome::ConnectFailed, Outcome::Full, Outcome::Misdirected] {
         let mut core = core("i", 1);
         core.registry().put(Millis(0), endpoint("e2", 1));
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_request_reaches_no_more_endpoints_than_its_route_allows() {
+fn a_request_has_no_more_attempts_than_its_route_allows() {
     let mut core = core("i", 1);
     for id in ["e2", "e3", "e4"] {
         core.registry().put(Millis(0), endpoint(id, 1));
@@ -290,7 +290,7 @@
 // A failing service responds to all requests with errors. Unlimited retries would double the load
 // when the service has the least capacity.
 #[test]
-fn retries_keep_to_their_part_of_the_requests() {
+fn retries_are_limited_to_a_share_of_the_requests() {
     let mut core = core("i", 1_000);
     core.registry().put(Millis(0), endpoint("e2", 1_000));
     let mut retries = 0;
@@ -310,7 +310,7 @@
 
 // A request crashes every endpoint that runs it, and its caller sends it repeatedly.
 #[test]
-fn work_that_crashed_two_endpoints_runs_no_more_here_or_at_peers() {
+fn a_request_that_crashed_two_endpoints_is_quarantined_here_and_at_peers() {
     let mut one = core("i1", 10);
     let mut other = core("i2", 10);
     for id in ["e2", "e3"] {
@@ -343,7 +343,7 @@
 // An endpoint that starts has all its slots free, and is four times slower than the others. If every
 // instance sends its next requests there at once, they wait for seconds.
 #[test]
-fn an_endpoint_of_unknown_pace_is_given_few_requests_until_its_first_answer() {
+fn an_endpoint_of_unknown_speed_gets_few_requests_until_its_first_response() {
     let registry = registry(&[("e", 12)]);
     let peers = Peers::default();
     let mut scheduler = Scheduler::new("me", "a");
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_small_fleet_is_one_shard_and_a_large_one_is_cut() {
+fn a_small_fleet_is_one_shard_and_a_large_one_is_divided() {
     let counts = [8, 11, 12, 30, 68, 75, 300].map(shards::count);
     assert_eq!(counts, [1, 1, 2, 4, 8, 8, 32]);
 }
@@ -59,7 +59,7 @@
 // Guards against restarts that move endpoints between shards: instances would lose track of what
 // runs at an endpoint and overload it.
 #[test]
-fn an_endpoint_that_goes_moves_few_others() {
+fn removing_an_endpoint_moves_few_others() {
     let shards = [9; 8];
     let before = assigned(89, &shards);
     let after = assigned(88, &shards);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_restart_moves_nothing() {
+fn restarts_of_instances_move_no_endpoints() {
     let mut core = core("i0", 1);
     for (centre, name) in names_by_centre(68) {
         core.add_instance(&name, location(&name, &centre));
@@ -91,7 +91,7 @@
 // serving. Guards against the others counting a smaller fleet and a larger share of each quota for
 // themselves, which granted a third too much in total.
 #[test]
-fn instances_whose_entries_ran_out_still_have_their_part() {
+fn instances_whose_entries_expired_keep_their_fleet_share() {
     let mut core = core("i0", 1);
     for (centre, name) in names_by_centre(68) {
         core.add_instance(&name, location(&name, &centre));
@@ -181,12 +181,12 @@
     let all: BTreeSet<_> = (0..17)
         .map(|at| timings(&format!("i{at}"), 17, 10_000))
         .collect();
-    let expected = [500, 1_000].map(|gather| (Millis(7_000), Millis(gather)));
+    let expected = [500, 1_000].map(|delay| (Millis(7_000), Millis(delay)));
     assert_eq!(all, expected.into());
     // A lost watch ends before the deadline by which changes must be in force again.
     for settle in [3_000, 4_000] {
-        let held = Millis(settle - 1_000);
-        assert_eq!(timings("i0", 11, settle).0, held.min(Millis(3_500)));
-        assert_eq!(timings("i0", 17, settle).0, held);
+        let timeout = Millis(settle - 1_000);
+        assert_eq!(timings("i0", 11, settle).0, timeout.min(Millis(3_500)));
+        assert_eq!(timings("i0", 17, settle).0, timeout);
     }
 }
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -23,7 +23,7 @@
 
 /// The service times at the fast and at the normal endpoint.
 const FAST_SERVICE_MS: u64 = 100;
-const NORMAL_SERVICE_MS: u64 = 200;
+const USUAL_SERVICE_MS: u64 = 200;
 
 /// The simulated duration.
 const DURATION_MS: u64 = 20_000;
@@ -75,7 +75,7 @@
 // of the time although requests waited for it: the next request was sent only after the previous
 // response had arrived.
 #[test]
-fn under_a_full_load_the_slots_of_a_fast_endpoint_are_never_idle_for_long() {
+fn under_full_load_the_slots_of_a_fast_endpoint_are_rarely_idle() {
     let mut scheduler = Scheduler::new("me", "a");
     let mut registry = Registry::default();
     for id in ["fast", "usual"] {
@@ -89,7 +89,7 @@
     let peers = Peers::default();
     let mut engines = [
         Engine::new("fast", FAST_SERVICE_MS),
-        Engine::new("usual", NORMAL_SERVICE_MS),
+        Engine::new("usual", USUAL_SERVICE_MS),
     ];
     let mut responses: Vec<(u64, Ticket)> = Vec::new();
     for now in 1..DURATION_MS {
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -109,7 +109,7 @@
 // Guards against a shard that keeps an outdated configuration after its only watcher hangs or is
 // refused by the store.
 #[test]
-fn the_next_one_takes_over_from_a_watcher_that_is_silent_or_refused() {
+fn a_peer_takes_over_from_a_watcher_that_is_unresponsive_or_cut_off_from_the_store() {
     let (mut core, members) = core_with_peers();
     for name in &members {
         receive(&mut core, 0, name, true);
@@ -133,7 +133,7 @@
 // Guards against every instance of a shard that the store refuses retrying: refused calls are paid
 // for too and would outnumber the served ones many times over.
 #[test]
-fn in_a_shard_without_the_store_one_instance_goes_on_trying() {
+fn in_a_shard_that_cannot_reach_the_store_one_instance_keeps_retrying() {
     let (mut core, members) = core_with_peers();
     core.store_call_failed(Millis(0));
     for name in &members {
@@ -158,7 +158,7 @@
 
 // A peer's reports arrive, but changes cannot be fetched from it because the link fails one way.
 #[test]
-fn an_instance_that_cannot_catch_up_asks_the_store_itself() {
+fn an_instance_that_cannot_catch_up_reads_the_store_itself() {
     let (mut core, members) = core_with_peers();
     for name in &members {
         receive(&mut core, 0, name, true);
@@ -176,7 +176,7 @@
 
 // A peer with a newer revision has just started and cannot list the earlier changes.
 #[test]
-fn an_instance_whose_peer_cannot_say_what_changed_asks_the_store_at_once() {
+fn an_instance_whose_peer_cannot_list_the_changes_reads_the_store_at_once() {
     let (mut core, members) = core_with_peers();
     for name in &members {
         receive(&mut core, 0, name, true);
@@ -204,7 +204,7 @@
 // Leases expire during a store outage, and its end shows first in a peer's report. Guards against
 // dropping every endpoint whose entry expired before it has time to register again.
 #[test]
-fn entries_that_expired_in_a_store_outage_have_time_to_return() {
+fn endpoints_whose_entries_expired_in_a_store_outage_have_time_to_register_again() {
     let (mut core, members) = core_with_peers();
     core.apply_updates(Millis(0), 6, vec![StoreUpdate::Endpoint(endpoint("e2", 1))]);
     core.store_call_failed(Millis(1_000));
--- a/crates/siskinyoke-gateway/tests/events.rs
+++ b/crates/siskinyoke-gateway/tests/events.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn however_a_stream_is_cut_up_its_bytes_and_last_event_stay_the_same() {
+fn the_bytes_and_last_event_of_a_stream_do_not_depend_on_its_chunks() {
     let text = (0..20).fold(String::new(), |text, id| {
         text + &format!("id: {id}\r\ndata: {id}\r\n\r\n")
     });
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -43,7 +43,7 @@
 // Hundreds of queued requests with large bodies, each within its own limit, exhaust the memory of
 // the process, and its crash breaks every request it serves.
 #[test]
-fn waiting_bodies_fill_a_quarter_of_the_memory_at_most() {
+fn queued_bodies_use_at_most_a_quarter_of_the_memory() {
     let shell = shell();
     let first = MemoryReservation::try_reserve(&shell, 3 * MIB);
     assert!(first.is_some());
--- a/crates/siskinyoke-gateway/tests/settings.rs
+++ b/crates/siskinyoke-gateway/tests/settings.rs
@@ -57,7 +57,7 @@
 
 // Guards against rejecting the settings of a deployment without rollouts, which sets no exposure.
 #[test]
-fn the_bound_on_exposure_may_be_left_out() {
+fn the_exposure_bound_is_optional() {
     let text = filled_template().replace("\"exposure_share\": 0.2,", "");
     let settings = Settings::parse(&text).unwrap();
     assert!((settings.bounds.exposure_share - 0.1).abs() < 1e-9);
@@ -65,7 +65,7 @@
 
 // Guards against rejecting the settings of a deployment that sets no settling time.
 #[test]
-fn the_bound_on_settling_may_be_left_out() {
+fn the_settling_time_is_optional() {
     let text = filled_template().replace("\"settle_ms\": 4000,", "");
     assert_eq!(Settings::parse(&text).unwrap().bounds.settle_ms, 3_000);
 }
@@ -73,7 +73,7 @@
 // Guards against ignoring a misspelt field: the instance would run with the default instead of the
 // operator's value.
 #[test]
-fn an_unknown_field_is_refused_with_its_name() {
+fn an_unknown_field_is_an_error_with_its_name() {
     for (from, name) in [
         ("\"metrics\"", "no_such_field"),
         ("\"callers\"", "caller"),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_faulty_file_is_refused_with_the_field_and_a_hint() {
+fn an_invalid_file_is_an_error_with_the_field_and_a_hint() {
     let cases = [
         ("\"10.1.0.25:8221\"", "\"8221\"", "invalid socket address"),
         ("\"store\": \"10.200.1.7:8225\",", "", "store"),
--- a/crates/siskinyoke-gateway/tests/soak.rs
+++ b/crates/siskinyoke-gateway/tests/soak.rs
@@ -28,14 +28,14 @@
     let program = Path::new(env!("CARGO_BIN_EXE_siskinyoke-gateway"));
     let mut violations = Vec::new();
     for &seed in seeds {
-        let verdict = run::run_seed(seed, program, size);
+        let report = run::run_seed(seed, program, size);
         println!(
             "seed {seed}: {} requests served, {} not served, {} rollout states",
-            verdict.served, verdict.unserved, verdict.rollout_states
+            report.served, report.unserved, report.rollout_states
         );
-        assert!(verdict.served > 0, "seed {seed}: no request was served");
+        assert!(report.served > 0, "seed {seed}: no request was served");
         violations.extend(
-            verdict
+            report
                 .violations
                 .iter()
                 .map(|it| format!("seed {seed}: {it}")),
--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -84,8 +84,8 @@
     let text = configuration::text(7, "k1").replace("\"ApiKeys\":[\"k1\"]", rate);
     let fleet = Fleet::start(&text);
     let refused_number = (0..40).find(|number| {
-        let answer = fleet.instances[0].call(&format!("r{number}"), "/safe/a", "", "");
-        answer.starts_with("HTTP/1.1 429")
+        let response = fleet.instances[0].call(&format!("r{number}"), "/safe/a", "", "");
+        response.starts_with("HTTP/1.1 429")
     });
     let report = fleet.explain(&format!(
         "r{}",
@@ -108,8 +108,8 @@
 #[test]
 fn stream_cut_midway() {
     let fleet = Fleet::start(&configuration::text(7, "k1"));
-    let answer = fleet.instances[1].call("cut-1", "/single/events", "", "");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
+    let response = fleet.instances[1].call("cut-1", "/single/events", "", "");
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
     let report = fleet.explain("cut-1");
     assert!(report.starts_with("i2.log\n"), "{report}");
     let attempt = line(&report, &["attempt ", "outcome=\"broken\""]);
@@ -130,8 +130,8 @@
     for number in 0..30 {
         fleet.instances[0].call(&format!("w{number}"), "/safe/a", "", "");
     }
-    let answer = fleet.instances[0].call("late-1", "/safe/nap", "", "");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = fleet.instances[0].call("late-1", "/safe/nap", "", "");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     let report = fleet.explain("late-1");
     let stalled = line(
         &report,
--- a/crates/siskinyoke-gateway/tests/whole/main.rs
+++ b/crates/siskinyoke-gateway/tests/whole/main.rs
@@ -78,30 +78,33 @@
     stream
 }
 
-fn arrival_count(setup: &Setup) -> usize {
+fn request_count(setup: &Setup) -> usize {
     setup.endpoints.iter().map(|it| it.requests().len()).sum()
 }
 
 #[test]
-fn a_request_reaches_an_endpoint_and_its_answer_comes_back_unchanged() {
+fn a_request_reaches_an_endpoint_and_its_response_is_forwarded_unchanged() {
     let setup = start_setup(&["e1"]);
     let forged_headers = "siskinyoke-hold: h\r\nsiskinyoke-tenant: other\r\nx-own: kept\r\n";
-    let answer = setup
+    let response = setup
         .instance
         .call("r1", "/safe/a?b=c", forged_headers, "body");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    assert!(answer.contains("siskinyoke-response-seal: e1"), "{answer}");
-    assert!(answer.ends_with("\r\n\r\nwhole"), "{answer}");
-    let arrival = setup.endpoints[0].requests().pop().unwrap();
-    assert_eq!(arrival.request_line, "POST /safe/a?b=c HTTP/1.1\r\n");
-    assert_eq!(arrival.body, b"body");
-    assert_eq!(arrival.header("siskinyoke-request-id"), Some("r1"));
-    assert_eq!(arrival.header("siskinyoke-target-instance"), Some("e1"));
-    assert_eq!(arrival.header("siskinyoke-tenant"), Some("school"));
-    assert_eq!(arrival.header("x-own"), Some("kept"));
-    assert_eq!(arrival.header("authorization"), None);
-    assert_eq!(arrival.header("siskinyoke-hold"), None);
-    let remaining_ms: u32 = arrival
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    assert!(
+        response.contains("siskinyoke-response-seal: e1"),
+        "{response}"
+    );
+    assert!(response.ends_with("\r\n\r\nwhole"), "{response}");
+    let received = setup.endpoints[0].requests().pop().unwrap();
+    assert_eq!(received.request_line, "POST /safe/a?b=c HTTP/1.1\r\n");
+    assert_eq!(received.body, b"body");
+    assert_eq!(received.header("siskinyoke-request-id"), Some("r1"));
+    assert_eq!(received.header("siskinyoke-target-instance"), Some("e1"));
+    assert_eq!(received.header("siskinyoke-tenant"), Some("school"));
+    assert_eq!(received.header("x-own"), Some("kept"));
+    assert_eq!(received.header("authorization"), None);
+    assert_eq!(received.header("siskinyoke-hold"), None);
+    let remaining_ms: u32 = received
         .header("siskinyoke-deadline-ms")
         .unwrap()
         .parse()
@@ -111,9 +114,9 @@
 
 // Guards against overloading an endpoint that announced a rate limit.
 #[test]
-fn an_endpoint_that_names_a_limit_gets_no_more_requests_than_that() {
+fn an_endpoint_that_announces_a_limit_gets_no_more_requests_than_that() {
     let setup = start_setup(&["e1"]);
-    let before = arrival_count(&setup);
+    let before = request_count(&setup);
     let start = Instant::now();
     setup.instance.call("first", "/safe/limited", "", "");
     std::thread::scope(|scope| {
@@ -124,7 +127,7 @@
     });
     // Allows one and a half times the rate limit for at least four seconds, plus five requests.
     let span = start.elapsed().as_secs_f64().max(4.0);
-    let count = u32::try_from(arrival_count(&setup) - before).unwrap();
+    let count = u32::try_from(request_count(&setup) - before).unwrap();
     assert!(
         f64::from(count) <= 1.5 * RATE_LIMIT_PER_SECOND * span + 5.0,
         "{count} requests in {span:.1} s"
@@ -137,22 +140,22 @@
 fn a_limit_announced_by_another_endpoint_at_the_address_is_ignored() {
     let setup = start_setup(&["e1"]);
     setup.instance.call("r1", "/safe/moved", "", "");
-    assert_eq!(arrival_count(&setup), 1);
+    assert_eq!(request_count(&setup), 1);
     let page = http_get(setup.instance.metrics_address, "/metrics").unwrap();
     let row = page.lines().find(|it| it.contains("limited_endpoints"));
     assert!(row.unwrap().ends_with(" 0"), "{row:?}");
 }
 
 #[test]
-fn what_cannot_be_served_is_refused_with_a_clear_status() {
+fn requests_that_cannot_be_served_are_refused_with_a_specific_status() {
     let setup = start_setup(&["e1"]);
     let status = |path: &str, body: &str| {
-        let answer = setup.instance.call("r", path, "", body);
-        answer[9..12].to_owned()
+        let response = setup.instance.call("r", path, "", body);
+        response[9..12].to_owned()
     };
     assert_eq!(status("/nowhere/", ""), "404");
     assert_eq!(status("/safe/a", &"x".repeat(1_001)), "413");
-    assert_eq!(arrival_count(&setup), 0);
+    assert_eq!(request_count(&setup), 0);
 }
 
 // An endpoint sends two responses to one request. Guards against forwarding the second one to the
@@ -162,39 +165,39 @@
     let setup = start_setup(&["e1"]);
     for number in 0..5 {
         let id = format!("r{number}");
-        let answer = setup.instance.call(&id, "/safe/extra", "", "");
+        let response = setup.instance.call(&id, "/safe/extra", "", "");
         // If the second response arrives after the next request was sent, none of the responses is
         // certain to belong to that request, and its only endpoint was already tried.
-        if number > 0 && answer.starts_with("HTTP/1.1 502") {
-            assert!(!answer.contains("siskinyoke-request-id"), "{answer}");
+        if number > 0 && response.starts_with("HTTP/1.1 502") {
+            assert!(!response.contains("siskinyoke-request-id"), "{response}");
             continue;
         }
         assert!(
-            answer.contains(&format!("siskinyoke-request-id: {id}\r\n")),
-            "{answer}"
+            response.contains(&format!("siskinyoke-request-id: {id}\r\n")),
+            "{response}"
         );
-        assert!(answer.ends_with("first"), "{answer}");
+        assert!(response.ends_with("first"), "{response}");
     }
 }
 
 // An endpoint responds before it has read the body, and keeps the connection open. Guards against
 // sending the next request before the rest of the body, which the endpoint would read as body.
 #[test]
-fn an_endpoint_that_answers_early_still_gets_the_whole_body() {
+fn an_endpoint_that_responds_early_still_gets_the_complete_body() {
     let setup = start_setup(&["e1"]);
     for _ in 0..5 {
-        let answer = setup
+        let response = setup
             .instance
             .call("r", "/safe/early", "", "the whole body");
-        assert!(answer.ends_with("early"), "{answer}");
+        assert!(response.ends_with("early"), "{response}");
     }
-    wait_until("all requests arrived", || arrival_count(&setup) == 5);
-    for arrival in setup.endpoints[0].requests() {
-        assert_eq!(arrival.body, b"the whole body");
+    wait_until("all requests arrived", || request_count(&setup) == 5);
+    for received in setup.endpoints[0].requests() {
+        assert_eq!(received.body, b"the whole body");
         assert!(
-            arrival.request_line.starts_with("POST /safe/early"),
+            received.request_line.starts_with("POST /safe/early"),
             "{}",
-            arrival.request_line
+            received.request_line
         );
     }
 }
@@ -203,17 +206,17 @@
 #[test]
 fn a_stream_is_resumed_at_another_endpoint() {
     let setup = start_setup(&["e1", "e2"]);
-    let answer = setup.instance.call("r1", "/stream/events", "", "");
-    let events: Vec<_> = answer
+    let response = setup.instance.call("r1", "/stream/events", "", "");
+    let events: Vec<_> = response
         .lines()
         .filter(|line| line.starts_with("data: "))
         .collect();
     assert_eq!(events, ["data: 1", "data: 2", "data: 3", "data: 4"]);
-    assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
+    assert!(response.ends_with("0\r\n\r\n"), "{response}");
     assert_eq!(
-        answer.matches("id: ").count(),
+        response.matches("id: ").count(),
         4 + 1,
-        "expected one id per event and one in the response head: {answer}"
+        "expected one id per event and one in the response head: {response}"
     );
     let resumed: Vec<_> = setup
         .endpoints
@@ -229,9 +232,9 @@
 #[test]
 fn a_stream_whose_resumption_fails_does_not_look_complete() {
     let setup = start_setup(&["e1", "e2"]);
-    let answer = setup.instance.call("r1", "/stream/events/lost", "", "");
-    assert!(answer.contains("data: 2"), "{answer}");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
+    let response = setup.instance.call("r1", "/stream/events/lost", "", "");
+    assert!(response.contains("data: 2"), "{response}");
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
 }
 
 // A caller reads slowly until the buffers on the way are full. Guards against dropping the final
@@ -247,12 +250,12 @@
         "connection: close\r\n",
         "",
     );
-    wait_until("the request arrived", || arrival_count(&setup) == 1);
+    wait_until("the request arrived", || request_count(&setup) == 1);
     std::thread::sleep(Duration::from_millis(500));
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    assert_eq!(answer.matches("id: ").count(), LONG_STREAM_EVENTS + 1);
-    assert!(answer.ends_with("0\r\n\r\n"));
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    assert_eq!(response.matches("id: ").count(), LONG_STREAM_EVENTS + 1);
+    assert!(response.ends_with("0\r\n\r\n"));
 }
 
 // A response exceeds the size up to which responses are buffered. Guards against treating it as a
@@ -260,14 +263,14 @@
 #[test]
 fn a_large_response_is_streamed_to_the_caller() {
     let setup = start_setup(&["e1"]);
-    let answer = setup.instance.call("r1", "/once/large", "", "");
+    let response = setup.instance.call("r1", "/once/large", "", "");
     assert!(
-        answer.starts_with("HTTP/1.1 200"),
+        response.starts_with("HTTP/1.1 200"),
         "{}",
-        &answer[..100.min(answer.len())]
+        &response[..100.min(response.len())]
     );
-    assert!(answer.matches('x').count() >= LARGE_BODY_BYTES);
-    assert_eq!(arrival_count(&setup), 1);
+    assert!(response.matches('x').count() >= LARGE_BODY_BYTES);
+    assert_eq!(request_count(&setup), 1);
 }
 
 // A stream that must not be resumed is interrupted. It must not look complete, and the request must
@@ -275,10 +278,10 @@
 #[test]
 fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
     let setup = start_setup(&["e1", "e2"]);
-    let answer = setup.instance.call("r1", "/single/events", "", "");
-    assert!(answer.contains("data: 2"), "{answer}");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
-    assert_eq!(arrival_count(&setup), 1);
+    let response = setup.instance.call("r1", "/single/events", "", "");
+    assert!(response.contains("data: 2"), "{response}");
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
+    assert_eq!(request_count(&setup), 1);
 }
 
 // Guards against accepting request heads of any length, as a faulty client's cookies produce.
@@ -288,11 +291,11 @@
 fn a_head_over_the_operators_limit_is_refused() {
     let setup = start_setup(&["e1"]);
     let header = |length| format!("x-own: {}\r\n", "x".repeat(length));
-    let answer = setup.instance.call("r1", "/safe/a", &header(15_000), "");
-    assert!(answer.ends_with("whole"), "{answer}");
-    let answer = setup.instance.call("r2", "/safe/a", &header(17_000), "");
-    assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
-    assert_eq!(arrival_count(&setup), 1);
+    let response = setup.instance.call("r1", "/safe/a", &header(15_000), "");
+    assert!(response.ends_with("whole"), "{response}");
+    let response = setup.instance.call("r2", "/safe/a", &header(17_000), "");
+    assert!(response.starts_with("HTTP/1.1 431"), "{response}");
+    assert_eq!(request_count(&setup), 1);
 }
 
 // The connection is lost after a non-idempotent request was sent. The request may have run, so the
@@ -300,26 +303,26 @@
 #[test]
 fn a_request_that_may_have_run_is_not_retried_or_reported_as_not_run() {
     let setup = start_setup(&["e1", "e2"]);
-    let answer = setup.instance.call("r1", "/once/cut", "", "");
-    assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
-    assert!(!answer.contains("response-seal"), "{answer}");
-    assert_eq!(arrival_count(&setup), 1);
+    let response = setup.instance.call("r1", "/once/cut", "", "");
+    assert!(response.starts_with("HTTP/1.1 502"), "{response}");
+    assert!(!response.contains("response-seal"), "{response}");
+    assert_eq!(request_count(&setup), 1);
 }
 
 #[test]
-fn a_full_endpoint_is_not_asked_twice_and_another_serves() {
+fn a_request_that_a_full_endpoint_rejects_is_served_by_another() {
     let setup = start_setup(&["e1", "e2"]);
     for _ in 0..6 {
-        let answer = setup.instance.call("r1", "/once/full", "", "");
-        assert!(answer.ends_with("whole"), "{answer}");
+        let response = setup.instance.call("r1", "/once/full", "", "");
+        assert!(response.ends_with("whole"), "{response}");
     }
 }
 
 #[test]
-fn a_request_gets_an_answer_when_its_route_timeout_expires() {
+fn a_request_gets_a_response_when_its_route_timeout_expires() {
     let setup = start_setup(&["e1"]);
-    let answer = setup.instance.call("r1", "/short/slow", "", "");
-    assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
+    let response = setup.instance.call("r1", "/short/slow", "", "");
+    assert!(response.starts_with("HTTP/1.1 504"), "{response}");
 }
 
 // Guards against an endpoint that continues with a request whose caller has disconnected.
@@ -329,15 +332,15 @@
     for number in 1..6 {
         let mut stream = setup.instance.connect();
         send_request(&mut stream, "r1", "/safe/slow", "", "");
-        wait_until("the request arrived", || arrival_count(&setup) == number);
+        wait_until("the request arrived", || request_count(&setup) == number);
         drop(stream);
         wait_until("its endpoint is disconnected", || {
             setup.endpoints[0].disconnect_count() as usize == number
         });
     }
     // The endpoint has four slots: those of the cancelled requests must be free again.
-    let answer = setup.instance.call("r", "/safe/a", "", "");
-    assert!(answer.ends_with("whole"), "{answer}");
+    let response = setup.instance.call("r", "/safe/a", "", "");
+    assert!(response.ends_with("whole"), "{response}");
 }
 
 // The connection to the only endpoint is lost while it runs a request, and no other endpoint can
@@ -345,8 +348,8 @@
 #[test]
 fn a_request_that_ran_at_the_only_endpoint_is_not_reported_as_not_run() {
     let setup = start_setup(&["e1"]);
-    let answer = setup.instance.call("r1", "/safe/cut", "", "");
-    assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
+    let response = setup.instance.call("r1", "/safe/cut", "", "");
+    assert!(response.starts_with("HTTP/1.1 502"), "{response}");
 }
 
 #[test]
@@ -369,7 +372,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_gets_no_new_work() {
+fn a_draining_endpoint_gets_no_new_requests() {
     let setup = start_setup(&["e1", "e2"]);
     setup
         .store
@@ -397,8 +400,8 @@
     let setup = start_setup(&["e1", "e2"]);
     setup.store.set_availability(Availability::Unavailable);
     for _ in 0..5 {
-        let answer = setup.instance.call("r", "/safe/a", "", "");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = setup.instance.call("r", "/safe/a", "", "");
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
     setup.store.remove("servers/e1");
     setup.store.compact();
@@ -417,13 +420,13 @@
     let setup = start_setup(&["e1"]);
     let other = Instance::start(program(), "i2", setup.store.address).wait_until_ready();
     wait_until("the directory lists both instances", || {
-        let answer = http_get(
+        let response = http_get(
             setup.instance.directory_address,
             "/api/resolve?Name=h&Zone=a",
         )
         .unwrap();
-        answer.contains(&other.caller_address.to_string())
-            && answer.contains(&setup.instance.caller_address.to_string())
+        response.contains(&other.caller_address.to_string())
+            && response.contains(&setup.instance.caller_address.to_string())
     });
     wait_until("both instances are registered", || {
         setup.store.keys("instances/") == ["instances/i1", "instances/i2"]
@@ -435,14 +438,14 @@
 // An instance starts while the store is unavailable. It must get the configuration and the
 // endpoints from a seed peer in its settings, and serve requests.
 #[test]
-fn an_instance_that_starts_without_the_store_learns_from_a_peer() {
+fn an_instance_that_starts_without_the_store_gets_its_state_from_a_peer() {
     let setup = start_setup(&["e1"]);
     setup.store.set_availability(Availability::Unavailable);
     let seeds = [setup.instance.peer_address];
     let other =
         Instance::start_with_seeds(program(), "i2", setup.store.address, &seeds).wait_until_ready();
-    let answer = other.call("r1", "/safe/a", "", "");
-    assert!(answer.ends_with("whole"), "{answer}");
+    let response = other.call("r1", "/safe/a", "", "");
+    assert!(response.ends_with("whole"), "{response}");
 }
 
 // A request arrives at a new instance while the store does not answer. Guards against rejecting it
@@ -452,11 +455,11 @@
     let setup = start_setup_with_stalled_store();
     let mut stream = send_early(&setup, "/safe/a", 60_000, "body");
     setup.store.set_availability(Availability::Available);
-    let answer = read_response(&mut stream);
-    assert!(answer.ends_with("whole"), "{answer}");
-    let arrivals = setup.endpoints[0].requests();
-    assert_eq!(arrivals.len(), 1);
-    assert_eq!(arrivals[0].body, b"body");
+    let response = read_response(&mut stream);
+    assert!(response.ends_with("whole"), "{response}");
+    let requests = setup.endpoints[0].requests();
+    assert_eq!(requests.len(), 1);
+    assert_eq!(requests[0].body, b"body");
 }
 
 // A held request whose route or key turns out to be unknown must be rejected like any other.
@@ -465,15 +468,15 @@
     let setup = start_setup_with_stalled_store();
     let mut stream = send_early(&setup, "/nowhere/", 60_000, "");
     setup.store.set_availability(Availability::Available);
-    let answer = read_response(&mut stream);
-    assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
-    assert_eq!(arrival_count(&setup), 0);
+    let response = read_response(&mut stream);
+    assert!(response.starts_with("HTTP/1.1 404"), "{response}");
+    assert_eq!(request_count(&setup), 0);
 }
 
 // Guards against running a held request whose caller has disconnected: it would take a slot from a
 // queued one.
 #[test]
-fn a_held_request_whose_caller_left_never_runs() {
+fn a_held_request_whose_caller_disconnected_never_runs() {
     let setup = start_setup_with_stalled_store();
     drop(send_early(&setup, "/safe/a", 60_000, ""));
     std::thread::sleep(Duration::from_millis(100));
@@ -482,27 +485,27 @@
         instance: setup.instance.wait_until_ready(),
         ..setup
     };
-    let answer = setup.instance.call("r2", "/safe/b", "", "");
-    assert!(answer.ends_with("whole"), "{answer}");
-    assert_eq!(arrival_count(&setup), 1);
+    let response = setup.instance.call("r2", "/safe/b", "", "");
+    assert!(response.ends_with("whole"), "{response}");
+    assert_eq!(request_count(&setup), 1);
 }
 
 // The store does not answer for longer than a request is held. Guards against holding the request
 // until its caller has no time left for a retry.
 #[test]
-fn a_held_request_is_rejected_with_a_retry_after_while_its_caller_still_waits() {
+fn a_held_request_is_refused_with_a_retry_after_while_its_caller_still_waits() {
     let setup = start_setup_with_stalled_store();
     let mut stream = send_early(&setup, "/safe/a", 400, "");
-    let answer = read_response(&mut stream);
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(answer.contains("retry-after: "), "{answer}");
-    assert_eq!(arrival_count(&setup), 0);
+    let response = read_response(&mut stream);
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.contains("retry-after: "), "{response}");
+    assert_eq!(request_count(&setup), 0);
 }
 
 // A rollout order shifts a service to another version gradually. Without an order, the endpoints of
 // the new version would receive an equal share of the requests at once.
 #[test]
-fn a_service_moves_to_the_version_that_was_ordered() {
+fn a_rollout_order_moves_a_service_to_the_new_version() {
     let setup = start_setup(&["e1", "e2", "n1", "n2"]);
     let version = |at: usize, version: &str| {
         let endpoint = &setup.endpoints[at];
@@ -530,8 +533,8 @@
         || setup.endpoints[0].requests().len() + setup.endpoints[1].requests().len();
     let before = old_version_requests();
     for _ in 0..10 {
-        let answer = setup.instance.call("r", "/safe/a", "", "");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = setup.instance.call("r", "/safe/a", "", "");
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
     assert_eq!(old_version_requests(), before);
 }
@@ -543,15 +546,15 @@
     let setup = start_setup(&["e1"]);
     let mut stream = setup.instance.connect();
     send_request(&mut stream, "r1", "/safe/nap", "", "");
-    wait_until("the request arrived", || arrival_count(&setup) == 1);
+    wait_until("the request arrived", || request_count(&setup) == 1);
     setup.instance.send_signal(Signal::TERM);
     let health = setup.instance.health_address;
     wait_until("the instance is not ready", || {
         setup.instance.http_status(health, "/api/readyz") == Some(503)
     });
-    let answer = read_response(&mut stream);
-    assert!(answer.ends_with("whole"), "{answer}");
-    assert!(answer.contains("connection: close"), "{answer}");
+    let response = read_response(&mut stream);
+    assert!(response.ends_with("whole"), "{response}");
+    assert!(response.contains("connection: close"), "{response}");
     let mut rest = String::new();
     stream.read_to_string(&mut rest).unwrap();
     assert!(rest.is_empty(), "{rest}");
@@ -576,6 +579,6 @@
     let setup = start_setup(&["e1"]);
     setup.instance.send_signal(Signal::HUP);
     std::thread::sleep(Duration::from_millis(50));
-    let answer = setup.instance.call("r", "/safe/a", "", "");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = setup.instance.call("r", "/safe/a", "", "");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
