--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -180,7 +180,8 @@
     Ok(response.succeeded)
 }
 
-/// The exclusive end of the range of keys under [`names::KEY_PREFIX`]: `0` is the character after `/`.
+/// The exclusive end of the range of keys with [`names::KEY_PREFIX`]: `0` is the character after
+/// `/`.
 const RANGE_END: &str = "siskinyoke0";
 
 #[derive(Debug, Default, Deserialize)]
