--- a/crates/siskinyoke-dispatch/tests/cold_start.rs
+++ b/crates/siskinyoke-dispatch/tests/cold_start.rs
@@ -18,7 +18,7 @@
 enum Policy {
     /// Holds the request for part of its deadline.
     Hold,
-    /// Rejects the request immediately.
+    /// Refuses the request immediately.
     Refuse,
 }
 
@@ -27,14 +27,14 @@
 enum ClientOutcome {
     /// Served, after this time.
     Served(Millis),
-    /// Rejected twice, with no retry left.
+    /// Refused twice, with no retry left.
     Lost,
 }
 
 /// Simulates a client with one retry that arrives after a restart of all instances.
 ///
-/// The instance receives its configuration `configured` after its start. The client waits for the
-/// requested retry delay, but at most for a third of its remaining time, like the platform's
+/// The instance receives its configuration `configured` after its start. The client retries
+/// after the requested delay, but at most after a third of its remaining time, like the platform's
 /// callers.
 fn simulate_client(
     policy: Policy,
@@ -42,20 +42,20 @@
     deadline: Millis,
     configured: Millis,
 ) -> ClientOutcome {
-    let mut at = arrived;
+    let mut sent_at = arrived;
     for _ in 0..2 {
-        let remaining = (arrived + deadline).since(at);
+        let remaining = (arrived + deadline).since(sent_at);
         let hold = match policy {
             Policy::Hold => cold_start::hold_timeout(Some(remaining)),
             Policy::Refuse => Millis::ZERO,
         };
-        if configured <= at + hold {
-            return ClientOutcome::Served(configured.max(at).since(arrived));
+        if configured <= sent_at + hold {
+            return ClientOutcome::Served(configured.max(sent_at).since(arrived));
         }
-        let rejected = at + hold;
-        let remaining = (arrived + deadline).since(rejected);
-        let retry_after = cold_start::retry_after(rejected);
-        at = rejected + retry_after.min(Millis(remaining.0 / 3));
+        let refused_at = sent_at + hold;
+        let remaining = (arrived + deadline).since(refused_at);
+        let retry_after = cold_start::retry_after(refused_at);
+        sent_at = refused_at + retry_after.min(Millis(remaining.0 / 3));
     }
     ClientOutcome::Lost
 }
@@ -69,8 +69,8 @@
     outcomes.filter(|it| *it == ClientOutcome::Lost).count() as u64
 }
 
-// All instances restart under full load and the store does not answer for a moment. If every
-// request is rejected at once, clients retry too early and are lost.
+// All instances restart under full load, and the store does not respond for a moment. Guards
+// against refusing every request at once: clients would retry too early and be lost.
 #[test]
 fn holding_serves_every_client_through_a_short_store_outage() {
     for configured in [200, 500, 1_000] {
@@ -82,21 +82,21 @@
             );
         }
     }
-    // 500 ms is half of the shortest deadline, which at least three quarters of the clients meet.
+    // 500 ms is half of the shortest deadline: at least three quarters of the clients are served.
     assert!(count_lost(Policy::Hold, DEADLINES_MS[0], Millis(500)) <= CLIENT_COUNT / 4);
 }
 
-// Compares the loss of clients by immediate rejection with the loss by holding.
+// Compares the clients lost when requests are held with those lost when they are refused at once.
 #[test]
 fn holding_serves_more_than_refusing_at_once() {
     for configured in [500, 1_000, 2_000] {
         for deadline in DEADLINES_MS {
-            let [held, rejected] = [Policy::Hold, Policy::Refuse]
+            let [held_lost, refused_lost] = [Policy::Hold, Policy::Refuse]
                 .map(|policy| count_lost(policy, deadline, Millis(configured)));
             assert!(
-                held <= rejected,
+                held_lost <= refused_lost,
                 "deadline of {deadline} ms, configured after {configured} ms: \
-                 {held} lost by holding, {rejected} by rejecting"
+                 {held_lost} lost by holding, {refused_lost} by refusing"
             );
         }
     }
@@ -107,8 +107,8 @@
     );
 }
 
-// A request held for most of its deadline cannot be retried elsewhere, and its client learns of the
-// rejection too late.
+// Guards against holding a request for most of its deadline: its client would learn of the refusal
+// too late to retry elsewhere.
 #[test]
 fn no_request_is_held_for_more_than_a_quarter_of_its_time() {
     for deadline in [0, 1, 400, 1_000, 5_000, 600_000] {
@@ -125,7 +125,7 @@
     assert!(cold_start::hold_timeout(None) <= Millis(500));
 }
 
-// In a long outage, retries after a short delay are futile.
+// Guards against short retry delays in a long outage: the retries would be refused as well.
 #[test]
 fn retry_after_grows_with_the_length_of_the_store_outage() {
     let delays: Vec<_> = [0, 300, 700, 1_500, 60_000]
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -37,7 +37,7 @@
 const CROSS_SHARD_RECEIVERS: usize = 3;
 
 /// The timeouts of calls to the store and to peers, and the time that a watch may take beyond its
-/// hold, as in the gateway.
+/// timeout, as in the gateway.
 const STORE_TIMEOUT_MS: u64 = 1_500;
 const WATCH_MARGIN_MS: u64 = 700;
 const PEER_TIMEOUT_MS: u64 = 1_000;
@@ -53,7 +53,8 @@
     /// Frozen and killed instances, cut links, lost reports, and a store that some instances cannot
     /// reach.
     Mixed,
-    /// Repeated outages in which the store is unresponsive to all instances or refuses them.
+    /// Repeated outages in which the store is unresponsive to all instances or rejects
+    /// their calls.
     StoreOutages,
 }
 
@@ -91,7 +92,7 @@
 #[derive(Clone, Copy)]
 struct Watch {
     started: u64,
-    hold: u64,
+    timeout: u64,
     // Whether the store was unresponsive at any time since the call began: it is then never
     // answered, even after the store recovers.
     lost: bool,
@@ -264,7 +265,7 @@
         }
     }
 
-    // Renews the lease; a failed renewal shows that the store is out of reach.
+    // Renews the lease; a failed renewal counts as a failed store call.
     fn step_renewal(&mut self, at: usize) {
         if self.nodes[at]
             .renewal_timeout
@@ -349,7 +350,7 @@
         }
         let watch = Watch {
             started: self.now,
-            hold: self.nodes[at].core.watch_timeout().0,
+            timeout: self.nodes[at].core.watch_timeout().0,
             lost: false,
         };
         self.poll_watch(at, watch);
@@ -359,7 +360,7 @@
         watch.lost |= self.store_state(at) == StoreState::Unresponsive;
         self.nodes[at].watch = Some(watch);
         if watch.lost || self.store_state(at) == StoreState::Rejecting {
-            if self.now >= watch.started + watch.hold + WATCH_MARGIN_MS {
+            if self.now >= watch.started + watch.timeout + WATCH_MARGIN_MS {
                 self.watch_failed(at);
             }
             return;
@@ -369,7 +370,7 @@
         let count = if first { self.nodes.len() } else { 0 };
         let node = &mut self.nodes[at];
         let changed = revision > node.core.store_revision();
-        if !changed && self.now < watch.started + watch.hold {
+        if !changed && self.now < watch.started + watch.timeout {
             return;
         }
         node.watch = None;
--- a/crates/siskinyoke-dispatch/tests/following/main.rs
+++ b/crates/siskinyoke-dispatch/tests/following/main.rs
@@ -1,6 +1,6 @@
 //! Simulations of fleets in which few instances watch the store and the others follow them.
 //!
-//! Instances freeze, are killed, or lose links in one direction, and the store refuses some of them
+//! Instances freeze, are killed, or lose links in one direction, and the store rejects some of them
 //! or does not respond. `SEEDS=FROM..TO` replaces the default seeds.
 
 #[path = "../common/mod.rs"]
@@ -14,7 +14,7 @@
 /// How long calls are counted.
 const DURATION_S: u64 = 30;
 
-// Several watchers in a row freeze, die, are refused or lose the store without an error. Guards
+// Several watchers in a row freeze, die, are rejected by the store or get no response from it. Guards
 // against a healthy instance with a reporting peer applying a change later than the promised three
 // seconds.
 #[test]
@@ -58,8 +58,8 @@
         fleet.calls
     };
     let [medium, large] = [68, 295].map(calls);
-    assert!(medium < 68 * DURATION_S / 5, "{medium}");
-    assert!(large < 295 * DURATION_S / 5, "{large}");
+    assert!(medium < 68 * DURATION_S / 5, "{medium} calls");
+    assert!(large < 295 * DURATION_S / 5, "{large} calls");
     // The large fleet has over four times as many instances.
-    assert!(large < medium * 2, "{medium} {large}");
+    assert!(large < medium * 2, "{medium} and {large} calls");
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -376,6 +376,7 @@
             let simulated = &mut self.endpoints[at];
             if simulated.down_until.is_some_and(|until| until <= self.now) {
                 simulated.down_until = None;
+                // A different start time, by which instances tell a restarted endpoint apart.
                 simulated.endpoint.started_ms += 1;
                 for core in &mut self.cores {
                     core.registry()
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -60,7 +60,7 @@
     /// When it was sent to an endpoint.
     started_ms: Option<u64>,
     refused: bool,
-    /// How long it was queued before it was rejected.
+    /// How long it was queued before it was refused.
     queued_ms: u64,
 }
 
@@ -397,7 +397,7 @@
 
 // An organisation uses 60 % of its quota, evenly over a fleet of many shards. Each shard refills a
 // small share of the bucket, which is empty at times by chance or after one large request. Without
-// lending, 0.044 of the units are then rejected although the organisation is within its quota.
+// lending, 0.044 of the units are then refused although the organisation is within its quota.
 #[test]
 fn a_partly_used_quota_refuses_almost_nothing() {
     for seed in 0..3 {
@@ -413,7 +413,8 @@
 }
 
 // The organisation requests far more than its quota at every instance, and all shards borrow from
-// each other. If two shards granted the same units, usage would exceed the operators' limit.
+// each other. Guards against two shards granting the same units, which would exceed the operators'
+// limit.
 #[test]
 fn lent_units_are_not_granted_twice() {
     let mut fleet = Fleet::new(1, 64, 16, true);
@@ -421,11 +422,14 @@
     let allowed = (QUOTA_UNITS_PER_SECOND * 8.0 + QUOTA_UNITS_PER_SECOND)
         * (1.0 + QUOTA_POLICY.overage)
         + QUOTA_POLICY.slack;
-    let most = fleet.max_granted_in_window();
-    assert!(most <= allowed, "{most} units granted of {allowed} allowed");
+    let max_granted = fleet.max_granted_in_window();
     assert!(
-        most >= allowed * 0.7,
-        "{most} units granted of {allowed} allowed"
+        max_granted <= allowed,
+        "{max_granted} units granted of {allowed} allowed"
+    );
+    assert!(
+        max_granted >= allowed * 0.7,
+        "{max_granted} units granted of {allowed} allowed"
     );
 }
 
@@ -452,8 +456,8 @@
     );
 }
 
-// All shards are full. Lenders need the lent slots themselves, and requests that no shard can serve
-// must not be queued in vain.
+// All shards are full, and lenders need their slots themselves. Guards against lending that serves
+// fewer requests, or queues requests that no shard can serve for longer before they are refused.
 #[test]
 fn lending_between_full_shards_serves_no_fewer_requests_and_delays_no_refusal() {
     let simulate = |lending| {
@@ -473,13 +477,13 @@
     let max_queued = |fleet: &Fleet| fleet.finished.iter().map(|it| it.queued_ms).max();
     assert!(
         max_queued(&with) <= max_queued(&without),
-        "{:?}",
+        "queued for {:?} ms",
         max_queued(&with)
     );
 }
 
-// A borrower is killed, or the message that returns the slot is lost. If the slot stayed lent, the
-// lender's endpoints would seem full until the lender is restarted.
+// A borrower is killed, or the message that returns the slot is lost. Guards against a slot that
+// stays lent: the lender's endpoints would seem full until the lender is restarted.
 #[test]
 fn a_lent_slot_that_is_not_returned_is_reclaimed() {
     let mut fleet = Fleet::new(1, 24, 20, true);
@@ -506,7 +510,7 @@
     assert_eq!(count(&fleet.cores[0]), 1);
     fleet.cores[0].sweep(Millis(4_100));
     assert_eq!(count(&fleet.cores[0]), 0);
-    // The message arrives late.
+    // The message that returns the slot arrives late.
     fleet.cores[0].reclaim_slot(7);
     assert_eq!(count(&fleet.cores[0]), 0);
 }
--- a/crates/siskinyoke-dispatch/tests/load/main.rs
+++ b/crates/siskinyoke-dispatch/tests/load/main.rs
@@ -67,7 +67,10 @@
         let world = simulated(seed, 1.0);
         for class in 0..CLASSES.len() {
             let in_time = world.fraction(class, |job| job.outcome == JobOutcome::InTime);
-            assert!(in_time >= 0.95, "class {class}, seed {seed}: {in_time}");
+            assert!(
+                in_time >= 0.95,
+                "class {class}, seed {seed}: {in_time} in time"
+            );
         }
     }
 }
@@ -80,7 +83,10 @@
     for seed in 0..4 {
         let world = simulated(seed, 1.0);
         let abandoned = world.jobs.iter().filter(|job| job.abandoned > 0).count();
-        assert!(abandoned * 200 <= world.jobs.len(), "{abandoned}");
+        assert!(
+            abandoned * 200 <= world.jobs.len(),
+            "seed {seed}: {abandoned} jobs abandoned"
+        );
     }
 }
 
@@ -97,7 +103,7 @@
 }
 
 // Guards against first-come-first-served queueing of drafts in a peak: every draft that is served
-// is late and delays the next one, while slots that become free meanwhile go to the lowest tier.
+// is late and delays the next one, while slots that become free meanwhile go to the lowest priority.
 #[test]
 fn in_a_peak_the_highest_priority_is_served_in_time_first() {
     for seed in 0..4 {
@@ -109,13 +115,13 @@
         let low_priority = world.fraction(1, served);
         assert!(
             low_priority <= world.fraction(0, served),
-            "seed {seed}: {low_priority}"
+            "seed {seed}: {low_priority} of the lowest priority served"
         );
     }
 }
 
-// Serving short requests first serves more callers. Guards against starving long drafts by it in a
-// peak.
+// Serving short requests first serves more callers. Guards against starving long drafts in a peak by
+// this order.
 #[test]
 fn long_requests_are_not_starved_in_a_peak() {
     for seed in 0..4 {
@@ -128,14 +134,14 @@
         let long_fraction = world.fraction(0, |job| job.output >= long);
         assert!(
             served_long / long_fraction >= all / 2.0,
-            "seed {seed}: {} of {all}",
+            "seed {seed}: {} of the long requests served, {all} of all",
             served_long / long_fraction
         );
     }
 }
 
-// The lowest tier has no chance of being served in a peak. Guards against refusing it only after
-// three seconds, in which its callers could have tried elsewhere.
+// Requests of the lowest priority have no chance of being served in a peak. Guards against refusing
+// them only after three seconds, in which their callers could have tried elsewhere.
 #[test]
 fn requests_without_a_chance_are_refused_at_once() {
     for seed in 0..4 {
@@ -149,7 +155,7 @@
         let queued = refused.iter().filter(|job| job.queued > 800).count();
         assert!(
             queued * 10 <= refused.len(),
-            "seed {seed}: {queued} of {}",
+            "seed {seed}: {queued} of {} refused only after 800 ms",
             refused.len()
         );
     }
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Simulates `span` ms with `load_factor` times the usual request rate.
+    /// Simulates `duration_ms` with `load_factor` times the usual request rate.
     pub fn simulate(&mut self, duration_ms: u64, load_factor: f64) {
         let end = self.now + duration_ms;
         while self.now < end {
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -139,13 +139,13 @@
     }
 }
 
-// The only slot is taken for a long time. Guards against callers that are rejected and told to
-// retry shortly: they return during the same peak and have no third attempt. Guards also against
-// giving callers that are rejected together the same time to retry.
+// The only slot is taken for a long time. Guards against telling refused callers to retry
+// shortly: they return during the same peak and have no third attempt. Guards also against giving
+// callers that are refused together the same time to retry.
 #[test]
 fn retry_after_grows_with_the_length_of_a_peak() {
     let mut fixture = Fixture::new(&[("e", 1, USUAL_FACTOR)]);
-    let mut rejections = Vec::new();
+    let mut refusals = Vec::new();
     for at in 0..1_000 {
         let now = Millis(START_MS + at * 10);
         if at % 30 == 0 {
@@ -154,20 +154,20 @@
         let decisions = fixture
             .scheduler
             .decide(now, &fixture.registry, &fixture.peers);
-        rejections.extend(decisions.into_iter().filter_map(|it| match it {
+        refusals.extend(decisions.into_iter().filter_map(|it| match it {
             Decision::Refuse(_, refusal) => Some((now, refusal.retry_after)),
             Decision::Start(..) => None,
         }));
     }
-    let (begin, first) = rejections[0];
-    let (end, last) = rejections[rejections.len() - 1];
+    let (begin, first) = refusals[0];
+    let (end, last) = refusals[refusals.len() - 1];
     assert!(first < Millis(500), "{first}");
     assert!(
         last >= end.since(begin),
         "{last} after {}",
         end.since(begin)
     );
-    let next = rejections[rejections.len() - 2].1;
+    let next = refusals[refusals.len() - 2].1;
     assert!(next.0.abs_diff(last.0) > 400, "{next} and {last}");
 }
 
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -143,9 +143,9 @@
 }
 
 // One organisation sends many times its quota. All instances are killed and restart at once without
-// any state, and receive no reports for 400 ms. Each granted units as if it were alone, and what it
-// granted before the first reports was not counted, so that the organisation got a tenth more than
-// is tolerated.
+// any state, and receive no reports for 400 ms. Guards against instances that grant units as if they
+// were alone, or do not count what they granted before the first reports: the organisation would get
+// a tenth more than is tolerated.
 #[test]
 fn a_restart_of_all_instances_grants_no_units_twice() {
     let mut fleet = Fleet::start(8, 0, 400);
@@ -160,8 +160,8 @@
     );
 }
 
-// A partition splits the instances in halves, and callers reach both. Each side granted the whole
-// quota, so that the organisation got it twice.
+// A partition splits the instances in halves, and callers reach both. Guards against each side
+// granting the whole quota.
 #[test]
 fn both_sides_of_a_partition_share_the_quota() {
     let mut fleet = Fleet::start(6, 0, 0);
@@ -200,7 +200,7 @@
     assert!(core.route(now, request("/safe/x")).is_ok());
 }
 
-// A lower limit is configured while the organisation sends far more than it allows.
+// A lower limit is configured while the organisation requests far more than the new limit.
 #[test]
 fn a_lower_limit_applies_at_once() {
     let mut core = Core::new(identity("i", 1));
@@ -221,15 +221,15 @@
     core.configure(Millis(0), configuration(1, organisation(1_000.0, 1_000.0)));
     for _ in 0..1_000 {
         let Ok(pass) = core.route(Millis(500), request("/safe/x")) else {
-            panic!("rejected although all units were refunded");
+            panic!("request refused although all units were refunded");
         };
         core.refund(&pass);
     }
 }
 
-// One organisation sends many times its quota, in large requests. All instances saw the same few
-// units in the bucket and each granted a whole request at the same moment, so that the organisation
-// got more than is tolerated.
+// One organisation sends many times its quota, in large requests. Guards against instances that see
+// the same few units in the bucket and each grant a whole request at the same moment: the
+// organisation would get more than is tolerated.
 #[test]
 fn instances_do_not_grant_the_same_units_at_the_same_moment() {
     let mut fleet = Fleet::start(11, 0, 0);
@@ -255,8 +255,8 @@
 }
 
 // An operator lowers an organisation's rate but keeps its burst, now worth several seconds of the
-// rate. As most of the limit lay in the burst, steady use within the limit was rejected for as long
-// as it lasted.
+// rate. Guards against refusing steady use within the limit because most of the limit lies in the
+// burst.
 #[test]
 fn steady_use_within_the_limit_is_granted_with_a_large_burst() {
     let (rate, burst) = (40_000.0, 144_000.0);
@@ -273,7 +273,8 @@
     assert!(fleet.max_granted_in_window() <= allowed_units_for(rate, burst));
 }
 
-// The same organisation exceeds its quota, and all instances are killed and restarted meanwhile.
+// An organisation with a large burst exceeds its quota, and all instances are killed and restarted
+// meanwhile.
 #[test]
 fn a_large_burst_is_not_granted_beyond_the_limit() {
     let (rate, burst) = (40_000.0, 144_000.0);
--- a/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/fleet.rs
@@ -123,7 +123,7 @@
     all_arrivals: Vec<u64>,
     // Arrivals at all endpoints with a limit.
     limited_arrivals: Vec<u64>,
-    /// Number of requests that were rejected on arrival.
+    /// Number of requests that were refused on arrival.
     pub refused: u64,
     /// Description of each time the limit was exceeded.
     pub violations: Vec<String>,
--- a/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rate_limits/main.rs
@@ -103,7 +103,7 @@
     }
 }
 
-// Guards against unused tokens while requests are rejected elsewhere.
+// Guards against unused tokens at some endpoints while requests are refused.
 #[test]
 fn limits_of_all_endpoints_are_used_up() {
     for (rate, arrival_rate) in [(1.2, 95.0), (2.5, 95.0), (6.3, 95.0), (2.5, 25.0)] {
--- a/crates/siskinyoke-dispatch/tests/registry.rs
+++ b/crates/siskinyoke-dispatch/tests/registry.rs
@@ -60,7 +60,7 @@
 
 // Leases expire while the store is unavailable for longer than they last, so the first read after
 // the outage finds no entries. Live endpoints register again within two seconds. Guards against
-// dropping the entries at once, which would reject every request until then.
+// dropping the entries at once, which would refuse every request until then.
 #[test]
 fn entries_that_expired_in_an_outage_are_kept_until_they_can_be_renewed() {
     let mut registry = Registry::default();
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -119,7 +119,7 @@
     assert_eq!(roles, [EndpointRole::Serving, EndpointRole::Excluded]);
 }
 
-// A process starts after the outcome was written. In the key order of the store, a rollout's state
+// A process starts after the outcome was written. In the key order of the store, a rollout's status
 // may precede its order.
 #[test]
 fn a_process_started_after_a_rollout_reads_its_outcome_from_the_store() {
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -109,7 +109,7 @@
     pub bad: usize,
     /// Requests that were running on old endpoints when these stopped.
     pub aborted: usize,
-    /// Requests that were rejected.
+    /// Requests that were refused.
     pub refused: usize,
 }
 
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -62,8 +62,8 @@
     assert_eq!(started(&decisions), [late]);
 }
 
-// Endpoints run requests in order of arrival. If the instances together send an endpoint more
-// requests than it has slots, urgent requests wait there behind earlier ones.
+// Endpoints run requests in order of arrival. Guards against sending an endpoint more requests than
+// it has slots: urgent requests would wait there behind earlier ones.
 #[test]
 fn all_instances_together_send_an_endpoint_no_more_requests_than_it_has_slots() {
     let registry = registry(&[("e", 4)]);
@@ -94,8 +94,8 @@
     );
 }
 
-// Two instances have waiting requests when a slot becomes free. The instance with the less urgent
-// request saw the free slot first and took it, and the urgent request kept waiting.
+// Two instances have queued requests when a slot becomes free. Guards against the instance with the
+// less urgent request taking the slot because it sees it first.
 #[test]
 fn a_free_slot_is_left_to_a_more_urgent_request_at_a_peer() {
     let registry = registry(&[("e", 1)]);
@@ -161,9 +161,9 @@
     );
 }
 
-// If requests that can be on time wait behind requests that are already late, all of them are late
-// during a peak. Late requests therefore get only slots that no other request needs, and are refused
-// once half of their time is over, so that their callers can still try elsewhere.
+// Guards against requests that can be on time waiting behind late ones, which makes all of them late
+// in a peak. Late requests get only slots that no other request needs, and are refused once half of
+// their time is over, so that their callers can still try elsewhere.
 #[test]
 fn late_requests_yield_to_those_that_can_be_on_time_and_are_refused_in_the_end() {
     let registry = registry(&[("e", 1)]);
@@ -219,8 +219,8 @@
     assert_eq!(started(&core.decide(Millis(5))), [second]);
 }
 
-// The connection is lost after a non-idempotent request was sent. If it were sent to another
-// endpoint, a booking could be made twice.
+// The connection is lost after a non-idempotent request was sent. Guards against sending it to
+// another endpoint, which could make a booking twice.
 #[test]
 fn a_request_that_may_have_run_is_retried_only_if_it_is_idempotent() {
     for (path, retried) in [("/unsafe/x", false), ("/safe/x", true), ("/stream/x", true)] {
@@ -234,8 +234,8 @@
     }
 }
 
-// The connection to the only endpoint is lost. If the request were queued until its deadline, its
-// caller could not try anything else in time.
+// The connection to the only endpoint is lost. Guards against queueing the request until its
+// deadline, when its caller has no time left to try elsewhere.
 #[test]
 fn a_request_that_no_endpoint_can_serve_any_more_is_refused_at_once() {
     let mut core = core("i", 1);
@@ -287,8 +287,8 @@
     assert_eq!(sent, 2);
 }
 
-// A failing service responds to all requests with errors. Unlimited retries would double the load
-// when the service has the least capacity.
+// A failing service responds to all requests with errors. Guards against unlimited retries, which
+// double the load when the service has the least capacity.
 #[test]
 fn retries_are_limited_to_a_share_of_the_requests() {
     let mut core = core("i", 1_000);
@@ -340,8 +340,8 @@
     assert!(other.admit(Millis(3), &routed, 78).is_ok());
 }
 
-// An endpoint that starts has all its slots free, and is four times slower than the others. If every
-// instance sends its next requests there at once, they wait for seconds.
+// A starting endpoint has all its slots free, and is four times slower than the others. Guards
+// against every instance sending its next requests there at once: they would wait for seconds.
 #[test]
 fn an_endpoint_of_unknown_speed_gets_few_requests_until_its_first_response() {
     let registry = registry(&[("e", 12)]);
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -51,7 +51,7 @@
         let expected = 89 * size / 68;
         assert!(
             actual <= expected + 1 && actual >= expected,
-            "{actual} of {expected}"
+            "{actual} endpoints, {expected} expected"
         );
     }
 }
@@ -67,7 +67,7 @@
         .iter()
         .filter(|(name, shard)| before[*name] != **shard)
         .count();
-    assert!(moved <= 88 / 8, "{moved}");
+    assert!(moved <= 88 / 8, "{moved} endpoints moved");
 }
 
 #[test]
@@ -88,8 +88,8 @@
 }
 
 // A quarter of a large fleet is rejected by the store, and their entries expire while they keep
-// serving. Guards against the others counting a smaller fleet and a larger share of each quota for
-// themselves, which granted a third too much in total.
+// serving. Guards against the others counting a smaller fleet and taking a larger share of each
+// quota, which would grant a third too much in total.
 #[test]
 fn instances_whose_entries_expired_keep_their_fleet_share() {
     let mut core = core("i0", 1);
@@ -134,7 +134,7 @@
         // slots.
         assert!(
             total_slots <= 6 * u32::try_from(count).unwrap() * 3,
-            "{total_slots} for {count}"
+            "{total_slots} slots for {count} endpoints"
         );
     }
 }
@@ -161,8 +161,8 @@
     assert!(core.admit(Millis(0), &pass, 55).is_err());
 }
 
-// Seventy instances that poll the store as often as seven make ten times the calls, and operators
-// pay for each call. If shards poll in turn, a change costs one or two calls.
+// Guards against seventy instances polling the store as often as seven: they make ten times the
+// calls, and operators pay for each call. If shards poll in turn, a change costs one or two calls.
 #[test]
 fn a_large_fleet_calls_the_store_less_often() {
     let timings = |name: &str, count, settle| {
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -21,7 +21,7 @@
 /// How long a request or a response is in transit, including processing by a small instance.
 const NETWORK_DELAY_MS: u64 = 10;
 
-/// The service times at the fast and at the normal endpoint.
+/// The service times at the fast endpoint and at the one of usual speed.
 const FAST_SERVICE_MS: u64 = 100;
 const USUAL_SERVICE_MS: u64 = 200;
 
@@ -54,7 +54,8 @@
         }
     }
 
-    // Starts waiting requests on free slots, and returns them with the times when their responses arrive.
+    // Starts waiting requests on free slots, and returns them with the arrival times of their
+    // responses.
     fn start(&mut self, now: u64) -> Vec<(u64, Ticket)> {
         let mut responses = Vec::new();
         while let Some((at, ticket)) = self.queue.front().copied()
@@ -71,9 +72,9 @@
     }
 }
 
-// A fast and a normal endpoint under full load. The slots of the fast endpoint were idle for a sixth
-// of the time although requests waited for it: the next request was sent only after the previous
-// response had arrived.
+// A fast endpoint and one of usual speed are under full load. Guards against sending the next request only after
+// the previous response has arrived: the slots of the fast endpoint would be idle for a sixth of the
+// time although requests wait for it.
 #[test]
 fn under_full_load_the_slots_of_a_fast_endpoint_are_rarely_idle() {
     let mut scheduler = Scheduler::new("me", "a");
@@ -119,7 +120,10 @@
     }
     let used_percent = engines[0].busy_ms * 100 / (DURATION_MS * u64::from(SLOTS));
     assert!(used_percent >= 92, "{used_percent} % of slot time in use");
-    assert_eq!(engines[1].max_wait, 0, "wait at the normal endpoint");
+    assert_eq!(
+        engines[1].max_wait, 0,
+        "wait at the endpoint of usual speed"
+    );
 }
 
 // A complete response at the speed that the peers reported.
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -40,9 +40,9 @@
         .expect("one of them")
 }
 
-// Guards against followers in a cycle, or behind an instance that does not watch, which would never
-// learn of a change, where some instances cannot reach the store and links fail one way or both
-// ways.
+// Some instances cannot reach the store, and links fail in one or both directions. Guards against
+// followers in a cycle, or behind an instance that does not watch: they would never learn of a
+// change.
 //
 // All states of four instances are checked: each follower receives reports from the instance that
 // it follows, and each chain ends at a watcher, which can reach the store if any instance that the
@@ -107,7 +107,7 @@
 }
 
 // Guards against a shard that keeps an outdated configuration after its only watcher hangs or is
-// refused by the store.
+// rejected by the store.
 #[test]
 fn a_peer_takes_over_from_a_watcher_that_is_unresponsive_or_cut_off_from_the_store() {
     let (mut core, members) = core_with_peers();
@@ -130,8 +130,8 @@
     assert_eq!(core.store_role(Millis(3_000)), StoreRole::Watcher);
 }
 
-// Guards against every instance of a shard that the store refuses retrying: refused calls are paid
-// for too and would outnumber the served ones many times over.
+// The store rejects all instances of a shard. Guards against every one of them retrying: rejected
+// calls are charged too, and would outnumber the served ones many times over.
 #[test]
 fn in_a_shard_that_cannot_reach_the_store_one_instance_keeps_retrying() {
     let (mut core, members) = core_with_peers();
@@ -142,7 +142,7 @@
     core.update_store_availability(Millis(1));
     assert!(!core.store_available());
     assert_eq!(core.store_role(Millis(100)), StoreRole::Follower);
-    // The store may be reachable again for some but not for the first, so the others try
+    // The store may be reachable again for some instances but not for the first, so the others try
     // occasionally.
     for name in &members {
         receive(&mut core, 3_100, name, false);
@@ -201,7 +201,7 @@
     );
 }
 
-// Leases expire during a store outage, and its end shows first in a peer's report. Guards against
+// Leases expire during a store outage, whose end this instance first learns from a peer's report. Guards against
 // dropping every endpoint whose entry expired before it has time to register again.
 #[test]
 fn endpoints_whose_entries_expired_in_a_store_outage_have_time_to_register_again() {
--- a/crates/siskinyoke-gateway/tests/first_read.rs
+++ b/crates/siskinyoke-gateway/tests/first_read.rs
@@ -54,7 +54,7 @@
 }
 
 // Guards against waiting for a lost call: if the first one reaches the store during an outage, the
-// instance would reject every request until that call's time limit, although the store is back.
+// instance would refuse every request until that call's time limit, although the store is back.
 #[test]
 fn a_lost_first_call_is_repeated_on_another_connection() {
     let (result, calls) = with_store(&[None, Some(RESPONSE)], async |address| {
@@ -78,8 +78,8 @@
     assert_eq!(calls, 1);
 }
 
-// The store does not respond within the time limit. Without a bound, the calls of all instances
-// would add up.
+// The store does not respond within the time limit. Guards against an unbounded number of calls,
+// which add up over all instances.
 #[test]
 fn calls_of_one_read_are_bounded() {
     let limit = Millis(2_500);
--- a/crates/siskinyoke-gateway/tests/held.rs
+++ b/crates/siskinyoke-gateway/tests/held.rs
@@ -40,8 +40,8 @@
     Rc::new(Shell::new(interface, settings, identity, log_writer).unwrap())
 }
 
-// Hundreds of queued requests with large bodies, each within its own limit, exhaust the memory of
-// the process, and its crash breaks every request it serves.
+// Guards against hundreds of queued requests with large bodies, each within its own limit, that
+// exhaust the memory of the process: its crash would interrupt every request it serves.
 #[test]
 fn queued_bodies_use_at_most_a_quarter_of_the_memory() {
     let shell = shell();
--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -121,7 +121,7 @@
     );
 }
 
-// An answer takes seconds because the first endpoint did not respond and the request was retried at
+// A response takes seconds because the first endpoint did not respond and the request was retried at
 // another one, which had only the rest of the timeout.
 #[test]
 fn late_after_a_retry() {
--- a/crates/siskinyoke-gateway/tests/whole/main.rs
+++ b/crates/siskinyoke-gateway/tests/whole/main.rs
@@ -52,7 +52,7 @@
     }
 }
 
-// Starts an instance while the store accepts calls but does not answer them.
+// Starts an instance while the store accepts calls but does not respond.
 fn start_setup_with_stalled_store() -> Setup {
     let store = Store::start();
     store.put("op/config", &configuration::text(3, "k1"));
@@ -448,8 +448,8 @@
     assert!(response.ends_with("whole"), "{response}");
 }
 
-// A request arrives at a new instance while the store does not answer. Guards against rejecting it
-// although the store answers a moment later.
+// A request arrives at a new instance while the store does not respond. Guards against refusing
+// it although the store responds a moment later.
 #[test]
 fn a_request_before_the_first_configuration_is_held_and_served_once() {
     let setup = start_setup_with_stalled_store();
@@ -462,7 +462,7 @@
     assert_eq!(requests[0].body, b"body");
 }
 
-// A held request whose route or key turns out to be unknown must be rejected like any other.
+// A held request whose route or key turns out to be unknown must be refused like any other.
 #[test]
 fn a_held_request_is_checked_once_the_configuration_is_known() {
     let setup = start_setup_with_stalled_store();
@@ -490,7 +490,7 @@
     assert_eq!(request_count(&setup), 1);
 }
 
-// The store does not answer for longer than a request is held. Guards against holding the request
+// The store does not respond for longer than a request is held. Guards against holding the request
 // until its caller has no time left for a retry.
 #[test]
 fn a_held_request_is_refused_with_a_retry_after_while_its_caller_still_waits() {
