--- a/crates/siskinyoke-base/src/code.rs
+++ b/crates/siskinyoke-base/src/code.rs
@@ -8,7 +8,7 @@
 /// What a caller may conclude about the execution of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum OutcomeKind {
     /// The request ran and its response is complete.
     Done,
     /// The request has not run on any endpoint and will not run later.
@@ -17,7 +17,7 @@
     Unknown,
 }
 
-impl Kind {
+impl OutcomeKind {
     /// Returns the value of the `Siskinyoke-Kind` header.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -28,7 +28,7 @@
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for OutcomeKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -47,8 +47,8 @@
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
             /// Returns what a caller may conclude from the code. Kinds are assigned here only.
-            pub const fn kind(self) -> Kind {
-                match self { $(Self::$name => Kind::$kind,)* }
+            pub const fn kind(self) -> OutcomeKind {
+                match self { $(Self::$name => OutcomeKind::$kind,)* }
             }
 
             /// Returns the HTTP status of responses with the code.
--- a/crates/siskinyoke-base/src/lib.rs
+++ b/crates/siskinyoke-base/src/lib.rs
@@ -7,6 +7,6 @@
 pub use clock::Clock;
 pub use clock::Millis;
 pub use code::Code;
-pub use code::Kind;
+pub use code::OutcomeKind;
 pub use collections::Map;
 pub use collections::Set;
--- a/crates/siskinyoke-cli/src/caller.rs
+++ b/crates/siskinyoke-cli/src/caller.rs
@@ -7,8 +7,8 @@
 use clap::Args;
 
 use crate::context::Context;
-use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
+use siskinyoke_base::OutcomeKind;
 use siskinyoke_client::ClientError;
 use siskinyoke_client::Outcome;
 use siskinyoke_client::Request;
@@ -104,7 +104,7 @@
         let mut text = String::new();
         io::stdin()
             .read_to_string(&mut text)
-            .map_err(|err| ClientError::Malformed(format!("standard input: {err}")))?;
+            .map_err(|err| ClientError::Input(format!("standard input: {err}")))?;
         Ok(text)
     }
 }
@@ -134,7 +134,7 @@
         outcome.id, outcome.code, outcome.kind, outcome.attempts
     );
     eprintln!("{summary}");
-    if outcome.kind != Kind::Done
+    if outcome.kind != OutcomeKind::Done
         && let Some(after) = outcome.retry_after
     {
         eprintln!("retry after {after}");
--- a/crates/siskinyoke-cli/src/main.rs
+++ b/crates/siskinyoke-cli/src/main.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use clap::Subcommand;
 
-use siskinyoke_base::Kind;
+use siskinyoke_base::OutcomeKind;
 use siskinyoke_cli::caller;
 use siskinyoke_cli::check;
 use siskinyoke_cli::context::Context;
@@ -61,27 +61,27 @@
     let context = &cli.context;
     let out = &mut io::stdout().lock();
     match &cli.command {
-        Command::Locate => exit_code(caller::locate(context).map(|()| Kind::Done)),
+        Command::Locate => exit_code(caller::locate(context).map(|()| OutcomeKind::Done)),
         Command::Send(send) => exit_code(send.run(context).map(|outcome| outcome.kind)),
         Command::Check(check) if check.run(context) => ExitCode::SUCCESS,
         Command::Check(_) => ExitCode::from(EXIT_INVALID),
-        Command::Explain(explain) => exit_code(explain.run(out).map(|()| Kind::Done)),
+        Command::Explain(explain) => exit_code(explain.run(out).map(|()| OutcomeKind::Done)),
         Command::Status(status) => exit_code(status.run(context)),
-        Command::Usage(args) => exit_code(args.run(context.json, out).map(|()| Kind::Done)),
-        Command::Burn(args) => exit_code(args.run(context.json, out).map(|()| Kind::Done)),
+        Command::Usage(args) => exit_code(args.run(context.json, out).map(|()| OutcomeKind::Done)),
+        Command::Burn(args) => exit_code(args.run(context.json, out).map(|()| OutcomeKind::Done)),
         Command::Operate(command) => exit_code(command.run(context).map(|text| {
             // A closed pipe is not an error: its reader needs no further output.
             let _ = writeln!(out, "{text}");
-            Kind::Done
+            OutcomeKind::Done
         })),
     }
 }
 
-fn exit_code(result: Result<Kind, impl std::fmt::Display>) -> ExitCode {
+fn exit_code(result: Result<OutcomeKind, impl std::fmt::Display>) -> ExitCode {
     match result {
-        Ok(Kind::Done) => ExitCode::SUCCESS,
-        Ok(Kind::NotRun) => ExitCode::from(EXIT_REFUSED),
-        Ok(Kind::Unknown) => ExitCode::from(EXIT_UNKNOWN),
+        Ok(OutcomeKind::Done) => ExitCode::SUCCESS,
+        Ok(OutcomeKind::NotRun) => ExitCode::from(EXIT_REFUSED),
+        Ok(OutcomeKind::Unknown) => ExitCode::from(EXIT_UNKNOWN),
         Err(err) => {
             eprintln!("siskinyoke: {err}");
             ExitCode::from(EXIT_REFUSED)
--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -185,14 +185,14 @@
         page.heading("By tier");
         let percentage = |tally: &Tally| tally.within_ratio() * 100.0;
         let caption = "answered within the latency target, %";
-        page.svg(&plot::curves(
+        page.svg(&plot::draw_curves(
             caption,
             &tier_curves(requests, percentage),
             self.objective * 100.0,
         )?);
         let burn_rate = |tally: &Tally| tally.burn_rate(self.objective);
         let caption = "burn rate; 1 uses up the error budget exactly";
-        page.svg(&plot::curves(
+        page.svg(&plot::draw_curves(
             caption,
             &tier_curves(requests, burn_rate),
             1.0,
--- a/crates/siskinyoke-cli/src/report/plot.rs
+++ b/crates/siskinyoke-cli/src/report/plot.rs
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// [`ReportError::Plot`] if the library cannot draw them.
-pub fn curves(caption: &str, curves: &[Curve], reference: f64) -> Result<String, ReportError> {
+pub fn draw_curves(caption: &str, curves: &[Curve], reference: f64) -> Result<String, ReportError> {
     let mut svg = String::new();
     let points = || curves.iter().flat_map(|curve| &curve.points);
     let first = points().map(|point| point.0).fold(-1.0, f64::min);
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// [`ReportError::Plot`] if the library cannot draw them.
-pub fn bars(caption: &str, bars: &[Bar]) -> Result<String, ReportError> {
+pub fn draw_bars(caption: &str, bars: &[Bar]) -> Result<String, ReportError> {
     let mut svg = String::new();
     let length = |bar: &Bar| bar.segments.iter().sum::<f64>();
     let top = bars.iter().map(length).fold(1.0, f64::max) * 1.05;
--- a/crates/siskinyoke-cli/src/report/usage.rs
+++ b/crates/siskinyoke-cli/src/report/usage.rs
@@ -121,7 +121,7 @@
         segments: vec![row.units, row.wasted],
     };
     let bars: Vec<_> = rows.iter().take(MAX_BARS).map(bar).collect();
-    page.svg(&plot::bars(
+    page.svg(&plot::draw_bars(
         "units with (red) and without (green) a complete response",
         &bars,
     )?);
--- a/crates/siskinyoke-cli/src/status.rs
+++ b/crates/siskinyoke-cli/src/status.rs
@@ -9,7 +9,7 @@
 use prometheus_parse::Value;
 
 use crate::context::Context;
-use siskinyoke_base::Kind;
+use siskinyoke_base::OutcomeKind;
 
 /// Prints the state of instances from their metrics pages.
 #[derive(Debug, Args)]
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// A message if no instance responds.
-    pub fn run(&self, context: &Context) -> Result<Kind, String> {
+    pub fn run(&self, context: &Context) -> Result<OutcomeKind, String> {
         let mut reached = 0;
         let mut text = String::new();
         for address in &self.pages {
@@ -50,7 +50,7 @@
                 "no instance responds; hint: pass the addresses of metrics pages".to_owned(),
             );
         }
-        Ok(Kind::Done)
+        Ok(OutcomeKind::Done)
     }
 }
 
--- a/crates/siskinyoke-cli/src/summary.rs
+++ b/crates/siskinyoke-cli/src/summary.rs
@@ -4,15 +4,15 @@
 
 /// Summarises the end of a request in one sentence from its own log records.
 pub fn summarize(records: &[&LogRecord]) -> Option<String> {
-    let last = |event| {
+    let last_record = |event| {
         records
             .iter()
             .rfind(|it| it.str_field("event") == Some(event))
     };
-    if let Some(answer) = last("answer") {
+    if let Some(answer) = last_record("answer") {
         return Some(summarize_answer(answer));
     }
-    last("refusal").map(|record| summarize_refusal(record))
+    last_record("refusal").map(|record| summarize_refusal(record))
 }
 
 fn summarize_answer(record: &LogRecord) -> String {
@@ -22,20 +22,20 @@
         "streamed" | "answered" => summarize_latency(record, total_ms),
         "cut" => format!(
             "the response was cut off after {total_ms} ms{}",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
         "no_answer" => format!(
             "no response after {total_ms} ms{}; the request may have run",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
         "endpoint_failed" => format!(
             "failed by the endpoint after {total_ms} ms{}",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
-        "late" => format!("timed out after {total_ms} ms{}", at_endpoint(record)),
+        "late" => format!("timed out after {total_ms} ms{}", endpoint_suffix(record)),
         "caller_left" => format!(
             "cancelled by the caller after {total_ms} ms{}",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
         reason => format!("refused after {total_ms} ms ({reason}); the request has not run"),
     }
@@ -47,7 +47,7 @@
     let breakdown = format!(
         "{waited_ms} ms waiting at the instance, {} ms{}",
         first_ms.saturating_sub(waited_ms),
-        at_endpoint(record)
+        endpoint_suffix(record)
     );
     if let Some(target) = record
         .u64_field("aim_ms")
@@ -62,7 +62,7 @@
     if let Some(target) = gap_target {
         return format!(
             "late: a gap of {pause} ms between two parts, target {target} ms{}",
-            at_endpoint(record)
+            endpoint_suffix(record)
         );
     }
     format!("in time: {first_ms} ms to the first part ({breakdown})")
@@ -78,7 +78,7 @@
     )
 }
 
-fn at_endpoint(record: &LogRecord) -> String {
+fn endpoint_suffix(record: &LogRecord) -> String {
     record
         .str_field("endpoint")
         .map_or(String::new(), |endpoint| format!(" at {endpoint}"))
--- a/crates/siskinyoke-client/src/attempt.rs
+++ b/crates/siskinyoke-client/src/attempt.rs
@@ -6,7 +6,7 @@
 
 use crate::Outcome;
 use crate::Request;
-use siskinyoke_base::Kind;
+use siskinyoke_base::OutcomeKind;
 
 /// Length of a generated request ID: about 120 bits, so that collisions are negligible.
 const ID_LENGTH: usize = 20;
@@ -72,7 +72,7 @@
         Outcome {
             status: 0,
             code: 0,
-            kind: Kind::Unknown,
+            kind: OutcomeKind::Unknown,
             body: Vec::new(),
             retry_after: None,
             id: self.id.to_owned(),
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -16,8 +16,8 @@
 use crate::attempt::Attempt;
 use crate::attempt::AttemptError;
 use crate::attempt::generate_id;
-use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
+use siskinyoke_base::OutcomeKind;
 
 /// The data of the event that ends a complete stream.
 const STREAM_TERMINATOR: &str = "[DONE]";
@@ -76,7 +76,7 @@
         }
         let mut errors = Vec::new();
         for address in self.candidate_addresses() {
-            match self.locate_at(&address) {
+            match self.fetch_location(&address) {
                 Ok(location) => {
                     self.cached_location = Some((location.clone(), Instant::now()));
                     return Ok(location);
@@ -103,7 +103,7 @@
         sink: &mut dyn FnMut(&str),
     ) -> Result<Outcome, ClientError> {
         let id = request.id.clone().unwrap_or_else(generate_id);
-        let mut delivered = 0;
+        let mut delivered_count = 0;
         let mut last_error = String::new();
         for index in 0..self.settings.max_attempts {
             let location = self.locate()?;
@@ -118,7 +118,7 @@
                 id: &id,
                 index,
             };
-            let outcome = match self.send_once(address, &attempt, &mut delivered, sink) {
+            let outcome = match self.send_once(address, &attempt, &mut delivered_count, sink) {
                 Ok(outcome) => outcome,
                 Err(AttemptError::NotSent(detail)) => {
                     last_error = format!("{address}: {detail}");
@@ -133,9 +133,9 @@
             };
             let is_last = index + 1 == self.settings.max_attempts;
             let retry = match outcome.kind {
-                Kind::Done => false,
-                Kind::NotRun => is_retryable(outcome.status),
-                Kind::Unknown => request.idempotent,
+                OutcomeKind::Done => false,
+                OutcomeKind::NotRun => is_retryable(outcome.status),
+                OutcomeKind::Unknown => request.idempotent,
             };
             let delay = outcome.retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
             if !retry || is_last || delay > self.settings.max_delay {
@@ -162,7 +162,7 @@
         addresses
     }
 
-    fn locate_at(&self, address: &str) -> Result<Location, String> {
+    fn fetch_location(&self, address: &str) -> Result<Location, String> {
         let url = format!("http://{address}/v1/locate");
         let response = self.agent.get(&url).call();
         let mut response = response.map_err(|err| err.to_string())?;
@@ -180,7 +180,7 @@
         &self,
         address: &str,
         attempt: &Attempt<'_>,
-        delivered: &mut usize,
+        delivered_count: &mut usize,
         sink: &mut dyn FnMut(&str),
     ) -> Result<Outcome, AttemptError> {
         let request = attempt
@@ -203,7 +203,7 @@
             attempts: attempt.index + 1,
         };
         if is_stream {
-            read_stream(response, &mut outcome, delivered, sink)
+            read_stream(response, &mut outcome, delivered_count, sink)
                 .map_err(AttemptError::ResponseLost)?;
         } else {
             let text = response
@@ -220,7 +220,7 @@
 fn read_stream(
     response: http::Response<Body>,
     outcome: &mut Outcome,
-    delivered: &mut usize,
+    delivered_count: &mut usize,
     sink: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     for event in Events::new(response.into_body().into_reader()) {
@@ -234,11 +234,11 @@
         }
         if event.data == STREAM_TERMINATOR {
             outcome.code = siskinyoke_base::Code::Complete.number();
-            outcome.kind = Kind::Done;
+            outcome.kind = OutcomeKind::Done;
             return Ok(());
         }
-        if outcome.body.len() >= *delivered {
-            *delivered += 1;
+        if outcome.body.len() >= *delivered_count {
+            *delivered_count += 1;
             sink(&event.data);
         }
         outcome.body.push(event.data);
@@ -254,11 +254,11 @@
 }
 
 /// Parses a kind. A request whose response has none may have run.
-fn parse_kind(text: Option<&str>) -> Kind {
+fn parse_kind(text: Option<&str>) -> OutcomeKind {
     match text {
-        Some("done") => Kind::Done,
-        Some("not-run") => Kind::NotRun,
-        _ => Kind::Unknown,
+        Some("done") => OutcomeKind::Done,
+        Some("not-run") => OutcomeKind::NotRun,
+        _ => OutcomeKind::Unknown,
     }
 }
 
--- a/crates/siskinyoke-client/src/error.rs
+++ b/crates/siskinyoke-client/src/error.rs
@@ -11,7 +11,7 @@
             display("no address responds: {detail}; hint: pass other addresses with --address")
         }
         /// An input or a response cannot be read.
-        Malformed(detail: String) {
+        Input(detail: String) {
             display("cannot read input or response: {detail}")
         }
     }
--- a/crates/siskinyoke-client/src/outcome.rs
+++ b/crates/siskinyoke-client/src/outcome.rs
@@ -2,8 +2,8 @@
 
 use serde::Serialize;
 
-use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
+use siskinyoke_base::OutcomeKind;
 
 /// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -13,7 +13,7 @@
     /// The number of the result code, or 0 if no response of siskinyoke was received.
     pub code: u16,
     /// What may be concluded about the execution of the request.
-    pub kind: Kind,
+    pub kind: OutcomeKind,
     /// The body, or the data of all events of a stream except the terminator.
     pub body: Vec<String>,
     /// The delay before a retry that a refusal asks for.
--- a/crates/siskinyoke-gateway/tests/soak.rs
+++ b/crates/siskinyoke-gateway/tests/soak.rs
@@ -31,7 +31,7 @@
         let verdict = run::run_seed(seed, program, size);
         println!(
             "seed {seed}: {} requests served, {} not served, {} rollout states",
-            verdict.served, verdict.unserved, verdict.rollout_states
+            verdict.served, verdict.unserved, verdict.rollout_statuses
         );
         assert!(verdict.served > 0, "seed {seed}: no request was served");
         violations.extend(
--- a/crates/siskinyoke-standin/src/trial.rs
+++ b/crates/siskinyoke-standin/src/trial.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 use crate::fleet::MODEL_NAME;
 use crate::fleet::SERVICE_NAME;
-use siskinyoke_base::Kind;
+use siskinyoke_base::OutcomeKind;
 use siskinyoke_client::Client;
 use siskinyoke_client::Request;
 
@@ -72,7 +72,7 @@
                 ""
             };
             println!("{body}\n  code {} ({})", outcome.code, outcome.kind);
-            outcome.kind == Kind::Done
+            outcome.kind == OutcomeKind::Done
         }
         Err(err) => {
             println!("  {err}");
--- a/crates/siskinyoke-standin/tests/fleet.rs
+++ b/crates/siskinyoke-standin/tests/fleet.rs
@@ -9,8 +9,8 @@
 use ureq::http::Response;
 
 use siskinyoke_base::Code;
-use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
+use siskinyoke_base::OutcomeKind;
 use siskinyoke_client::Outcome;
 use siskinyoke_client::Request;
 use siskinyoke_standin::completion::Completion;
@@ -97,7 +97,7 @@
         let outcome = client
             .send(&chat_request(&text), &mut |_| {})
             .expect("a response");
-        assert_eq!(outcome.kind, Kind::Done);
+        assert_eq!(outcome.kind, OutcomeKind::Done);
         assert_eq!(
             completion_text(&outcome),
             Completion::generate(&text, Some(12)).text()
@@ -109,7 +109,10 @@
         .replace("\"stream\":true", "\"stream\":false")
         .into_bytes();
     let unstreamed = send(&fleet, &request);
-    assert_eq!((unstreamed.kind, unstreamed.code), (Kind::Done, 1000));
+    assert_eq!(
+        (unstreamed.kind, unstreamed.code),
+        (OutcomeKind::Done, 1000)
+    );
     let response: Value = serde_json::from_str(&unstreamed.body[0]).unwrap();
     let content = &response["choices"][0]["message"]["content"];
     assert_eq!(
@@ -180,11 +183,11 @@
         .collect();
     for (number, outcome) in outcomes.iter().enumerate() {
         let expected = Completion::generate(&format!("composition {number}"), Some(12)).text();
-        if outcome.kind == Kind::Done {
+        if outcome.kind == OutcomeKind::Done {
             assert_eq!(completion_text(outcome), expected);
         }
     }
-    assert_eq!(outcomes.last().unwrap().kind, Kind::Done);
+    assert_eq!(outcomes.last().unwrap().kind, OutcomeKind::Done);
 }
 
 // A booking is executed, and the connection breaks before the confirmation. Guards against a second
@@ -201,7 +204,7 @@
         ..booking_request()
     };
     let outcome = send(&fleet, &request);
-    assert_eq!((outcome.kind, outcome.attempts), (Kind::Unknown, 1));
+    assert_eq!((outcome.kind, outcome.attempts), (OutcomeKind::Unknown, 1));
     assert_eq!(outcome.code, Code::Broken.number());
     assert_eq!(fleet.service.executions()["seat-4"], 1);
 }
@@ -209,7 +212,7 @@
 #[test]
 fn a_preset_closes_a_tier_and_opens_it_again() {
     let fleet = Fleet::start(2).expect("a fleet");
-    assert_eq!(send(&fleet, &booking_request()).kind, Kind::Done);
+    assert_eq!(send(&fleet, &booking_request()).kind, OutcomeKind::Done);
     edit_configuration(&fleet, r#""revision": 1"#, r#""revision": 2"#);
     edit_configuration(&fleet, r#""preset": "ordinary""#, r#""preset": "peak""#);
     edit_configuration(&fleet, r#""revision": 2"#, r#""revision": 3"#);
@@ -219,7 +222,10 @@
     });
     let rejected = post(&fleet, path, API_KEY, "");
     assert_eq!(rejected.headers()["retry-after"], "1");
-    assert_eq!(send(&fleet, &chat_request("still marked")).kind, Kind::Done);
+    assert_eq!(
+        send(&fleet, &chat_request("still marked")).kind,
+        OutcomeKind::Done
+    );
     edit_configuration(&fleet, r#""preset": "peak""#, r#""preset": "ordinary""#);
     edit_configuration(&fleet, r#""revision": 3"#, r#""revision": 4"#);
     wait_until("open", || post(&fleet, path, API_KEY, "").status() == 200);
@@ -254,7 +260,10 @@
         ..EtcdControl::default()
     });
     for _ in 0..10 {
-        assert_eq!(send(&fleet, &chat_request("in an outage")).kind, Kind::Done);
+        assert_eq!(
+            send(&fleet, &chat_request("in an outage")).kind,
+            OutcomeKind::Done
+        );
         thread::sleep(Duration::from_millis(200));
     }
     edit_configuration(&fleet, r#""preset": "ordinary""#, r#""preset": "peak""#);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -75,7 +75,7 @@
     /// How many requests got any other response, or none.
     pub unserved: usize,
     /// How many rollout states were written to the store.
-    pub rollout_states: usize,
+    pub rollout_statuses: usize,
     /// A description of each violated guarantee.
     pub violations: Vec<String>,
 }
@@ -119,12 +119,12 @@
         }
     }
     violations.extend(checker.violations(&fleet.endpoints));
-    violations.extend(check_rollout_states(&fleet.store.rollout_states()));
+    violations.extend(check_rollout_statuses(&fleet.store.rollout_statuses()));
     let (served, unserved) = checker.result_counts();
     RunReport {
         served,
         unserved,
-        rollout_states: fleet.store.rollout_states().len(),
+        rollout_statuses: fleet.store.rollout_statuses().len(),
         violations,
     }
 }
@@ -307,9 +307,9 @@
 }
 
 // Checks that the state of a rollout order does not change after it is completed or rolled back.
-fn check_rollout_states(rollout_states: &[(u64, String)]) -> Vec<String> {
+fn check_rollout_statuses(rollout_statuses: &[(u64, String)]) -> Vec<String> {
     let mut violations = Vec::new();
-    for pair in rollout_states.windows(2) {
+    for pair in rollout_statuses.windows(2) {
         let [(order, first), (next_order, second)] = pair else {
             continue;
         };
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -36,7 +36,7 @@
     // Changes up to this revision are no longer available to watch calls.
     compacted_revision: u64,
     // All rollout states written, each with the revision of its order, or 0 if there was none.
-    rollout_states: Vec<(u64, String)>,
+    rollout_statuses: Vec<(u64, String)>,
 }
 
 /// An in-memory stand-in for the platform's store.
@@ -62,7 +62,7 @@
             revision: 10,
             availability: Availability::Available,
             compacted_revision: 0,
-            rollout_states: Vec::new(),
+            rollout_statuses: Vec::new(),
         };
         let store = Self {
             shared: Arc::new((Mutex::new(state), Condvar::new())),
@@ -146,8 +146,8 @@
     /// # Panics
     ///
     /// If one of its threads has panicked.
-    pub fn rollout_states(&self) -> Vec<(u64, String)> {
-        self.shared.0.lock().unwrap().rollout_states.clone()
+    pub fn rollout_statuses(&self) -> Vec<(u64, String)> {
+        self.shared.0.lock().unwrap().rollout_statuses.clone()
     }
 
     /// Returns the keys with a prefix.
@@ -269,7 +269,8 @@
             let order = self.items.get(&format!("op/rollout/{service}"));
             let text = STANDARD.decode(value).unwrap();
             let text = String::from_utf8(text).unwrap();
-            self.rollout_states.push((order.map_or(0, |it| it.0), text));
+            self.rollout_statuses
+                .push((order.map_or(0, |it| it.0), text));
         }
         self.items
             .insert(key.to_owned(), (self.revision, value.to_owned()));
