--- a/crates/siskinyoke-cli/src/check.rs
+++ b/crates/siskinyoke-cli/src/check.rs
@@ -24,9 +24,7 @@
         let (kind, error) = match self.read_text() {
             Err(err) => ("file", Some(err.to_string())),
             // Only a configuration has the field `routes`.
-            Ok(text) if text.contains("\"routes\"") => {
-                ("configuration", configuration_error(&text))
-            }
+            Ok(text) if text.contains("\"routes\"") => ("configuration", config_error(&text)),
             Ok(text) => ("settings", settings_error(&text)),
         };
         if context.json {
@@ -55,7 +53,7 @@
 }
 
 // Validates every preset, as any of them may be put in force later.
-fn configuration_error(text: &str) -> Option<String> {
+fn config_error(text: &str) -> Option<String> {
     let document = match Document::parse(text.as_bytes()) {
         Ok(document) => document,
         Err(err) => return Some(err.to_string()),
