--- a/crates/siskinyoke-gateway/tests/soak.rs
+++ b/crates/siskinyoke-gateway/tests/soak.rs
@@ -31,7 +31,7 @@
         let report = run::run_seed(seed, program, size);
         println!(
             "seed {seed}: {} requests served, {} not served, {} rollout states",
-            report.served, report.unserved, report.rollout_states
+            report.served, report.unserved, report.rollout_statuses
         );
         assert!(report.served > 0, "seed {seed}: no request was served");
         violations.extend(
