--- a/crates/siskinyoke-dispatch/tests/following/main.rs
+++ b/crates/siskinyoke-dispatch/tests/following/main.rs
@@ -14,9 +14,9 @@
 /// How long calls are counted.
 const DURATION_S: u64 = 30;
 
-// Several watchers in a row freeze, die, are rejected by the store or get no response from it. Guards
-// against a healthy instance with a reporting peer applying a change later than the promised three
-// seconds.
+// Several watchers in a row freeze, die, are rejected by the store or get no response from it.
+// Guards against a healthy instance with a reporting peer applying a change later than the promised
+// three seconds.
 #[test]
 fn changes_reach_every_healthy_instance_in_time() {
     for seed in seeds(0..8) {
--- a/crates/siskinyoke-dispatch/tests/histories/main.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/main.rs
@@ -29,8 +29,8 @@
 }
 
 // Guards against a request that crashes every endpoint that runs it. Its callers keep sending it to
-// random instances, and each crash aborts the other requests on the endpoint. Unless instances report
-// the crashes to each other, this never stops.
+// random instances, and each crash aborts the other requests on the endpoint. Unless instances
+// report the crashes to each other, this never stops.
 #[test]
 fn histories_with_a_poison_request_keep_the_guarantees() {
     check_histories(0..150, Scenario::PoisonRequest);
--- a/crates/siskinyoke-dispatch/tests/load/main.rs
+++ b/crates/siskinyoke-dispatch/tests/load/main.rs
@@ -103,7 +103,8 @@
 }
 
 // Guards against first-come-first-served queueing of drafts in a peak: every draft that is served
-// is late and delays the next one, while slots that become free meanwhile go to the lowest priority.
+// is late and delays the next one, while slots that become free meanwhile go to the lowest
+// priority.
 #[test]
 fn in_a_peak_the_highest_priority_is_served_in_time_first() {
     for seed in 0..4 {
@@ -120,8 +121,8 @@
     }
 }
 
-// Serving short requests first serves more callers. Guards against starving long drafts in a peak by
-// this order.
+// Serving short requests first serves more callers. Guards against starving long drafts in a peak
+// by this order.
 #[test]
 fn long_requests_are_not_starved_in_a_peak() {
     for seed in 0..4 {
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -143,9 +143,9 @@
 }
 
 // One organisation sends many times its quota. All instances are killed and restart at once without
-// any state, and receive no reports for 400 ms. Guards against instances that grant units as if they
-// were alone, or do not count what they granted before the first reports: the organisation would get
-// a tenth more than is tolerated.
+// any state, and receive no reports for 400 ms. Guards against instances that grant units as if
+// they were alone, or do not count what they granted before the first reports: the organisation
+// would get a tenth more than is tolerated.
 #[test]
 fn a_restart_of_all_instances_grants_no_units_twice() {
     let mut fleet = Fleet::start(8, 0, 400);
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -161,9 +161,9 @@
     );
 }
 
-// Guards against requests that can be on time waiting behind late ones, which makes all of them late
-// in a peak. Late requests get only slots that no other request needs, and are refused once half of
-// their time is over, so that their callers can still try elsewhere.
+// Guards against requests that can be on time waiting behind late ones, which makes all of them
+// late in a peak. Late requests get only slots that no other request needs, and are refused once
+// half of their time is over, so that their callers can still try elsewhere.
 #[test]
 fn late_requests_yield_to_those_that_can_be_on_time_and_are_refused_in_the_end() {
     let registry = registry(&[("e", 1)]);
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -72,9 +72,9 @@
     }
 }
 
-// A fast endpoint and one of usual speed are under full load. Guards against sending the next request only after
-// the previous response has arrived: the slots of the fast endpoint would be idle for a sixth of the
-// time although requests wait for it.
+// A fast endpoint and one of usual speed are under full load. Guards against sending the next
+// request only after the previous response has arrived: the slots of the fast endpoint would be
+// idle for a sixth of the time although requests wait for it.
 #[test]
 fn under_full_load_the_slots_of_a_fast_endpoint_are_rarely_idle() {
     let mut scheduler = Scheduler::new("me", "a");
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -201,8 +201,8 @@
     );
 }
 
-// Leases expire during a store outage, whose end this instance first learns from a peer's report. Guards against
-// dropping every endpoint whose entry expired before it has time to register again.
+// Leases expire during a store outage, whose end this instance first learns from a peer's report.
+// Guards against dropping every endpoint whose entry expired before it has time to register again.
 #[test]
 fn endpoints_whose_entries_expired_in_a_store_outage_have_time_to_register_again() {
     let (mut core, members) = core_with_peers();
--- a/crates/siskinyoke-gateway/tests/soak.rs
+++ b/crates/siskinyoke-gateway/tests/soak.rs
@@ -1,5 +1,5 @@
-//! Randomized soak tests: seeds 0 and 1 in a fleet of one shard, seed 0 in a fleet of two shards, or
-//! the seeds given by `SEEDS=FROM..TO`.
+//! Randomized soak tests: seeds 0 and 1 in a fleet of one shard, seed 0 in a fleet of two shards,
+//! or the seeds given by `SEEDS=FROM..TO`.
 
 use std::ops::Range;
 use std::path::Path;
--- a/crates/siskinyoke-gateway/tests/walks.rs
+++ b/crates/siskinyoke-gateway/tests/walks.rs
@@ -121,8 +121,8 @@
     );
 }
 
-// A response takes seconds because the first endpoint did not respond and the request was retried at
-// another one, which had only the rest of the timeout.
+// A response takes seconds because the first endpoint did not respond and the request was retried
+// at another one, which had only the rest of the timeout.
 #[test]
 fn late_after_a_retry() {
     let fleet = Fleet::start(&configuration::text(7, "k1"));
