--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -139,8 +139,8 @@
             calls: 0,
             violations: Vec::new(),
         };
-        for at in 0..size {
-            let node = fleet.start(at);
+        for index in 0..size {
+            let node = fleet.start(index);
             fleet.nodes.push(node);
         }
         fleet
@@ -160,20 +160,20 @@
                 self.revision_times.push(self.now);
             }
             self.deliver_reports();
-            for at in 0..self.nodes.len() {
-                if self.nodes[at].frozen_until <= self.now {
-                    self.step(at);
+            for index in 0..self.nodes.len() {
+                if self.nodes[index].frozen_until <= self.now {
+                    self.step(index);
                 }
             }
             self.check_revisions();
         }
     }
 
-    fn start(&mut self, at: usize) -> Node {
+    fn start(&mut self, index: usize) -> Node {
         let mut renewal_due = self.now + self.rng.random_range(0..1_000);
         renewal_due -= renewal_due % STEP_MS;
         Node {
-            core: Core::new(identity(&format!("i{at}"), self.rng.random())),
+            core: Core::new(identity(&format!("i{index}"), self.rng.random())),
             frozen_until: self.now + self.rng.random_range(0..30) / STEP_MS * STEP_MS,
             store_state: (StoreState::Healthy, 0),
             healthy_since: self.now,
@@ -194,14 +194,14 @@
 
     fn inject_faults(&mut self) {
         let count = self.nodes.len();
-        let at = self.rng.random_range(0..count);
+        let index = self.rng.random_range(0..count);
         let until = self.now + self.rng.random_range(300..6_000);
         if self.rng.random_bool(0.01) {
-            self.nodes[at].frozen_until = self.nodes[at].frozen_until.max(until);
-            self.nodes[at].healthy_since = self.nodes[at].healthy_since.max(until);
+            self.nodes[index].frozen_until = self.nodes[index].frozen_until.max(until);
+            self.nodes[index].healthy_since = self.nodes[index].healthy_since.max(until);
         }
         if self.rng.random_bool(0.005) {
-            self.nodes[at] = self.start(at);
+            self.nodes[index] = self.start(index);
         }
         if self.rng.random_bool(0.02) {
             let state = if self.rng.random() {
@@ -209,13 +209,13 @@
             } else {
                 StoreState::Unresponsive
             };
-            self.nodes[at].store_state = (state, until.max(self.nodes[at].store_state.1));
-            self.nodes[at].healthy_since = self.nodes[at].healthy_since.max(until);
+            self.nodes[index].store_state = (state, until.max(self.nodes[index].store_state.1));
+            self.nodes[index].healthy_since = self.nodes[index].healthy_since.max(until);
         }
         if self.rng.random_bool(0.03) {
             let other = self.rng.random_range(0..count);
-            self.cut_links.insert((at, other), until);
-            for node in [at, other] {
+            self.cut_links.insert((index, other), until);
+            for node in [index, other] {
                 self.nodes[node].healthy_since = self.nodes[node].healthy_since.max(until);
             }
         }
@@ -245,78 +245,78 @@
             .is_some_and(|until| *until > self.now)
     }
 
-    fn store_state(&self, at: usize) -> StoreState {
-        let states = [self.store_outage, self.nodes[at].store_state];
+    fn store_state(&self, index: usize) -> StoreState {
+        let states = [self.store_outage, self.nodes[index].store_state];
         let active = states.iter().find(|it| it.1 > self.now);
         active.map_or(StoreState::Healthy, |it| it.0)
     }
 
-    fn step(&mut self, at: usize) {
+    fn step(&mut self, index: usize) {
         let now = Millis(self.now);
         if self.now.is_multiple_of(200) {
-            self.nodes[at].core.sweep(now);
-            self.nodes[at].core.update_store_availability(now);
+            self.nodes[index].core.sweep(now);
+            self.nodes[index].core.update_store_availability(now);
         }
-        self.step_renewal(at);
-        self.step_fetch(at);
-        self.step_watch(at);
-        if (self.now + 10 * at as u64).is_multiple_of(REPORT_INTERVAL_MS) {
-            self.send_reports(at);
+        self.step_renewal(index);
+        self.step_fetch(index);
+        self.step_watch(index);
+        if (self.now + 10 * index as u64).is_multiple_of(REPORT_INTERVAL_MS) {
+            self.send_reports(index);
         }
     }
 
     // Renews the lease; a failed renewal counts as a failed store call.
-    fn step_renewal(&mut self, at: usize) {
-        if self.nodes[at]
+    fn step_renewal(&mut self, index: usize) {
+        if self.nodes[index]
             .renewal_timeout
             .is_some_and(|due| due <= self.now)
         {
-            return self.renewal_failed(at);
+            return self.renewal_failed(index);
         }
-        if self.nodes[at].renewal_due > self.now {
+        if self.nodes[index].renewal_due > self.now {
             return;
         }
-        match self.store_state(at) {
+        match self.store_state(index) {
             StoreState::Healthy => {
-                let node = &mut self.nodes[at];
+                let node = &mut self.nodes[index];
                 node.core.store_call_succeeded();
                 node.renewal_backoff = 1_000;
                 let watching = node.watch.is_some();
                 node.renewal_due = self.now + if watching { 1_000 } else { 4_000 };
             }
-            StoreState::Rejecting => self.renewal_failed(at),
+            StoreState::Rejecting => self.renewal_failed(index),
             StoreState::Unresponsive => {
-                let node = &mut self.nodes[at];
+                let node = &mut self.nodes[index];
                 node.renewal_timeout = Some(self.now + STORE_TIMEOUT_MS);
                 node.renewal_due = u64::MAX;
             }
         }
     }
 
-    fn renewal_failed(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
+    fn renewal_failed(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         node.renewal_timeout = None;
         node.core.store_call_failed(Millis(self.now));
         node.renewal_due = self.now + node.renewal_backoff;
         node.renewal_backoff = (node.renewal_backoff * 2).min(4_000);
         if node.watch.is_some() {
-            self.watch_failed(at);
+            self.watch_failed(index);
         }
     }
 
-    fn step_fetch(&mut self, at: usize) {
-        let Some((due, from)) = self.nodes[at].fetch else {
+    fn step_fetch(&mut self, index: usize) {
+        let Some((due, from)) = self.nodes[index].fetch else {
             return;
         };
         if due > self.now {
             return;
         }
         let unreachable = self.nodes[from].frozen_until > self.now
-            || self.is_cut(at, from)
-            || self.is_cut(from, at);
+            || self.is_cut(index, from)
+            || self.is_cut(from, index);
         if unreachable {
             if self.now >= due + PEER_TIMEOUT_MS {
-                let node = &mut self.nodes[at];
+                let node = &mut self.nodes[index];
                 node.fetch = None;
                 node.failed_fetch = Some((from, self.now));
                 if node.watch.is_none() {
@@ -326,49 +326,49 @@
             return;
         }
         let revision = self.nodes[from].core.store_revision();
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         node.fetch = None;
         node.core
             .apply_updates(Millis(self.now), revision, Vec::new());
     }
 
-    fn step_watch(&mut self, at: usize) {
-        if self.nodes[at].watch_due > self.now {
+    fn step_watch(&mut self, index: usize) {
+        if self.nodes[index].watch_due > self.now {
             return;
         }
-        if let Some(watch) = self.nodes[at].watch {
-            return self.poll_watch(at, watch);
+        if let Some(watch) = self.nodes[index].watch {
+            return self.poll_watch(index, watch);
         }
-        if self.nodes[at].core.store_role(Millis(self.now)) == StoreRole::Follower {
-            self.nodes[at].watch_due = self.now + 200;
+        if self.nodes[index].core.store_role(Millis(self.now)) == StoreRole::Follower {
+            self.nodes[index].watch_due = self.now + 200;
             return;
         }
         // The first read is not a watch.
-        self.calls += u64::from(self.nodes[at].core.store_revision() > 0);
-        if self.store_state(at) == StoreState::Rejecting {
-            return self.watch_failed(at);
+        self.calls += u64::from(self.nodes[index].core.store_revision() > 0);
+        if self.store_state(index) == StoreState::Rejecting {
+            return self.watch_failed(index);
         }
         let watch = Watch {
             started: self.now,
-            timeout: self.nodes[at].core.watch_timeout().0,
+            timeout: self.nodes[index].core.watch_timeout().0,
             lost: false,
         };
-        self.poll_watch(at, watch);
+        self.poll_watch(index, watch);
     }
 
-    fn poll_watch(&mut self, at: usize, mut watch: Watch) {
-        watch.lost |= self.store_state(at) == StoreState::Unresponsive;
-        self.nodes[at].watch = Some(watch);
-        if watch.lost || self.store_state(at) == StoreState::Rejecting {
+    fn poll_watch(&mut self, index: usize, mut watch: Watch) {
+        watch.lost |= self.store_state(index) == StoreState::Unresponsive;
+        self.nodes[index].watch = Some(watch);
+        if watch.lost || self.store_state(index) == StoreState::Rejecting {
             if self.now >= watch.started + watch.timeout + WATCH_MARGIN_MS {
-                self.watch_failed(at);
+                self.watch_failed(index);
             }
             return;
         }
         let revision = self.revision();
-        let first = self.nodes[at].core.store_revision() == 0;
+        let first = self.nodes[index].core.store_revision() == 0;
         let count = if first { self.nodes.len() } else { 0 };
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         let changed = revision > node.core.store_revision();
         if !changed && self.now < watch.started + watch.timeout {
             return;
@@ -387,18 +387,18 @@
         }
     }
 
-    fn watch_failed(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
+    fn watch_failed(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         node.watch = None;
         node.core.store_call_failed(Millis(self.now));
         node.watch_due = self.now + node.watch_backoff;
         node.watch_backoff = (node.watch_backoff * 2).min(500);
     }
 
-    fn send_reports(&mut self, at: usize) {
-        let full = (self.now + 10 * at as u64).is_multiple_of(FULL_REPORT_INTERVAL_MS);
-        let report = self.nodes[at].core.next_report(Millis(self.now), full);
-        let listed = self.nodes[at].core.other_instances();
+    fn send_reports(&mut self, index: usize) {
+        let full = (self.now + 10 * index as u64).is_multiple_of(FULL_REPORT_INTERVAL_MS);
+        let report = self.nodes[index].core.next_report(Millis(self.now), full);
+        let listed = self.nodes[index].core.other_instances();
         let (shard_peers, others): (Vec<_>, Vec<_>) = listed.partition(|row| row.1);
         let shard_peers: Vec<usize> = shard_peers
             .iter()
@@ -414,14 +414,14 @@
             .collect();
         for to in to {
             let lost = self.faults == Faults::Mixed && self.rng.random_bool(0.05);
-            if lost || self.is_cut(at, to) {
+            if lost || self.is_cut(index, to) {
                 continue;
             }
             let due = self.now + self.rng.random_range(1..30);
             let report = report.clone();
             self.in_flight.push(InFlightReport {
                 due,
-                from: at,
+                from: index,
                 to,
                 report,
             });
@@ -459,14 +459,14 @@
         let expected = self
             .revision_times
             .iter()
-            .filter(|at| **at <= written_before)
+            .filter(|written| **written <= written_before)
             .count() as u64
             - 1;
-        for (at, node) in self.nodes.iter().enumerate() {
+        for (index, node) in self.nodes.iter().enumerate() {
             let healthy = self.now >= node.healthy_since + HEALTHY_PERIOD_MS[size];
             if healthy && node.core.store_revision() < expected && self.violations.len() < 5 {
                 let text = format!(
-                    "{} ms: i{at} is at revision {} of {expected}, watcher {}",
+                    "{} ms: i{index} is at revision {} of {expected}, watcher {}",
                     self.now,
                     node.core.store_revision(),
                     node.core.watcher(Millis(self.now)),
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -256,12 +256,12 @@
 
     fn inject_faults(&mut self) {
         if self.rng.random_bool(0.002) {
-            let at = self.random_index(INSTANCE_COUNT);
-            self.restart_instance(at);
+            let index = self.random_index(INSTANCE_COUNT);
+            self.restart_instance(index);
         }
         if self.rng.random_bool(0.003) {
-            let at = self.random_index(ENDPOINT_COUNT);
-            self.crash_endpoint(at);
+            let index = self.random_index(ENDPOINT_COUNT);
+            self.crash_endpoint(index);
         }
         if self.rng.random_bool(0.003) {
             let until = self.now + self.rng.random_range(100..3_000);
@@ -278,10 +278,10 @@
                 .saturating_sub(self.rng.random_range(0..3))
                 .max(1);
             self.latest_version += u64::from(self.rng.random_bool(0.5));
-            let at = self.random_index(INSTANCE_COUNT);
+            let index = self.random_index(INSTANCE_COUNT);
             let now = Millis(self.now);
             for version in [self.latest_version, version] {
-                self.cores[at].configure(now, configuration(version, organisation(0.0, 0.0)));
+                self.cores[index].configure(now, configuration(version, organisation(0.0, 0.0)));
             }
         }
     }
@@ -372,8 +372,8 @@
 
     // Finishes due requests, and restarts crashed endpoints.
     fn run_endpoints(&mut self) {
-        for at in 0..ENDPOINT_COUNT {
-            let simulated = &mut self.endpoints[at];
+        for index in 0..ENDPOINT_COUNT {
+            let simulated = &mut self.endpoints[index];
             if simulated.down_until.is_some_and(|until| until <= self.now) {
                 simulated.down_until = None;
                 // A different start time, by which instances tell a restarted endpoint apart.
@@ -388,9 +388,9 @@
             simulated.running = running;
             for (number, _, succeeds) in finished {
                 if self.requests[number].fingerprint == POISON_FINGERPRINT {
-                    self.endpoints[at].running.push((number, now, succeeds));
+                    self.endpoints[index].running.push((number, now, succeeds));
                     self.poison_crashes.push(now);
-                    self.crash_endpoint(at);
+                    self.crash_endpoint(index);
                     break;
                 }
                 let took = Millis(200);
@@ -437,8 +437,8 @@
             .endpoints
             .iter()
             .position(|it| it.endpoint.id == endpoint.id);
-        let at = position.expect("an endpoint of this simulation");
-        let target = &mut self.endpoints[at];
+        let index = position.expect("an endpoint of this simulation");
+        let target = &mut self.endpoints[index];
         if target.down_until.is_some() {
             return self.finish_attempt(number, Outcome::ConnectFailed);
         }
@@ -576,20 +576,20 @@
 
     // Checks what must hold at every step.
     fn check_invariants(&mut self) {
-        for (at, core) in self.cores.iter().enumerate() {
+        for (index, core) in self.cores.iter().enumerate() {
             let version = core.configuration_version();
-            if version < self.seen_versions[at] {
+            if version < self.seen_versions[index] {
                 let text = format!(
-                    "instance i{at} went from version {} to {version}",
-                    self.seen_versions[at]
+                    "instance i{index} went from version {} to {version}",
+                    self.seen_versions[index]
                 );
                 self.violations.push(text);
             }
-            self.seen_versions[at] = version;
+            self.seen_versions[index] = version;
             for usage in core.scheduler().endpoint_usage() {
                 if u32::from(usage.count) > SLOTS_PER_ENDPOINT {
                     let text = format!(
-                        "instance i{at} runs {} requests at endpoint {}",
+                        "instance i{index} runs {} requests at endpoint {}",
                         usage.count, usage.endpoint
                     );
                     self.violations.push(text);
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -94,7 +94,7 @@
 
 impl Fleet {
     fn new(seed: u64, size: usize, endpoints: usize, lending: bool) -> Self {
-        let names: Vec<String> = (0..size).map(|at| format!("i{at}")).collect();
+        let names: Vec<String> = (0..size).map(|index| format!("i{index}")).collect();
         let start = |index: usize| {
             let mut core = Core::new(identity(&names[index], index as u64 + 1));
             core.configure(
@@ -107,8 +107,8 @@
             let instances = names
                 .iter()
                 .map(|it| StoreUpdate::Instance(it.clone(), location(it, "a")));
-            let endpoints =
-                (0..endpoints).map(|at| StoreUpdate::Endpoint(endpoint(&format!("e{at}"), 4)));
+            let endpoints = (0..endpoints)
+                .map(|index| StoreUpdate::Endpoint(endpoint(&format!("e{index}"), 4)));
             core.apply_updates(Millis(0), 1, instances.chain(endpoints).collect());
             core
         };
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -91,9 +91,9 @@
 impl World {
     /// Starts the instances, and an engine for each of these slowdowns.
     pub fn new(seed: u64, classes: &[RequestClass], slowdowns: &[f64]) -> Self {
-        let start_core = |at| {
-            let name = format!("i{at}");
-            let mut core = Core::new(identity(&name, at as u64 + 1));
+        let start_core = |index| {
+            let name = format!("i{index}");
+            let mut core = Core::new(identity(&name, index as u64 + 1));
             core.configure(Millis(0), configuration(classes));
             for number in 0..slowdowns.len() {
                 let mut it = endpoint(&format!("e{number}"), SLOTS);
@@ -209,12 +209,12 @@
     }
 
     fn advance_engines(&mut self) {
-        for at in 0..self.engines.len() {
-            let completed = self.engines[at].advance(self.now as f64);
+        for index in 0..self.engines.len() {
+            let completed = self.engines[index].advance(self.now as f64);
             for run in completed {
                 self.complete(&run);
             }
-            let started = self.engines[at].runs.iter();
+            let started = self.engines[index].runs.iter();
             let started: Vec<usize> = started
                 .filter(|run| run.first_part.is_some())
                 .map(|run| run.job)
@@ -276,10 +276,10 @@
                 let job = &mut self.jobs[number];
                 match decision {
                     Decision::Start(_, endpoint) => {
-                        let at = endpoint.id[1..].parse::<usize>().expect("a number");
+                        let index = endpoint.id[1..].parse::<usize>().expect("a number");
                         job.first_part_seen = false;
                         let run = Run::new(number, self.now as f64, job.prompt, job.output);
-                        self.engines[at].runs.push(run);
+                        self.engines[index].runs.push(run);
                     }
                     Decision::Refuse(ticket, _) => {
                         job.outcome = JobOutcome::Refused;
@@ -294,8 +294,8 @@
 
     // Abandons attempts that have stalled for too long, as the gateway does.
     fn abandon_stalled(&mut self) {
-        for at in 0..self.engines.len() {
-            let runs = self.engines[at].runs.iter();
+        for index in 0..self.engines.len() {
+            let runs = self.engines[index].runs.iter();
             let waiting: Vec<(usize, f64)> = runs
                 .filter(|run| run.first_part.is_none())
                 .map(|run| (run.job, run.sent))
@@ -311,7 +311,7 @@
                 }
                 job.abandoned += 1;
                 self.longest_stall = self.longest_stall.max(stalled_ms);
-                self.engines[at].runs.retain(|run| run.job != number);
+                self.engines[index].runs.retain(|run| run.job != number);
                 let next = core.attempt_ended(Millis(self.now), ticket, Outcome::Stalled, true);
                 self.tickets.remove(&(job.instance, ticket));
                 job.ticket = next;
@@ -328,11 +328,11 @@
 
 fn configuration(classes: &[RequestClass]) -> Configuration {
     let mut configuration = crate::common::configuration(1, organisation(0.0, 0.0));
-    for (at, class) in classes.iter().enumerate() {
+    for (index, class) in classes.iter().enumerate() {
         let template = scheduled_request(RouteKind::Stream, class.priority, 0).route;
         let route = Route {
-            name: format!("{at}").into(),
-            prefix: format!("/{at}/").into(),
+            name: format!("{index}").into(),
+            prefix: format!("/{index}/").into(),
             timeout: Millis(TIMEOUT_MS),
             latency_target: Millis(800),
             auth_exempt: true,
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -159,19 +159,19 @@
             start_count: 0,
             observed: Observations::default(),
         };
-        for at in 0..size {
-            let name = format!("i{at}");
+        for index in 0..size {
+            let name = format!("i{index}");
             simulation
                 .changes
                 .push(StoreUpdate::Instance(name.clone(), location(&name, "a")));
         }
-        for at in 0..ENDPOINTS_PER_VERSION {
+        for index in 0..ENDPOINTS_PER_VERSION {
             simulation
                 .changes
-                .push(StoreUpdate::Endpoint(simulation.endpoints[at].clone()));
+                .push(StoreUpdate::Endpoint(simulation.endpoints[index].clone()));
         }
-        for at in 0..size {
-            let instance = simulation.start_instance(at);
+        for index in 0..size {
+            let instance = simulation.start_instance(index);
             simulation.instances.push(instance);
         }
         simulation
@@ -189,9 +189,9 @@
             }
             self.deliver_reports();
             self.generate_arrivals();
-            for at in 0..self.instances.len() {
-                if self.instances[at].down_until <= self.now {
-                    self.step_instance(at);
+            for index in 0..self.instances.len() {
+                if self.instances[index].down_until <= self.now {
+                    self.step_instance(index);
                 }
             }
         }
@@ -208,9 +208,9 @@
         outcomes.copied().next()
     }
 
-    fn start_instance(&mut self, at: usize) -> Instance {
+    fn start_instance(&mut self, index: usize) -> Instance {
         self.start_count += 1;
-        let name = format!("i{at}");
+        let name = format!("i{index}");
         let mut core = Core::new(identity(&name, self.start_count));
         core.configure(Millis(self.now), configuration(1, organisation(0.0, 0.0)));
         Instance {
@@ -232,9 +232,9 @@
             revision: self.revision() + 1,
         };
         self.changes.push(StoreUpdate::RolloutOrder(order));
-        for at in ENDPOINTS_PER_VERSION..2 * ENDPOINTS_PER_VERSION {
+        for index in ENDPOINTS_PER_VERSION..2 * ENDPOINTS_PER_VERSION {
             self.changes
-                .push(StoreUpdate::Endpoint(self.endpoints[at].clone()));
+                .push(StoreUpdate::Endpoint(self.endpoints[index].clone()));
         }
     }
 
@@ -244,17 +244,17 @@
 
     fn inject_faults(&mut self) {
         if self.rng.random_bool(0.01) {
-            let at = self.rng.random_range(0..self.instances.len());
+            let index = self.rng.random_range(0..self.instances.len());
             let down_until = self.now + self.rng.random_range(200..2_000);
-            for request in std::mem::take(&mut self.instances[at].running) {
+            for request in std::mem::take(&mut self.instances[index].running) {
                 self.slots_in_use[request.endpoint] -= 1;
             }
-            self.instances[at] = self.start_instance(at);
-            self.instances[at].down_until = down_until;
+            self.instances[index] = self.start_instance(index);
+            self.instances[index].down_until = down_until;
         }
         if self.rng.random_bool(0.01) {
-            let at = self.rng.random_range(0..self.instances.len());
-            self.instances[at].store_down_until = self.now + self.rng.random_range(500..3_000);
+            let index = self.rng.random_range(0..self.instances.len());
+            self.instances[index].store_down_until = self.now + self.rng.random_range(500..3_000);
         }
         if self.rng.random_bool(0.001) {
             let store_down_until = self.now + self.rng.random_range(500..3_000);
@@ -263,8 +263,8 @@
             }
         }
         if self.rng.random_bool(0.002) {
-            let at = self.rng.random_range(0..self.endpoints.len());
-            self.failing_until[at] = self.now + self.rng.random_range(500..3_000);
+            let index = self.rng.random_range(0..self.endpoints.len());
+            self.failing_until[index] = self.now + self.rng.random_range(500..3_000);
         }
     }
 
@@ -286,14 +286,14 @@
         let mean = self.rate * STEP_MS as f64 / 1_000.0;
         let count = mean as usize + usize::from(self.rng.random_bool(mean.fract()));
         for _ in 0..count {
-            let at = self.rng.random_range(0..self.instances.len());
-            if self.instances[at].down_until <= self.now {
-                self.admit_request(at);
+            let index = self.rng.random_range(0..self.instances.len());
+            if self.instances[index].down_until <= self.now {
+                self.admit_request(index);
             }
         }
     }
 
-    fn admit_request(&mut self, at: usize) {
+    fn admit_request(&mut self, index: usize) {
         let now = Millis(self.now);
         let path = if self.rng.random_bool(0.1) {
             "/unsafe/x"
@@ -301,33 +301,33 @@
             "/safe/x"
         };
         let fingerprint = self.rng.random();
-        let core = &mut self.instances[at].core;
+        let core = &mut self.instances[index].core;
         if let Ok(routed) = core.route(now, request(path)) {
             self.observed.refused += usize::from(core.admit(now, &routed, fingerprint).is_err());
         }
     }
 
-    fn step_instance(&mut self, at: usize) {
-        self.read_store(at);
-        self.finish_requests(at);
+    fn step_instance(&mut self, index: usize) {
+        self.read_store(index);
+        self.finish_requests(index);
         let now = Millis(self.now);
-        for decision in self.instances[at].core.decide(now) {
+        for decision in self.instances[index].core.decide(now) {
             if let Decision::Start(ticket, endpoint) = decision {
-                self.start_request(at, ticket, &endpoint);
+                self.start_request(index, ticket, &endpoint);
             }
         }
-        if (self.now / STEP_MS + at as u64).is_multiple_of(10) {
-            self.send_reports(at);
+        if (self.now / STEP_MS + index as u64).is_multiple_of(10) {
+            self.send_reports(index);
         }
-        if (self.now / STEP_MS + at as u64).is_multiple_of(20) {
-            self.instances[at].core.sweep(now);
-            self.instances[at].core.advance_rollouts(now);
-            self.write_statuses(at);
+        if (self.now / STEP_MS + index as u64).is_multiple_of(20) {
+            self.instances[index].core.sweep(now);
+            self.instances[index].core.advance_rollouts(now);
+            self.write_statuses(index);
         }
     }
 
-    fn read_store(&mut self, at: usize) {
-        let instance = &mut self.instances[at];
+    fn read_store(&mut self, index: usize) {
+        let instance = &mut self.instances[index];
         if instance.store_down_until > self.now {
             instance.core.store_call_failed(Millis(self.now));
             return;
@@ -345,36 +345,39 @@
         instance.core.advance_rollouts(Millis(self.now));
     }
 
-    fn finish_requests(&mut self, at: usize) {
-        let running = std::mem::take(&mut self.instances[at].running);
+    fn finish_requests(&mut self, index: usize) {
+        let running = std::mem::take(&mut self.instances[index].running);
         let (done, rest): (Vec<_>, Vec<_>) =
             running.into_iter().partition(|it| it.ends_at <= self.now);
-        self.instances[at].running = rest;
+        self.instances[index].running = rest;
         for request in done {
             self.slots_in_use[request.endpoint] -= 1;
             let outcome = request.outcome;
-            self.instances[at]
-                .core
-                .attempt_ended(Millis(self.now), request.ticket, outcome, false);
+            self.instances[index].core.attempt_ended(
+                Millis(self.now),
+                request.ticket,
+                outcome,
+                false,
+            );
         }
     }
 
-    fn start_request(&mut self, at: usize, ticket: Ticket, endpoint: &Endpoint) {
-        let index = self
+    fn start_request(&mut self, index: usize, ticket: Ticket, endpoint: &Endpoint) {
+        let endpoint_index = self
             .endpoints
             .iter()
             .position(|it| it.id == endpoint.id)
             .unwrap();
-        let new = index >= ENDPOINTS_PER_VERSION;
-        self.slots_in_use[index] += 1;
-        let route = self.instances[at]
+        let new = endpoint_index >= ENDPOINTS_PER_VERSION;
+        self.slots_in_use[endpoint_index] += 1;
+        let route = self.instances[index]
             .core
             .scheduler()
             .running(ticket)
             .unwrap()
             .route
             .clone();
-        let under_load = self.slots_in_use[index] * 2 > SLOTS_PER_ENDPOINT;
+        let under_load = self.slots_in_use[endpoint_index] * 2 > SLOTS_PER_ENDPOINT;
         let age = self.now.saturating_sub(ORDERED_MS);
         let (failure_ratio, slow_factor) = match self.fault {
             _ if !new => (0.01, 1.0),
@@ -385,7 +388,8 @@
             Fault::FailsOnRoute(ratio) => (if &*route.name == "safe" { 0.01 } else { ratio }, 1.0),
             Fault::FailsUnderLoad(ratio) => (if under_load { ratio } else { 0.01 }, 1.0),
         };
-        let failed = self.rng.random_bool(failure_ratio) || self.failing_until[index] > self.now;
+        let failed =
+            self.rng.random_bool(failure_ratio) || self.failing_until[endpoint_index] > self.now;
         let slowdown = match self.scenario {
             Scenario::GeneralSlowdown(start) if age * 100 >= start * DURATION_MS => 5.0,
             _ => 1.0,
@@ -401,17 +405,17 @@
                 longest_pause: Millis::ZERO,
             }
         };
-        self.record_request(at, new, failed || slow_factor > 1.0);
-        self.instances[at].running.push(RunningRequest {
+        self.record_request(index, new, failed || slow_factor > 1.0);
+        self.instances[index].running.push(RunningRequest {
             ends_at: self.now + service_time,
             ticket,
-            endpoint: index,
+            endpoint: endpoint_index,
             outcome,
         });
     }
 
     // Records a request that is sent to an endpoint, and whether its response will be bad.
-    fn record_request(&mut self, at: usize, new: bool, bad: bool) {
+    fn record_request(&mut self, index: usize, new: bool, bad: bool) {
         let window = ORDERED_MS..ORDERED_MS + DURATION_MS;
         if window.contains(&self.now) {
             self.observed.total += 1;
@@ -420,14 +424,14 @@
         if !new || self.fault == Fault::None {
             return;
         }
-        let store_recovered = self.instances[at].store_down_until + 4_000 < self.now;
+        let store_recovered = self.instances[index].store_down_until + 4_000 < self.now;
         if let Some(evident_since) = self.evident_since
             && store_recovered
             && self.now > evident_since + ROLLBACK_TIME_MS
         {
             self.observed.violations.push(format!(
                 "{}: request sent to a bad version at {} ms",
-                self.instances[at].name, self.now
+                self.instances[index].name, self.now
             ));
         }
         self.observed.bad += usize::from(bad);
@@ -436,21 +440,21 @@
         }
     }
 
-    fn send_reports(&mut self, at: usize) {
+    fn send_reports(&mut self, index: usize) {
         let include_info = self.rng.random_bool(0.2);
-        let report = self.instances[at]
+        let report = self.instances[index]
             .core
             .next_report(Millis(self.now), include_info);
         for to in 0..self.instances.len() {
-            if to != at && !self.rng.random_bool(0.02) {
+            if to != index && !self.rng.random_bool(0.02) {
                 let arrives_at = self.now + self.rng.random_range(1..20);
                 self.reports.push((arrives_at, to, report.clone()));
             }
         }
     }
 
-    fn write_statuses(&mut self, at: usize) {
-        let instance = &self.instances[at];
+    fn write_statuses(&mut self, index: usize) {
+        let instance = &self.instances[index];
         if instance.store_down_until > self.now {
             return;
         }
@@ -498,14 +502,14 @@
     }
 }
 
-fn simulated_endpoint(at: usize) -> Endpoint {
-    let version = if at < ENDPOINTS_PER_VERSION {
+fn simulated_endpoint(index: usize) -> Endpoint {
+    let version = if index < ENDPOINTS_PER_VERSION {
         "v1"
     } else {
         "v2"
     };
     Endpoint {
         version: version.into(),
-        ..endpoint(&format!("e{at}"), SLOTS_PER_ENDPOINT)
+        ..endpoint(&format!("e{index}"), SLOTS_PER_ENDPOINT)
     }
 }
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -20,7 +20,7 @@
 // Returns `count` pairs of data centre and name, over four data centres.
 fn names_by_centre(count: usize) -> Vec<(String, String)> {
     (0..count)
-        .map(|at| (format!("dc{}", at % 4), format!("i{at}")))
+        .map(|index| (format!("dc{}", index % 4), format!("i{index}")))
         .collect()
 }
 
@@ -76,9 +76,9 @@
     for (centre, name) in names_by_centre(68) {
         core.add_instance(&name, location(&name, &centre));
     }
-    for at in 0..89 {
+    for index in 0..89 {
         core.registry()
-            .put(Millis(0), endpoint(&format!("e{at}"), 4));
+            .put(Millis(0), endpoint(&format!("e{index}"), 4));
     }
     let before: Vec<_> = core.registry().eligible("lm").to_vec();
     for number in 1..30 {
@@ -110,8 +110,8 @@
         let mut total_slots = 0;
         for shard in 0..8 {
             let mut registry = Registry::default();
-            for at in 0..count {
-                let id = format!("e{at}");
+            for index in 0..count {
+                let id = format!("e{index}");
                 registry.put(
                     Millis(0),
                     Endpoint {
@@ -172,14 +172,14 @@
         };
         let mut core = Core::new(identity);
         core.store_call_succeeded();
-        for at in 0..count {
-            core.add_instance(&format!("i{at}"), location(&format!("i{at}"), "a"));
+        for index in 0..count {
+            core.add_instance(&format!("i{index}"), location(&format!("i{index}"), "a"));
         }
         (core.watch_timeout(), core.update_batch_delay())
     };
     assert_eq!(timings("i0", 11, 10_000), (Millis(3_500), Millis(500)));
     let all: BTreeSet<_> = (0..17)
-        .map(|at| timings(&format!("i{at}"), 17, 10_000))
+        .map(|index| timings(&format!("i{index}"), 17, 10_000))
         .collect();
     let expected = [500, 1_000].map(|delay| (Millis(7_000), Millis(delay)));
     assert_eq!(all, expected.into());
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -16,24 +16,25 @@
 
 const NAMES: [&str; 4] = ["i0", "i1", "i2", "i3"];
 
-// Whether instance `at` receives reports from `other`, by a bit mask over all pairs.
-fn receives_from(links: u32, at: usize, other: usize) -> bool {
-    at == other || links >> (at * NAMES.len() + other) & 1 == 1
+// Whether instance `index` receives reports from `other`, by a bit mask over all pairs.
+fn receives_from(links: u32, index: usize, other: usize) -> bool {
+    index == other || links >> (index * NAMES.len() + other) & 1 == 1
 }
 
-// Whether instance `at` can reach the store, by a bit mask over all instances.
-fn reaches_store(store_access: u32, at: usize) -> bool {
-    store_access >> at & 1 == 1
+// Whether instance `index` can reach the store, by a bit mask over all instances.
+fn reaches_store(store_access: u32, index: usize) -> bool {
+    store_access >> index & 1 == 1
 }
 
-// Returns the instance that `at` selects as the watcher.
-fn selected(store_access: u32, links: u32, at: usize) -> usize {
-    let candidate = |at: usize| WatcherCandidate {
-        name: NAMES[at],
-        store_reachable: reaches_store(store_access, at),
+// Returns the instance that `index` selects as the watcher.
+fn selected(store_access: u32, links: u32, index: usize) -> usize {
+    let candidate = |index: usize| WatcherCandidate {
+        name: NAMES[index],
+        store_reachable: reaches_store(store_access, index),
     };
-    let peers = (0..NAMES.len()).filter(|other| *other != at && receives_from(links, at, *other));
-    let name = select_watcher(candidate(at), peers.map(candidate));
+    let peers =
+        (0..NAMES.len()).filter(|other| *other != index && receives_from(links, index, *other));
+    let name = select_watcher(candidate(index), peers.map(candidate));
     NAMES
         .iter()
         .position(|it| *it == name)
@@ -51,16 +52,16 @@
 fn every_chain_of_followers_ends_at_an_instance_that_watches() {
     for store_access in 0..1 << NAMES.len() {
         for links in 0..1u32 << (NAMES.len() * NAMES.len()) {
-            if (0..NAMES.len()).any(|at| links >> (at * NAMES.len() + at) & 1 == 1) {
+            if (0..NAMES.len()).any(|index| links >> (index * NAMES.len() + index) & 1 == 1) {
                 continue;
             }
             for start in 0..NAMES.len() {
-                let mut at = start;
+                let mut index = start;
                 let mut steps = 0;
-                while selected(store_access, links, at) != at {
-                    let next = selected(store_access, links, at);
-                    assert!(receives_from(links, at, next));
-                    at = next;
+                while selected(store_access, links, index) != index {
+                    let next = selected(store_access, links, index);
+                    assert!(receives_from(links, index, next));
+                    index = next;
                     steps += 1;
                     assert!(
                         steps < NAMES.len(),
@@ -72,7 +73,7 @@
                     .into_iter()
                     .any(|it| reaches_store(store_access, it));
                 assert!(
-                    !any || reaches_store(store_access, at),
+                    !any || reaches_store(store_access, index),
                     "{store_access:b} {links:b} from {start}"
                 );
             }
@@ -84,7 +85,7 @@
 // shard's peers.
 fn core_with_peers() -> (Core, Vec<String>) {
     let mut core = core("i0", 1);
-    let names: Vec<String> = (0..16).map(|at| format!("i{at}")).collect();
+    let names: Vec<String> = (0..16).map(|index| format!("i{index}")).collect();
     let updates = names
         .iter()
         .map(|name| StoreUpdate::Instance(name.clone(), location(name, "a")));
