--- a/crates/siskinyoke-base/src/clock.rs
+++ b/crates/siskinyoke-base/src/clock.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point in time or a span of time, in milliseconds.
+/// A point in time or a span of time, in milliseconds. Addition and subtraction saturate.
 ///
 /// Points in time count from the start of the process that read the clock, so they are not
 /// comparable between processes. Messages carry spans only.
@@ -30,6 +30,8 @@
     }
 
     /// Returns the span from `earlier` to this point, or zero if `earlier` is later.
+    ///
+    /// For two spans, returns their difference, or zero if the argument is longer.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
--- a/crates/siskinyoke-base/src/code.rs
+++ b/crates/siskinyoke-base/src/code.rs
@@ -46,7 +46,7 @@
             /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Returns what a caller may conclude from the code. Kinds are assigned here only.
+            /// Returns what a caller may conclude from the code.
             pub const fn kind(self) -> OutcomeKind {
                 match self { $(Self::$name => OutcomeKind::$kind,)* }
             }
@@ -72,7 +72,7 @@
     /// The endpoint ran the request and responded with an error, which is passed on.
     EndpointError = 1003, Done, 502, "The endpoint answered with an error, which is passed on.";
 
-    /// The head or the body of the request is malformed.
+    /// The head or body of the request is malformed.
     Malformed = 2000, NotRun, 400, "The request cannot be read; see the detail for the place.";
     /// The request body exceeds the size limit.
     BodyTooLarge = 2001, NotRun, 413, "The body is over the limit; send less at once.";
@@ -85,11 +85,11 @@
     /// No route matches the path.
     UnknownRoute = 2009, NotRun, 404, "There is no such path here.";
 
-    /// The request was refused on arrival, as it was not expected to complete in time.
+    /// The request was refused on arrival, because it was not expected to complete in time.
     Overloaded = 3000, NotRun, 429, "It could not be answered within its need; come back later.";
     /// The request was removed from the queue in favour of requests of higher priority.
     Shed = 3001, NotRun, 429, "More urgent work took its place; come back later.";
-    /// The request reached its queue timeout.
+    /// The request waited in the queue until its timeout.
     Late = 3002, NotRun, 503, "It waited past its need and was given up; come back later.";
     /// The organisation's quota is exhausted.
     OverQuota = 3004, NotRun, 429, "The organisation's quota is used up; come back later.";
@@ -97,7 +97,7 @@
     NoConfiguration = 3005, NotRun, 503, "This instance does not know what is in force; use another.";
     /// No endpoint for the request is reachable.
     NoEndpoint = 3006, NotRun, 503, "No endpoint for it can be reached; come back later.";
-    /// The content is in quarantine, as endpoints crashed while they processed it.
+    /// The content is in quarantine, because endpoints crashed while they processed it.
     Quarantined = 3008, NotRun, 422, "This content crashed endpoints; it is held back for a while.";
     /// An endpoint rejected the request without running it, and no further attempt is allowed.
     Rejected = 3012, NotRun, 503, "The endpoint had no room, and no other may be asked; come back later.";
--- a/crates/siskinyoke-cli/src/caller.rs
+++ b/crates/siskinyoke-cli/src/caller.rs
@@ -51,7 +51,7 @@
     text: String,
 }
 
-/// Prints the addresses to use.
+/// Prints the addresses of the instances to use.
 ///
 /// # Errors
 ///
@@ -109,7 +109,7 @@
     }
 }
 
-/// Prints the text of one event of a stream.
+/// Prints the output text in one event of a chat completion stream.
 fn print_event(data: &str) {
     let event: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
     let text = event["choices"][0]["delta"]["content"]
@@ -135,8 +135,8 @@
     );
     eprintln!("{summary}");
     if outcome.kind != OutcomeKind::Done
-        && let Some(after) = outcome.retry_after
+        && let Some(delay) = outcome.retry_after
     {
-        eprintln!("retry after {after}");
+        eprintln!("retry after {delay}");
     }
 }
--- a/crates/siskinyoke-cli/src/check.rs
+++ b/crates/siskinyoke-cli/src/check.rs
@@ -14,7 +14,8 @@
 /// Validates a settings file or a configuration without starting or sending anything.
 #[derive(Debug, Args)]
 pub struct Check {
-    /// The file, or `-` for standard input. Its kind is recognised by its fields.
+    /// The file, or `-` for standard input. It is a configuration if it has the field `routes`,
+    /// otherwise a settings file.
     file: String,
 }
 
--- a/crates/siskinyoke-cli/src/context.rs
+++ b/crates/siskinyoke-cli/src/context.rs
@@ -16,7 +16,7 @@
 /// Options shared by all commands.
 #[derive(Debug, Clone, Args)]
 pub struct Context {
-    /// Addresses to ask which instances to use, tried in order.
+    /// Addresses that are asked, in this order, which instances to use.
     #[arg(
         long = "address",
         global = true,
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// A message if the instance does not respond.
+    /// A message if no complete response is received.
     pub fn fetch_page(&self, address: &str, path: &str) -> Result<String, String> {
         let response = http_agent().get(format!("http://{address}{path}")).call();
         let mut response = response.map_err(|err| err.to_string())?;
@@ -62,8 +62,8 @@
     ///
     /// # Errors
     ///
-    /// A message if the store does not respond or reports an error; a write may have taken effect
-    /// nevertheless.
+    /// A message if the store does not respond or reports an error. A write may have taken effect
+    /// even so.
     pub fn call_store(&self, call: &Call) -> Result<Vec<u8>, String> {
         let url = format!("http://{}{}", self.store, call.path);
         let response = http_agent().post(url).send(&call.body);
@@ -80,7 +80,7 @@
             return Ok(body);
         }
         Err(format!(
-            "the store responded with {status}: {}",
+            "the store responded with status {status}: {}",
             String::from_utf8_lossy(&body)
         ))
     }
--- a/crates/siskinyoke-cli/src/explain.rs
+++ b/crates/siskinyoke-cli/src/explain.rs
@@ -13,7 +13,7 @@
 use crate::logs::read_all;
 use crate::summary;
 
-/// How long before and after a request its related events are shown.
+/// How long before and after a request related events are shown.
 ///
 /// An endpoint is in backoff for two seconds at most, and leases expire within five.
 const CONTEXT_SPAN_MS: u64 = 5_000;
@@ -73,8 +73,8 @@
 /// Writes a report on a request from named logs: for each log a summary in one sentence, followed
 /// by the log lines of the request and those related to it.
 ///
-/// `changes` adds the configurations that came in force around the request to the one that was in
-/// force when it arrived. Malformed lines are counted and skipped.
+/// `changes` adds the configurations that came into force around the request to the one that was
+/// in force when it arrived. Malformed lines are counted and skipped.
 ///
 /// # Errors
 ///
@@ -95,11 +95,11 @@
         }
         found = true;
         writeln!(out, "{name}")?;
-        let own = records
+        let request_records = records
             .iter()
             .filter(|record| record.str_field("id") == Some(id));
-        let own: Vec<&LogRecord> = own.copied().collect();
-        if let Some(summary) = summary::summarize(&own) {
+        let request_records: Vec<&LogRecord> = request_records.copied().collect();
+        if let Some(summary) = summary::summarize(&request_records) {
             writeln!(out, "  {summary}")?;
         }
         for record in records {
@@ -118,21 +118,21 @@
     Ok(())
 }
 
-// Returns the records of the request, the configuration in force when it arrived, and records of
-// its endpoints and of the cluster view from around its time.
+// Returns the records of the request, the configuration in force when it arrived, and the records
+// about its endpoints and the cluster view from around that time.
 fn relevant_records<'a>(log: &'a Log, id: &str, changes: bool) -> Vec<&'a LogRecord> {
-    let own: Vec<&LogRecord> = log
+    let request_records: Vec<&LogRecord> = log
         .records
         .iter()
-        .filter(|it| it.str_field("id") == Some(id))
+        .filter(|record| record.str_field("id") == Some(id))
         .collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+    let (Some(first), Some(last)) = (request_records.first(), request_records.last()) else {
         return Vec::new();
     };
     let span = first.time_ms.saturating_sub(CONTEXT_SPAN_MS)..=last.time_ms + CONTEXT_SPAN_MS;
-    let endpoints: Vec<&str> = own
+    let endpoints: Vec<&str> = request_records
         .iter()
-        .filter_map(|it| it.str_field("endpoint"))
+        .filter_map(|record| record.str_field("endpoint"))
         .collect();
     let configuration = log
         .records
@@ -142,7 +142,7 @@
         let event = record.str_field("event").unwrap_or("");
         let same_endpoint = record
             .str_field("endpoint")
-            .is_some_and(|it| endpoints.contains(&it));
+            .is_some_and(|endpoint| endpoints.contains(&endpoint));
         let is_change = changes && event == "configuration";
         let is_related = is_change
             || CLUSTER_EVENTS.contains(&event)
--- a/crates/siskinyoke-cli/src/logs.rs
+++ b/crates/siskinyoke-cli/src/logs.rs
@@ -43,7 +43,7 @@
 /// One log line.
 #[derive(Debug)]
 pub struct LogRecord {
-    /// When it was written, in milliseconds of its instance's clock.
+    /// When it was written, in milliseconds since its instance started.
     pub time_ms: u64,
     /// All fields of the line.
     pub fields: serde_json::Map<String, Value>,
@@ -74,14 +74,18 @@
     /// Formats the record for terminal output.
     pub fn to_text(&self) -> String {
         let event = self.str_field("event").unwrap_or("?");
-        let others = self
+        let other_fields = self
             .fields
             .iter()
             .filter(|field| !matches!(&**field.0, "at_ms" | "event"));
-        let others: Vec<String> = others
+        let other_fields: Vec<String> = other_fields
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
-        format!("{:>10} ms  {event:<20} {}", self.time_ms, others.join(" "))
+        format!(
+            "{:>10} ms  {event:<20} {}",
+            self.time_ms,
+            other_fields.join(" ")
+        )
     }
 }
 
@@ -100,7 +104,7 @@
         let mut log = Self::default();
         for line in String::from_utf8_lossy(bytes)
             .lines()
-            .filter(|it| !it.trim().is_empty())
+            .filter(|line| !line.trim().is_empty())
         {
             match LogRecord::parse(line) {
                 Some(record) => log.records.push(record),
--- a/crates/siskinyoke-cli/src/main.rs
+++ b/crates/siskinyoke-cli/src/main.rs
@@ -16,13 +16,13 @@
 use siskinyoke_cli::report;
 use siskinyoke_cli::status;
 
-/// Exit code for failed commands and for requests that were refused without running.
+/// Exit code for failed commands and for requests that have not run.
 const EXIT_REFUSED: u8 = 1;
 
-/// Exit code for an invalid file.
+/// Exit code for a file that `check` finds invalid.
 const EXIT_INVALID: u8 = 2;
 
-/// Exit code for an unknown outcome.
+/// Exit code for requests whose outcome is unknown.
 const EXIT_UNKNOWN: u8 = 3;
 
 /// Sends requests through siskinyoke and operates it.
@@ -37,7 +37,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Print the addresses to use.
+    /// Print the addresses of the instances to use.
     Locate,
     /// Send a request and print the response as it arrives.
     Send(caller::Send),
--- a/crates/siskinyoke-cli/src/operate/endpoint.rs
+++ b/crates/siskinyoke-cli/src/operate/endpoint.rs
@@ -25,17 +25,17 @@
 pub enum Endpoint {
     /// Print all endpoints with their entries.
     List,
-    /// Write the endpoints of a file, an object of entries by name.
+    /// Write the endpoints in a file, which holds an object of entries by name.
     Apply {
         /// The file, in JSON with comments.
         file: PathBuf,
     },
-    /// Send an endpoint no new requests; its running requests continue.
+    /// Send no new requests to an endpoint; its running requests continue.
     Drain {
         /// The name of the endpoint.
         name: String,
     },
-    /// Send a drained endpoint requests again.
+    /// Send requests to a drained endpoint again.
     Undrain {
         /// The name of the endpoint.
         name: String,
@@ -82,7 +82,7 @@
     Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-// Writes all endpoints of a file once every entry is valid.
+// Validates all entries of a file, then writes them.
 fn apply_endpoints(context: &Context, file: &Path) -> Result<String, OperateError> {
     let bytes = read_file(file)?;
     let invalid = |err| OperateError::InvalidDocument(file.display().to_string(), err);
@@ -103,7 +103,7 @@
     Ok(format!("{} endpoints are written", entries.len()))
 }
 
-// Sets whether an endpoint drains and leaves the rest of its entry as it is.
+// Sets whether an endpoint is draining; the rest of its entry is unchanged.
 fn set_draining(context: &Context, name: &str, draining: bool) -> Result<String, OperateError> {
     let key = endpoint_key(name);
     let item = get_item(context, &key, "see `siskinyoke endpoint list`")?;
@@ -120,7 +120,7 @@
     Ok(format!("{name} is {state}"))
 }
 
-// Writes an endpoint unless another operator changes it meanwhile.
+// Writes the entry of an endpoint unless another operator changes it meanwhile.
 fn put_endpoint(context: &Context, name: &str, entry: &EndpointEntry) -> Result<(), OperateError> {
     let key = endpoint_key(name);
     let revision = match get_item(context, &key, "") {
--- a/crates/siskinyoke-cli/src/operate/mod.rs
+++ b/crates/siskinyoke-cli/src/operate/mod.rs
@@ -99,7 +99,7 @@
     Ok(String::from_utf8_lossy(&item.value.unwrap_or_default()).into_owned())
 }
 
-// Puts the configuration of a file in force unless another one was put in force meanwhile.
+// Puts the configuration in a file in force unless another one was put in force meanwhile.
 fn apply_file(context: &Context, file: &Path) -> Result<String, OperateError> {
     let bytes = read_file(file)?;
     let invalid = |err| OperateError::InvalidDocument(file.display().to_string(), err);
@@ -110,7 +110,8 @@
         Err(OperateError::NotFound(..)) => (0, 0),
         Err(err) => return Err(err),
     };
-    // Instances ignore a revision below the one they use, so such a change would never take effect.
+    // Instances ignore a revision that is not above the one they use, so the change would never
+    // take effect.
     if document.revision != document_revision + 1 {
         return Err(OperateError::Conflict(document_revision));
     }
@@ -214,8 +215,8 @@
         let body = context.call_store(&Etcd.range(&after, Consistency::Linearizable))?;
         let page = Etcd.decode_range(&body).map_err(invalid_response)?;
         let last = page.items.last();
-        after = last.map(|it| it.key.clone()).unwrap_or_default();
-        let matches = |it: &Item| it.key.starts_with(prefix);
+        after = last.map(|item| item.key.clone()).unwrap_or_default();
+        let matches = |item: &Item| item.key.starts_with(prefix);
         items.extend(page.items.into_iter().filter(matches));
         if !page.has_more || after.is_empty() {
             return Ok(items);
@@ -223,8 +224,8 @@
     }
 }
 
-// Writes a value if its key still has `store_revision`; otherwise reports a conflict with
-// `reported_revision`.
+// Writes a value if its key still has `store_revision`, or does not exist and `store_revision` is
+// 0. Otherwise reports a conflict with `reported_revision`.
 fn write_if_unchanged(
     context: &Context,
     key: &str,
--- a/crates/siskinyoke-cli/src/operate/rollout.rs
+++ b/crates/siskinyoke-cli/src/operate/rollout.rs
@@ -34,19 +34,19 @@
         #[arg(long, default_value_t = 600)]
         seconds: u64,
     },
-    /// Print the orders and their states, for one service or all.
+    /// Print the order and the status of a service's rollout, or of all.
     Status {
         /// The name of the service.
         service: Option<String>,
     },
-    /// Move the traffic back by removing the order.
+    /// Remove the order, which moves the traffic back.
     Abort {
         /// The name of the service.
         service: String,
     },
 }
 
-/// The order of a service with its state, as printed.
+/// The rollout order and status of a service, as printed.
 #[derive(Debug, Default, Serialize)]
 struct RolloutRow {
     order: Option<RolloutOrder>,
@@ -128,24 +128,24 @@
     let key = order_key(service);
     get_item(context, &key, START_HINT)?;
     context.call_store(&etcd::remove(&key))?;
-    Ok(format!("the order for {service} is removed"))
+    Ok(format!("the rollout order of {service} is removed"))
 }
 
 fn format_row(service: &str, row: &RolloutRow) -> String {
     let order = row.order.as_ref().map_or_else(
         || "no order".to_owned(),
-        |it| format!("to {} within {} s", it.version, it.seconds),
+        |order| format!("to {} within {} s", order.version, order.seconds),
     );
-    // A state left by an earlier order does not apply to this one and is not shown.
-    let matches_order = |it: &&RolloutStatus| {
+    // A status left by an order of another version does not apply to this one and is not shown.
+    let matches_order = |status: &&RolloutStatus| {
         let order = row.order.as_ref();
-        order.is_none_or(|order| order.version == it.version)
+        order.is_none_or(|order| order.version == status.version)
     };
-    let state = row.status.as_ref().filter(matches_order).map_or_else(
+    let status = row.status.as_ref().filter(matches_order).map_or_else(
         || "no state yet".to_owned(),
         |it| format!("{} {}", it.version, to_json(&it.state).trim_matches('"')),
     );
-    format!("{service}: {order}, {state}")
+    format!("{service}: {order}, {status}")
 }
 
 fn parse_value<T: serde::de::DeserializeOwned>(item: &Item) -> Result<Option<T>, OperateError> {
--- a/crates/siskinyoke-cli/src/report/burn.rs
+++ b/crates/siskinyoke-cli/src/report/burn.rs
@@ -18,7 +18,7 @@
 use super::table;
 use crate::logs::read_all;
 
-/// Headings of the table's columns.
+/// Column headings of the table.
 const COLUMN_HEADINGS: [&str; 8] = [
     "TIER",
     "ORGANISATION",
@@ -36,7 +36,7 @@
 /// The long window, which shows whether the burn is significant.
 const LONG_WINDOW_MS: u64 = 60 * 60 * 1_000;
 
-/// The burn rate at which an error budget for 30 days is used up in two.
+/// The burn rate at which an error budget for 30 days is used up in two days.
 const FAST_BURN_RATE: f64 = 14.4;
 
 /// The time span of one point of the plots.
@@ -79,7 +79,7 @@
         self.within + self.late + self.refused + self.broken
     }
 
-    // Returns the ratio of requests answered within the latency target, or 1 without requests.
+    // Returns the ratio of requests answered within the latency target, or 1 if there are none.
     fn within_ratio(&self) -> f64 {
         if self.total() == 0 {
             return 1.0;
@@ -102,8 +102,9 @@
 }
 
 impl BurnRow {
-    // Both windows have to exceed the rate: the long one alone would raise the alarm for an hour
-    // after the end of an incident, the short one alone at every brief burst of refusals.
+    // `fast` and `slow` require that both windows exceed the burn rate: the long one alone would
+    // raise the alarm for an hour after the end of an incident, the short one alone at every brief
+    // burst of refusals. `over` means that only the long one exceeds a rate of 1.
     fn state(&self, objective: f64) -> &'static str {
         let (short, long) = (
             self.short.burn_rate(objective),
@@ -206,10 +207,13 @@
     (missing > 0).then(|| format!("INCOMPLETE: {missing} log lines were dropped or are malformed"))
 }
 
-// Counts the outcomes in both windows by tier and organisation.
+// Counts the outcomes in each window by tier and organisation.
 fn count_outcomes(requests: &[FinishedRequest<'_>]) -> Vec<BurnRow> {
     let mut rows: BTreeMap<(u64, &str), BurnRow> = BTreeMap::new();
-    for request in requests.iter().filter(|it| it.age_ms <= LONG_WINDOW_MS) {
+    for request in requests
+        .iter()
+        .filter(|request| request.age_ms <= LONG_WINDOW_MS)
+    {
         let row = rows
             .entry((request.tier, request.organisation))
             .or_default();
@@ -223,10 +227,13 @@
     rows.into_values().collect()
 }
 
-// Returns one curve per tier of a value computed from the counts of each plot step.
+// Returns one curve per tier, with a value computed from the counts of each plot step.
 fn tier_curves(requests: &[FinishedRequest<'_>], value: impl Fn(&Tally) -> f64) -> Vec<Curve> {
     let mut tiers: BTreeMap<u64, BTreeMap<u64, Tally>> = BTreeMap::new();
-    for request in requests.iter().filter(|it| it.age_ms <= LONG_WINDOW_MS) {
+    for request in requests
+        .iter()
+        .filter(|request| request.age_ms <= LONG_WINDOW_MS)
+    {
         let steps = tiers.entry(request.tier).or_default();
         steps
             .entry(request.age_ms / PLOT_STEP_MS)
--- a/crates/siskinyoke-cli/src/report/page.rs
+++ b/crates/siskinyoke-cli/src/report/page.rs
@@ -33,14 +33,14 @@
         self.push_line(&format!("<p>{}</p>", escape(text)));
     }
 
-    /// Adds a table. Each row has a CSS class that sets its colour.
-    pub fn table(&mut self, head: &[&str], rows: &[(&str, Vec<String>)]) {
+    /// Adds a table. Each row comes with the CSS class that sets its colour.
+    pub fn table(&mut self, headings: &[&str], rows: &[(&str, Vec<String>)]) {
         let cells = |tag: &str, row: &[String]| {
             let cell = |text: &String| format!("<{tag}>{}</{tag}>", escape(text));
             row.iter().map(cell).collect::<String>()
         };
-        let head: Vec<String> = head.iter().map(|cell| (*cell).to_owned()).collect();
-        self.push_line(&format!("<table><tr>{}</tr>", cells("th", &head)));
+        let headings: Vec<String> = headings.iter().map(|cell| (*cell).to_owned()).collect();
+        self.push_line(&format!("<table><tr>{}</tr>", cells("th", &headings)));
         for (class, row) in rows {
             self.push_line(&format!("<tr class=\"{class}\">{}</tr>", cells("td", row)));
         }
--- a/crates/siskinyoke-cli/src/report/plot.rs
+++ b/crates/siskinyoke-cli/src/report/plot.rs
@@ -9,7 +9,7 @@
 /// Width and height of a plot in pixels.
 const PLOT_SIZE_PX: (u32, u32) = (860, 280);
 
-/// Font of labels. The default size of the library shrinks with the plot until it is unreadable.
+/// Font of labels. The library's default size shrinks with the plot and becomes unreadable.
 const LABEL_FONT: (&str, u32) = ("sans-serif", 15);
 
 /// A curve of a plot.
@@ -38,8 +38,8 @@
 pub fn draw_curves(caption: &str, curves: &[Curve], reference: f64) -> Result<String, ReportError> {
     let mut svg = String::new();
     let points = || curves.iter().flat_map(|curve| &curve.points);
-    let first = points().map(|point| point.0).fold(-1.0, f64::min);
-    let top = points().map(|point| point.1).fold(reference, f64::max) * 1.1;
+    let min_x = points().map(|point| point.0).fold(-1.0, f64::min);
+    let max_y = points().map(|point| point.1).fold(reference, f64::max) * 1.1;
     {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
         area.fill(&WHITE).map_err(plot_error)?;
@@ -48,14 +48,14 @@
             .margin(12)
             .x_label_area_size(34)
             .y_label_area_size(56)
-            .build_cartesian_2d(first..0.0, 0.0..top.max(0.01))
+            .build_cartesian_2d(min_x..0.0, 0.0..max_y.max(0.01))
             .map_err(plot_error)?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc("minutes before now").label_style(LABEL_FONT);
         mesh.axis_desc_style(LABEL_FONT)
             .draw()
             .map_err(plot_error)?;
-        let reference_line = [(first, reference), (0.0, reference)];
+        let reference_line = [(min_x, reference), (0.0, reference)];
         chart
             .draw_series(LineSeries::new(reference_line, &RED))
             .map_err(plot_error)?;
@@ -87,7 +87,7 @@
 pub fn draw_bars(caption: &str, bars: &[Bar]) -> Result<String, ReportError> {
     let mut svg = String::new();
     let length = |bar: &Bar| bar.segments.iter().sum::<f64>();
-    let top = bars.iter().map(length).fold(1.0, f64::max) * 1.05;
+    let max_x = bars.iter().map(length).fold(1.0, f64::max) * 1.05;
     let count = bars.len();
     let height = 90 + 26 * u32::try_from(count).unwrap_or(1);
     {
@@ -98,9 +98,9 @@
             .margin(12)
             .x_label_area_size(34)
             .y_label_area_size(180)
-            .build_cartesian_2d(0.0..top, (0..count).into_segmented())
+            .build_cartesian_2d(0.0..max_x, (0..count).into_segmented())
             .map_err(plot_error)?;
-        let name = |at: &SegmentValue<usize>| match at {
+        let bar_name = |row: &SegmentValue<usize>| match row {
             SegmentValue::CenterOf(index) => {
                 let bar = bars
                     .len()
@@ -112,7 +112,7 @@
         };
         let mut mesh = chart.configure_mesh();
         mesh.disable_y_mesh()
-            .y_label_formatter(&name)
+            .y_label_formatter(&bar_name)
             .y_labels(count)
             .label_style(LABEL_FONT);
         mesh.draw().map_err(plot_error)?;
@@ -130,12 +130,12 @@
 fn bar_segments(row: usize, bar: &Bar) -> Vec<Rectangle<(f64, SegmentValue<usize>)>> {
     let mut start = 0.0;
     let mut rectangles = Vec::new();
-    for (colour, length) in bar.segments.iter().enumerate() {
+    for (colour_index, length) in bar.segments.iter().enumerate() {
         let corners = [
             (start, SegmentValue::Exact(row)),
             (start + length, SegmentValue::Exact(row + 1)),
         ];
-        let mut rectangle = Rectangle::new(corners, Palette99::pick(colour).filled());
+        let mut rectangle = Rectangle::new(corners, Palette99::pick(colour_index).filled());
         rectangle.set_margin(4, 4, 0, 0);
         rectangles.push(rectangle);
         start += length;
--- a/crates/siskinyoke-cli/src/report/requests.rs
+++ b/crates/siskinyoke-cli/src/report/requests.rs
@@ -23,7 +23,7 @@
 /// A finished request, taken from the log record of its end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedRequest<'a> {
-    /// Time from its end to the last log line of its instance, in milliseconds.
+    /// Time from its end to the last line of its log, in milliseconds.
     pub age_ms: u64,
     /// The organisation's tier; 0 is the most urgent.
     pub tier: u64,
@@ -46,11 +46,11 @@
     let mut requests = Vec::new();
     let mut missing_lines = 0;
     for (_, log) in logs {
-        let last_ms = log.records.last().map_or(0, |record| record.time_ms);
+        let log_end_ms = log.records.last().map_or(0, |record| record.time_ms);
         missing_lines += u64::try_from(log.malformed).unwrap_or(u64::MAX);
         for record in &log.records {
             missing_lines += record.u64_field("left_out").unwrap_or(0);
-            requests.extend(parse_request(record, last_ms));
+            requests.extend(parse_request(record, log_end_ms));
         }
     }
     if requests.is_empty() {
@@ -59,10 +59,10 @@
     Ok((requests, missing_lines))
 }
 
-fn parse_request(record: &LogRecord, last_ms: u64) -> Option<FinishedRequest<'_>> {
+fn parse_request(record: &LogRecord, log_end_ms: u64) -> Option<FinishedRequest<'_>> {
     let result = match record.str_field("event")? {
         "answer" => record.str_field("outcome")?,
-        // An admitted request has an `answer` record too, which counts.
+        // An admitted request also has an `answer` record, which is counted instead.
         "refusal" if record.fields.get("admitted")?.as_bool()? => return None,
         "refusal" => record.str_field("reason")?,
         _ => return None,
@@ -73,14 +73,14 @@
     let outcome = match result {
         "answered" | "streamed" if is_late(record) => RequestOutcome::Late,
         "answered" | "streamed" => RequestOutcome::Within,
-        // The caller cancelled; the log does not show whether because of a slow response.
+        // The caller cancelled; the log does not show whether the response was too slow.
         "caller_left" => return None,
         "endpoint_failed" | "no_answer" | "cut" | "late" => RequestOutcome::Broken,
         _ => RequestOutcome::Refused,
     };
     Some(FinishedRequest {
-        age_ms: last_ms.saturating_sub(record.time_ms),
-        // The organisation's tier precedes the route's tier, which has the low eight bits.
+        age_ms: log_end_ms.saturating_sub(record.time_ms),
+        // The low eight bits hold the route's tier, the higher ones the organisation's.
         tier: record.u64_field("rank")? >> 8,
         organisation: record.str_field("organisation").unwrap_or(""),
         outcome,
@@ -92,11 +92,11 @@
 }
 
 fn is_late(record: &LogRecord) -> bool {
-    let first_part = record.u64_field("first_ms").or(record.u64_field("took_ms"));
+    let first_part_ms = record.u64_field("first_ms").or(record.u64_field("took_ms"));
     let exceeds = |value: Option<u64>, limit: Option<u64>| match (value, limit) {
         (Some(value), Some(limit)) => limit > 0 && value > limit,
         _ => false,
     };
-    exceeds(first_part, record.u64_field("aim_ms"))
+    exceeds(first_part_ms, record.u64_field("aim_ms"))
         || exceeds(record.u64_field("pause_ms"), record.u64_field("gap_ms"))
 }
--- a/crates/siskinyoke-cli/src/report/usage.rs
+++ b/crates/siskinyoke-cli/src/report/usage.rs
@@ -19,7 +19,7 @@
 use super::table;
 use crate::logs::read_all;
 
-/// Headings of the table's columns.
+/// Column headings of the table.
 const COLUMN_HEADINGS: [&str; 4] = [
     "ORGANISATION",
     "ANSWERS",
@@ -88,8 +88,8 @@
     }
 }
 
-// Sums the usage by organisation. Complete responses are charged, also late ones; refused requests
-// used no quota.
+// Sums the usage by organisation. Units of complete responses, also late ones, count as used, and
+// those of incomplete ones as wasted; refused requests use no quota.
 fn sum_usage(requests: &[FinishedRequest<'_>]) -> Vec<UsageRow> {
     let mut rows: BTreeMap<&str, UsageRow> = BTreeMap::new();
     for request in requests {
--- a/crates/siskinyoke-cli/src/status.rs
+++ b/crates/siskinyoke-cli/src/status.rs
@@ -26,7 +26,7 @@
     ///
     /// A message if no instance responds.
     pub fn run(&self, context: &Context) -> Result<OutcomeKind, String> {
-        let mut reached = 0;
+        let mut responding = 0;
         let mut text = String::new();
         for address in &self.pages {
             let scrape = context.fetch_page(address, "/metrics").and_then(|page| {
@@ -35,7 +35,7 @@
             });
             let state = match scrape {
                 Ok(scrape) => {
-                    reached += 1;
+                    responding += 1;
                     format_metrics(&scrape)
                 }
                 Err(err) => err,
@@ -45,7 +45,7 @@
         }
         // A closed pipe is not an error: its reader needs no further output.
         let _ = io::stdout().write_all(text.as_bytes());
-        if reached == 0 {
+        if responding == 0 {
             return Err(
                 "no instance responds; hint: pass the addresses of metrics pages".to_owned(),
             );
@@ -70,7 +70,7 @@
 }
 
 fn sum_samples(scrape: &Scrape, name: &str) -> f64 {
-    let samples = scrape.samples.iter().filter(|it| it.metric == name);
+    let samples = scrape.samples.iter().filter(|sample| sample.metric == name);
     samples
         .filter_map(|sample| match sample.value {
             Value::Counter(value) | Value::Untyped(value) => Some(value),
--- a/crates/siskinyoke-cli/src/summary.rs
+++ b/crates/siskinyoke-cli/src/summary.rs
@@ -1,13 +1,13 @@
-//! Summarises in one sentence which limit a request exceeded and where its time was spent.
+//! Summarises a request in one sentence: which limit it exceeded and where its time was spent.
 
 use crate::logs::LogRecord;
 
-/// Summarises the end of a request in one sentence from its own log records.
+/// Summarises a request in one sentence from its log records, if one of them records its end.
 pub fn summarize(records: &[&LogRecord]) -> Option<String> {
     let last_record = |event| {
         records
             .iter()
-            .rfind(|it| it.str_field("event") == Some(event))
+            .rfind(|record| record.str_field("event") == Some(event))
     };
     if let Some(answer) = last_record("answer") {
         return Some(summarize_answer(answer));
@@ -55,13 +55,13 @@
     {
         return format!("late: {first_ms} ms to the first part, target {target} ms ({breakdown})");
     }
-    let pause = record.u64_field("pause_ms").unwrap_or(0);
+    let gap_ms = record.u64_field("pause_ms").unwrap_or(0);
     let gap_target = record
         .u64_field("gap_ms")
-        .filter(|target| *target > 0 && pause > *target);
+        .filter(|target| *target > 0 && gap_ms > *target);
     if let Some(target) = gap_target {
         return format!(
-            "late: a gap of {pause} ms between two parts, target {target} ms{}",
+            "late: a gap of {gap_ms} ms between two parts, target {target} ms{}",
             endpoint_suffix(record)
         );
     }
@@ -70,11 +70,12 @@
 
 fn summarize_refusal(record: &LogRecord) -> String {
     let reason = record.str_field("reason").unwrap_or("?");
-    let retry_after = record.u64_field("after_ms").unwrap_or(0);
+    let retry_after_ms = record.u64_field("after_ms").unwrap_or(0);
     let waiting = record.u64_field("waiting").unwrap_or(0);
     let running = record.u64_field("running").unwrap_or(0);
     format!(
-        "refused immediately ({reason}), retry after {retry_after} ms; {waiting} requests waiting and {running} running on the instance"
+        "refused immediately ({reason}), retry after {retry_after_ms} ms; {waiting} requests waiting \
+         and {running} running on the instance"
     )
 }
 
--- a/crates/siskinyoke-client/src/attempt.rs
+++ b/crates/siskinyoke-client/src/attempt.rs
@@ -1,4 +1,4 @@
-//! A single attempt to send a request, and the errors by which it fails.
+//! One attempt to send a request, and the errors with which it can fail.
 
 use rand::Rng;
 use rand::distr::Alphanumeric;
@@ -11,7 +11,7 @@
 /// Length of a generated request ID: about 120 bits, so that collisions are negligible.
 const ID_LENGTH: usize = 20;
 
-/// A single attempt to send a request.
+/// One attempt to send a request.
 pub struct Attempt<'a> {
     /// The request to send.
     pub request: &'a Request,
@@ -21,11 +21,11 @@
     pub index: u32,
 }
 
-/// The reason why an attempt received no response.
+/// The reason why an attempt received no complete response.
 pub enum AttemptError {
     /// The request was not sent.
     NotSent(String),
-    /// The request was sent at least in part and may have run.
+    /// The request was sent, at least in part, and may have run.
     ResponseLost(String),
 }
 
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -28,13 +28,13 @@
 /// Settings of a client.
 #[derive(Debug, Clone)]
 pub struct ClientSettings {
-    /// Addresses that answer `/v1/locate` requests.
+    /// Addresses that serve `/v1/locate`, tried in this order.
     pub addresses: Vec<String>,
     /// The API key, sent as bearer token.
     pub key: String,
     /// The maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// The maximum delay before a retry. A refusal with a longer `Retry-After` is returned.
+    /// The maximum delay before a retry. A refusal with a longer `Retry-After` is not retried.
     pub max_delay: Millis,
     /// The timeout of a single attempt.
     pub attempt_timeout: Millis,
@@ -91,8 +91,8 @@
     ///
     /// A request that was refused without running is retried later or at another address. If the
     /// outcome is unknown, only an idempotent request is retried; for any other, the outcome is
-    /// returned, as only the caller can decide how to proceed. Each event of a stream is passed to
-    /// `sink` as it arrives, and only once across all attempts.
+    /// returned, because only the caller can decide how to proceed. Each event of a stream is
+    /// passed to `sink` as it arrives, and only once across all attempts.
     ///
     /// # Errors
     ///
@@ -121,13 +121,13 @@
             let outcome = match self.send_once(address, &attempt, &mut delivered_count, sink) {
                 Ok(outcome) => outcome,
                 Err(AttemptError::NotSent(detail)) => {
-                    last_error = format!("{address}: {detail}");
+                    last_error = format!("{address}: request {id} was not sent: {detail}");
                     self.cached_location = None;
                     thread::sleep(DEFAULT_RETRY_DELAY.into());
                     continue;
                 }
                 Err(AttemptError::ResponseLost(detail)) => {
-                    log::info!("{address}: no complete response: {detail}");
+                    log::info!("{address}: no complete response to request {id}: {detail}");
                     attempt.unknown_outcome()
                 }
             };
@@ -146,7 +146,7 @@
         Err(ClientError::Unreachable(last_error))
     }
 
-    // Returns the cached addresses followed by the configured ones, without duplicates.
+    // Returns the cached addresses followed by those of the settings, without duplicates.
     fn candidate_addresses(&self) -> Vec<String> {
         let cached = self
             .cached_location
@@ -168,7 +168,10 @@
         let mut response = response.map_err(|err| err.to_string())?;
         if response.status() != http::StatusCode::OK {
             let text = response.body_mut().read_to_string().unwrap_or_default();
-            return Err(format!("{} {text}", response.status()));
+            return Err(format!(
+                "responded with status {}: {text}",
+                response.status()
+            ));
         }
         response
             .body_mut()
@@ -243,7 +246,7 @@
         }
         outcome.body.push(event.data);
     }
-    Err("the stream ended without its terminator".into())
+    Err("the stream ended without the event [DONE]".into())
 }
 
 fn header<'a>(response: &'a http::Response<Body>, name: &str) -> Option<&'a str> {
@@ -253,7 +256,7 @@
         .and_then(|value| value.to_str().ok())
 }
 
-/// Parses a kind. A request whose response has none may have run.
+/// Parses the kind of an outcome. Without a valid one, the request may have run.
 fn parse_kind(text: Option<&str>) -> OutcomeKind {
     match text {
         Some("done") => OutcomeKind::Done,
@@ -262,7 +265,8 @@
     }
 }
 
-/// Returns whether a refusal with this status may be lifted later or at another instance.
+/// Returns whether a retry may succeed, later or at another instance, after a refusal with this
+/// status.
 fn is_retryable(status: u16) -> bool {
     matches!(status, 408 | 409 | 429 | 503)
 }
--- a/crates/siskinyoke-client/src/error.rs
+++ b/crates/siskinyoke-client/src/error.rs
@@ -10,9 +10,9 @@
         Unreachable(detail: String) {
             display("no address responds: {detail}; hint: pass other addresses with --address")
         }
-        /// An input or a response cannot be read.
+        /// An input cannot be read.
         Input(detail: String) {
-            display("cannot read input or response: {detail}")
+            display("cannot read {detail}")
         }
     }
 }
--- a/crates/siskinyoke-client/src/request.rs
+++ b/crates/siskinyoke-client/src/request.rs
@@ -23,10 +23,10 @@
 
 impl Request {
     /// Creates a chat completion request with at most `max_tokens` output tokens.
-    pub fn chat(model: &str, text: &str, stream: bool, max_tokens: u32) -> Self {
+    pub fn chat(model: &str, prompt: &str, stream: bool, max_tokens: u32) -> Self {
         let body = serde_json::json!({
             "model": model,
-            "messages": [{"role": "user", "content": text}],
+            "messages": [{"role": "user", "content": prompt}],
             "stream": stream,
             "max_tokens": max_tokens,
         });
--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -19,7 +19,7 @@
 /// The result of one request, as seen by its caller.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// The request's id.
+    /// The request ID.
     pub id: String,
     /// The kind of request.
     pub kind: RequestKind,
@@ -59,7 +59,7 @@
         let outcomes = self.outcomes.lock().unwrap();
         let served = outcomes
             .iter()
-            .filter(|it| it.status() == Some(200))
+            .filter(|outcome| outcome.status() == Some(200))
             .count();
         (served, outcomes.len() - served)
     }
@@ -121,11 +121,11 @@
     violations
 }
 
-// Events must be in order and without gaps, and the final chunk must follow only the last event.
+// Events must be in order and without gaps, and the final chunk may follow only the last event.
 fn check_stream(id: &str, response: &str) -> Option<String> {
     let events: Vec<&str> = response
         .lines()
-        .filter_map(|it| it.strip_prefix("data: "))
+        .filter_map(|line| line.strip_prefix("data: "))
         .collect();
     let expected = ["1", "2", "3", "4"];
     let is_complete = response.ends_with("0\r\n\r\n");
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -18,8 +18,8 @@
 use crate::checker::Outcome;
 use crate::checker::RequestKind;
 
-/// The requests that callers choose from: their kind, and the path that selects the behaviour of
-/// endpoints.
+/// The requests that callers choose from: the kind of each, and its path, which selects how the
+/// endpoint behaves.
 const REQUESTS: [(RequestKind, &str); 6] = [
     (RequestKind::Safe, "/safe/a"),
     (RequestKind::Safe, "/safe/cut"),
@@ -38,15 +38,15 @@
     stop: &Arc<AtomicBool>,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 1_000 + caller);
-    let mut reusable: Option<TcpStream> = None;
-    let mut count = 0;
+    let mut idle_connection: Option<TcpStream> = None;
+    let mut request_number = 0;
     while !stop.load(Ordering::Relaxed) {
-        count += 1;
+        request_number += 1;
         let (kind, path) = *REQUESTS.choose(&mut rng).unwrap_or(&REQUESTS[0]);
-        let id = format!("s{seed}c{caller}n{count}");
+        let id = format!("s{seed}c{caller}n{request_number}");
         let close = rng.random_bool(0.3) || kind == RequestKind::Stream;
         let address = instances.choose(&mut rng).copied();
-        let stream = reusable
+        let stream = idle_connection
             .take()
             .or_else(|| TcpStream::connect(address?).ok());
         let Some(mut stream) = stream else {
@@ -57,7 +57,7 @@
         let keeps_open =
             response.starts_with("HTTP/1.1") && !response.contains("connection: close");
         if keeps_open && !close {
-            reusable = Some(stream);
+            idle_connection = Some(stream);
         }
         checker.add(Outcome { id, kind, response });
     }
@@ -101,5 +101,5 @@
     let length = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length: "));
-    length.is_some_and(|it| it.parse() == Ok(body.len()))
+    length.is_some_and(|length| length.parse() == Ok(body.len()))
 }
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -37,8 +37,8 @@
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|row| row.0 == name)
-            .map(|row| &*row.1)
+            .find(|header| header.0 == name)
+            .map(|header| &*header.1)
     }
 
     fn line_contains(&self, text: &str) -> bool {
@@ -49,7 +49,7 @@
 /// A stand-in for an endpoint, whose behaviour is selected by the path of each request.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// The endpoint's id.
+    /// The endpoint's ID.
     pub id: String,
     /// The version of its software, if its entry in the store states one.
     pub version: Option<String>,
@@ -102,7 +102,8 @@
     /// Returns its entry in the store with another address, such as that of a proxy.
     pub fn entry_at(&self, address: SocketAddr, state: &str) -> String {
         let version = self.version.as_ref();
-        let version = version.map_or_else(String::new, |it| format!(r#""Version":"{it}","#));
+        let version =
+            version.map_or_else(String::new, |version| format!(r#""Version":"{version}","#));
         format!(
             r#"{{"Service":"lm",{version}"Address":"{address}","Zone":"a","Slots":4,"State":"{state}","born":1}}"#
         )
@@ -117,7 +118,7 @@
         self.requests.lock().unwrap().clone()
     }
 
-    /// Returns how often a connection was closed while its request was running.
+    /// Returns how often a connection was closed during a request whose path contains `slow`.
     ///
     /// # Panics
     ///
@@ -267,7 +268,7 @@
         )
     }
 
-    // Waits until the connection is closed, and counts it.
+    // Waits until the caller closes the connection, and counts the disconnect.
     fn wait_for_disconnect(&self, out: &mut TcpStream) -> std::io::Result<()> {
         let mut byte = [0];
         if out.read(&mut byte)? == 0 {
--- a/soak/src/instance.rs
+++ b/soak/src/instance.rs
@@ -157,10 +157,10 @@
     ///
     /// # Panics
     ///
-    /// If the process id is invalid or the signal cannot be sent.
+    /// If the process ID is invalid or the signal cannot be sent.
     pub fn send_signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).unwrap();
-        // The id is not reused: an exited child remains a zombie process until it is waited for.
+        // The process ID is not reused: an exited child remains a zombie until it is waited for.
         if let Err(err) = kill_process(Pid::from_raw(pid).unwrap(), signal) {
             assert_eq!(err, Errno::SRCH);
         }
@@ -260,7 +260,7 @@
     let length = text
         .lines()
         .find_map(|line| line.strip_prefix("content-length: "))
-        .map_or(0, |it| it.parse().unwrap());
+        .map_or(0, |length| length.parse().unwrap());
     let mut body = vec![0; length];
     stream.read_exact(&mut body).unwrap();
     text.push_str(&String::from_utf8(body).unwrap());
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -22,7 +22,7 @@
     DropAll,
     /// Discards bytes from the target.
     DropResponses,
-    /// Closes connections when bytes arrive on them, and new ones at once.
+    /// Closes existing connections when bytes arrive on them, and new ones at once.
     Reset,
 }
 
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -26,6 +26,7 @@
 use crate::proxy::Fault;
 use crate::store::Availability;
 
+/// The number of caller threads.
 const CALLER_COUNT: u64 = 6;
 
 /// The number of gateway processes and endpoints in a run.
@@ -74,7 +75,7 @@
     pub served: usize,
     /// How many requests got any other response, or none.
     pub unserved: usize,
-    /// How many rollout states were written to the store.
+    /// How many rollout statuses were written to the store.
     pub rollout_statuses: usize,
     /// A description of each violated guarantee.
     pub violations: Vec<String>,
@@ -98,7 +99,11 @@
     let mut fleet = Fleet::start(program, size);
     let checker = Arc::new(Checker::default());
     let stop = Arc::new(AtomicBool::new(false));
-    let addresses: Vec<SocketAddr> = fleet.instances.iter().map(|it| it.caller_address).collect();
+    let addresses: Vec<SocketAddr> = fleet
+        .instances
+        .iter()
+        .map(|instance| instance.caller_address)
+        .collect();
     let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|caller| {
             let (checker, stop, addresses) = (checker.clone(), stop.clone(), addresses.clone());
@@ -138,7 +143,7 @@
             .collect();
         let endpoint_proxies: Vec<Proxy> = endpoints
             .iter()
-            .map(|it| Proxy::start(it.address))
+            .map(|endpoint| Proxy::start(endpoint.address))
             .collect();
         for (endpoint, proxy) in endpoints.iter().zip(&endpoint_proxies) {
             let entry = endpoint.entry_at(proxy.address, "ready");
@@ -172,7 +177,7 @@
             1 | 2 => self
                 .instances
                 .iter()
-                .for_each(|it| it.send_signal(Signal::CONT)),
+                .for_each(|instance| instance.send_signal(Signal::CONT)),
             3 => {
                 self.instances[index].kill();
                 self.instances[index].restart();
@@ -187,21 +192,21 @@
             6 => set_random_fault(&self.store_proxies, rng),
             7 => set_random_fault(&self.endpoint_proxies, rng),
             8 => {
-                let states = [
+                let availabilities = [
                     Availability::Unavailable,
                     Availability::Unresponsive,
                     Availability::Available,
                     Availability::Available,
                 ];
                 self.store
-                    .set_availability(*states.choose(rng).unwrap_or(&states[0]));
+                    .set_availability(*availabilities.choose(rng).unwrap_or(&availabilities[0]));
             }
             9 => self.change_rollout_order(rng),
             _ => self.update_store(rng),
         }
     }
 
-    // Orders a rollout to a random version, or removes the order.
+    // Writes a rollout order for a random version, or removes the order.
     fn change_rollout_order(&mut self, rng: &mut ChaCha8Rng) {
         if rng.random_bool(0.2) {
             self.store.remove("op/rollout/lm");
@@ -291,22 +296,24 @@
             &configuration::text(self.configuration_version, "k1"),
         );
         thread::sleep(PROPAGATION_TIMEOUT);
-        let is_outdated = |it: &&Instance| active_version(it) != Some(self.configuration_version);
+        let is_outdated =
+            |instance: &&Instance| active_version(instance) != Some(self.configuration_version);
         let outdated = self.instances.iter().filter(is_outdated);
         outdated
-            .map(|it| {
+            .map(|instance| {
                 format!(
                     "configuration version {} is not in use at {}: active version {:?}",
                     self.configuration_version,
-                    it.caller_address,
-                    active_version(it)
+                    instance.caller_address,
+                    active_version(instance)
                 )
             })
             .collect()
     }
 }
 
-// Checks that the state of a rollout order does not change after it is completed or rolled back.
+// Checks that the status of a rollout order does not change once the rollout is completed or rolled
+// back.
 fn check_rollout_statuses(rollout_statuses: &[(u64, String)]) -> Vec<String> {
     let mut violations = Vec::new();
     for pair in rollout_statuses.windows(2) {
@@ -316,7 +323,7 @@
         let is_final = first.contains("completed") || first.contains("rolled_back");
         if *order > 0 && order == next_order && is_final && first != second {
             violations.push(format!(
-                "rollout order {order}: final state {first} was replaced by {second}"
+                "rollout order {order}: final status {first} was replaced by {second}"
             ));
         }
     }
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -29,13 +29,14 @@
 
 #[derive(Debug)]
 struct State {
+    // The revision and the Base64-encoded value of each key.
     items: BTreeMap<String, (u64, String)>,
     changes: Vec<Value>,
     revision: u64,
     availability: Availability,
     // Changes up to this revision are no longer available to watch calls.
     compacted_revision: u64,
-    // All rollout states written, each with the revision of its order, or 0 if there was none.
+    // All rollout statuses written, each with the revision of its order, or 0 if there was none.
     rollout_statuses: Vec<(u64, String)>,
 }
 
@@ -140,7 +141,7 @@
         Some(String::from_utf8(value).unwrap())
     }
 
-    /// Returns all rollout states written, each with the revision of its order, or 0 if there was
+    /// Returns all rollout statuses written, each with the revision of its order, or 0 if there was
     /// none.
     ///
     /// # Panics
@@ -232,7 +233,7 @@
         if state.compacted_revision > after {
             return (410, json!({}));
         }
-        let is_newer = |it: &&Value| it["Revision"].as_u64().unwrap() > after;
+        let is_newer = |change: &&Value| change["Revision"].as_u64().unwrap() > after;
         let events: Vec<_> = state.changes.iter().filter(is_newer).cloned().collect();
         (200, json!({ "events": events, "At": state.revision }))
     }
@@ -245,7 +246,7 @@
         let mut state = state.lock().unwrap();
         let unmodified = body["Expected"].as_array().unwrap().iter().all(|row| {
             let item = state.items.get(row["Key"].as_str().unwrap());
-            item.map_or(0, |it| it.0) == row["Revision"].as_u64().unwrap()
+            item.map_or(0, |item| item.0) == row["Revision"].as_u64().unwrap()
         });
         if !unmodified {
             return (412, json!({ "Items": [] }));
@@ -270,7 +271,7 @@
             let text = STANDARD.decode(value).unwrap();
             let text = String::from_utf8(text).unwrap();
             self.rollout_statuses
-                .push((order.map_or(0, |it| it.0), text));
+                .push((order.map_or(0, |order| order.0), text));
         }
         self.items
             .insert(key.to_owned(), (self.revision, value.to_owned()));
