--- a/crates/siskinyoke-cli/tests/explain.rs
+++ b/crates/siskinyoke-cli/tests/explain.rs
@@ -15,7 +15,7 @@
 fn report(id: &str, logs: &[(&str, &str)]) -> Result<String, String> {
     let logs: Vec<_> = logs
         .iter()
-        .map(|it| (it.0.to_owned(), Log::parse(it.1.as_bytes())))
+        .map(|log| (log.0.to_owned(), Log::parse(log.1.as_bytes())))
         .collect();
     let mut out = Vec::new();
     write_report(id, &logs, false, &mut out).map_err(|err| err.to_string())?;
--- a/crates/siskinyoke-cli/tests/report.rs
+++ b/crates/siskinyoke-cli/tests/report.rs
@@ -7,11 +7,11 @@
 use siskinyoke_cli::report::BurnArgs;
 use siskinyoke_cli::report::UsageArgs;
 
-// Returns a log line of a request that ended `minutes` before two hours of the instance's clock.
+// Returns a log line of a request that ended `minutes` before the instance had run for two hours.
 fn line(minutes: u64, outcome: &str, first_ms: u64, organisation: &str) -> String {
-    let at = 7_200_000 - minutes * 60_000;
+    let at_ms = 7_200_000 - minutes * 60_000;
     format!(
-        r#"{{"at_ms":{at},"event":"answer","id":"r","rank":257,"outcome":"{outcome}","first_ms":{first_ms},"took_ms":2000,"aim_ms":500,"organisation":"{organisation}","units":10.0}}"#
+        r#"{{"at_ms":{at_ms},"event":"answer","id":"r","rank":257,"outcome":"{outcome}","first_ms":{first_ms},"took_ms":2000,"aim_ms":500,"organisation":"{organisation}","units":10.0}}"#
     )
 }
 
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -52,7 +52,7 @@
     };
 }
 
-/// How long all instances must have run without a fault before updates have to propagate in time.
+/// How long no instance may have exited before the propagation of an update is checked.
 const STABLE_PERIOD: Duration = Duration::from_secs(5);
 
 /// Maximum time until an update is in use everywhere, which operators of large fleets rely on.
@@ -62,10 +62,10 @@
 /// never drained.
 const SERVICE_VERSIONS: [&str; 2] = ["v1", "v2"];
 
-/// Number of faults in a run.
-const FAULT_COUNT: usize = 25;
+/// Number of steps in a run, each of which is a fault, the end of one, or an update of the store.
+const STEP_COUNT: usize = 25;
 
-/// Upper bound of the pause after each fault.
+/// Upper bound of the pause after each step.
 const MAX_PAUSE_MS: u64 = 250;
 
 /// The result of a run.
@@ -111,8 +111,8 @@
         })
         .collect();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    for _ in 0..FAULT_COUNT {
-        fleet.inject_fault(&mut rng);
+    for _ in 0..STEP_COUNT {
+        fleet.run_random_step(&mut rng);
         thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
     }
     fleet.clear_faults();
@@ -170,7 +170,7 @@
     }
 
     // Injects a random fault, ends one, or writes a random update to the store.
-    fn inject_fault(&mut self, rng: &mut ChaCha8Rng) {
+    fn run_random_step(&mut self, rng: &mut ChaCha8Rng) {
         let index = rng.random_range(0..self.instances.len());
         match rng.random_range(0..11) {
             0 => self.instances[index].send_signal(Signal::STOP),
@@ -220,17 +220,14 @@
 
     // Writes a random endpoint's state and a new configuration version, and may compact the store.
     fn update_store(&mut self, rng: &mut ChaCha8Rng) {
-        let endpoint = rng.random_range(0..self.endpoints.len());
-        let state = if endpoint > 1 && rng.random() {
+        let index = rng.random_range(0..self.endpoints.len());
+        let state = if index > 1 && rng.random() {
             "draining"
         } else {
             "ready"
         };
-        let (id, proxy) = (
-            &self.endpoints[endpoint].id,
-            &self.endpoint_proxies[endpoint],
-        );
-        let entry = self.endpoints[endpoint].entry_at(proxy.address, state);
+        let (id, proxy) = (&self.endpoints[index].id, &self.endpoint_proxies[index]);
+        let entry = self.endpoints[index].entry_at(proxy.address, state);
         self.store.put(&format!("servers/{id}"), &entry);
         self.configuration_version += 1;
         self.store.put(
@@ -253,7 +250,8 @@
         }
     }
 
-    // Checks that every instance serves requests again within seconds, and that updates propagate.
+    // Checks that every instance serves requests again within 200 probes, and that updates
+    // propagate.
     fn check_recovery(&mut self) -> Vec<String> {
         let mut violations = Vec::new();
         for index in 0..self.instances.len() {
@@ -286,8 +284,8 @@
         }
     }
 
-    // Checks that a new configuration is in use at all instances in time, including those that
-    // receive it from a peer.
+    // Checks that a new configuration is in use at every instance after `PROPAGATION_TIMEOUT`,
+    // including those that receive it from a peer.
     fn check_propagation(&mut self) -> Vec<String> {
         self.wait_until_stable();
         self.configuration_version += 1;
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -244,9 +244,9 @@
         let body: Value = serde_json::from_str(body).unwrap();
         let (state, changed) = &*self.shared;
         let mut state = state.lock().unwrap();
-        let unmodified = body["Expected"].as_array().unwrap().iter().all(|row| {
-            let item = state.items.get(row["Key"].as_str().unwrap());
-            item.map_or(0, |item| item.0) == row["Revision"].as_u64().unwrap()
+        let unmodified = body["Expected"].as_array().unwrap().iter().all(|expected| {
+            let item = state.items.get(expected["Key"].as_str().unwrap());
+            item.map_or(0, |item| item.0) == expected["Revision"].as_u64().unwrap()
         });
         if !unmodified {
             return (412, json!({ "Items": [] }));
