--- a/crates/siskinyoke-standin/src/load/file.rs
+++ b/crates/siskinyoke-standin/src/load/file.rs
@@ -7,7 +7,7 @@
 use crate::error::StandinError;
 use siskinyoke_base::Millis;
 
-/// Upper bound of requests per run: what one machine can send and keep in memory.
+/// Upper bound and default of requests per run: what one machine can send and keep.
 const MAX_REQUESTS: usize = 100_000;
 
 /// The parsed load file.
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -157,7 +157,7 @@
 #[test]
 fn a_request_with_the_crash_marker_fails_all_requests_in_flight() {
     // One request crashes the engine, and an unrelated request in flight loses its connection.
-    // Both callers see a broken connection, and new ones are refused until the engine restarts.
+    // Both callers see a broken connection, and new ones are refused until the engine is up again.
     let engine = engine(&EngineConfig {
         speed: 20.0,
         crash_marker: Some("poison".to_owned()),
