--- a/crates/siskinyoke-cli/src/caller.rs
+++ b/crates/siskinyoke-cli/src/caller.rs
@@ -7,8 +7,8 @@
 use clap::Args;
 
 use crate::context::Context;
-use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
+use siskinyoke_base::OutcomeKind;
 use siskinyoke_client::ClientError;
 use siskinyoke_client::Outcome;
 use siskinyoke_client::Request;
@@ -51,7 +51,7 @@
     text: String,
 }
 
-/// Prints the addresses to use.
+/// Prints the addresses of the instances to use.
 ///
 /// # Errors
 ///
@@ -104,12 +104,12 @@
         let mut text = String::new();
         io::stdin()
             .read_to_string(&mut text)
-            .map_err(|err| ClientError::Malformed(format!("standard input: {err}")))?;
+            .map_err(|err| ClientError::Input(format!("standard input: {err}")))?;
         Ok(text)
     }
 }
 
-/// Prints the text of one event of a stream.
+/// Prints the output text in one event of a chat completion stream.
 fn print_event(data: &str) {
     let event: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
     let text = event["choices"][0]["delta"]["content"]
@@ -134,9 +134,9 @@
         outcome.id, outcome.code, outcome.kind, outcome.attempts
     );
     eprintln!("{summary}");
-    if outcome.kind != Kind::Done
-        && let Some(after) = outcome.retry_after
+    if outcome.kind != OutcomeKind::Done
+        && let Some(delay) = outcome.retry_after
     {
-        eprintln!("retry after {after}");
+        eprintln!("retry after {delay}");
     }
 }
--- a/crates/siskinyoke-cli/src/summary.rs
+++ b/crates/siskinyoke-cli/src/summary.rs
@@ -1,18 +1,18 @@
-//! Summarises in one sentence which limit a request exceeded and where its time was spent.
+//! Summarises a request in one sentence: which limit it exceeded and where its time was spent.
 
 use crate::logs::LogRecord;
 
-/// Summarises the end of a request in one sentence from its own log records.
+/// Summarises a request in one sentence from its log records, if one of them records its end.
 pub fn summarize(records: &[&LogRecord]) -> Option<String> {
-    let last = |event| {
+    let last_record = |event| {
         records
             .iter()
-            .rfind(|it| it.str_field("event") == Some(event))
+            .rfind(|record| record.str_field("event") == Some(event))
     };
-    if let Some(answer) = last("answer") {
+    if let Some(answer) = last_record("answer") {
         return Some(summarize_answer(answer));
     }
-    last("refusal").map(|record| summarize_refusal(record))
+    last_record("refusal").map(|record| summarize_refusal(record))
 }
 
 fn summarize_answer(record: &LogRecord) -> String {
@@ -22,20 +22,20 @@
         "streamed" | "answered" => summarize_latency(record, total_ms),
         "cut" => format!(
             "the response was cut off after {total_ms} ms{}",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
         "no_answer" => format!(
             "no response after {total_ms} ms{}; the request may have run",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
         "endpoint_failed" => format!(
             "failed by the endpoint after {total_ms} ms{}",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
-        "late" => format!("timed out after {total_ms} ms{}", at_endpoint(record)),
+        "late" => format!("timed out after {total_ms} ms{}", endpoint_suffix(record)),
         "caller_left" => format!(
             "cancelled by the caller after {total_ms} ms{}",
-            at_endpoint(record)
+            endpoint_suffix(record)
         ),
         reason => format!("refused after {total_ms} ms ({reason}); the request has not run"),
     }
@@ -47,7 +47,7 @@
     let breakdown = format!(
         "{waited_ms} ms waiting at the instance, {} ms{}",
         first_ms.saturating_sub(waited_ms),
-        at_endpoint(record)
+        endpoint_suffix(record)
     );
     if let Some(target) = record
         .u64_field("aim_ms")
@@ -55,14 +55,14 @@
     {
         return format!("late: {first_ms} ms to the first part, target {target} ms ({breakdown})");
     }
-    let pause = record.u64_field("pause_ms").unwrap_or(0);
+    let gap_ms = record.u64_field("pause_ms").unwrap_or(0);
     let gap_target = record
         .u64_field("gap_ms")
-        .filter(|target| *target > 0 && pause > *target);
+        .filter(|target| *target > 0 && gap_ms > *target);
     if let Some(target) = gap_target {
         return format!(
-            "late: a gap of {pause} ms between two parts, target {target} ms{}",
-            at_endpoint(record)
+            "late: a gap of {gap_ms} ms between two parts, target {target} ms{}",
+            endpoint_suffix(record)
         );
     }
     format!("in time: {first_ms} ms to the first part ({breakdown})")
@@ -70,15 +70,16 @@
 
 fn summarize_refusal(record: &LogRecord) -> String {
     let reason = record.str_field("reason").unwrap_or("?");
-    let retry_after = record.u64_field("after_ms").unwrap_or(0);
+    let retry_after_ms = record.u64_field("after_ms").unwrap_or(0);
     let waiting = record.u64_field("waiting").unwrap_or(0);
     let running = record.u64_field("running").unwrap_or(0);
     format!(
-        "refused immediately ({reason}), retry after {retry_after} ms; {waiting} requests waiting and {running} running on the instance"
+        "refused immediately ({reason}), retry after {retry_after_ms} ms; {waiting} requests waiting \
+         and {running} running on the instance"
     )
 }
 
-fn at_endpoint(record: &LogRecord) -> String {
+fn endpoint_suffix(record: &LogRecord) -> String {
     record
         .str_field("endpoint")
         .map_or(String::new(), |endpoint| format!(" at {endpoint}"))
--- a/crates/siskinyoke-client/src/client.rs
+++ b/crates/siskinyoke-client/src/client.rs
@@ -16,8 +16,8 @@
 use crate::attempt::Attempt;
 use crate::attempt::AttemptError;
 use crate::attempt::generate_id;
-use siskinyoke_base::Kind;
 use siskinyoke_base::Millis;
+use siskinyoke_base::OutcomeKind;
 
 /// The data of the event that ends a complete stream.
 const STREAM_TERMINATOR: &str = "[DONE]";
@@ -28,13 +28,13 @@
 /// Settings of a client.
 #[derive(Debug, Clone)]
 pub struct ClientSettings {
-    /// Addresses that answer `/v1/locate` requests.
+    /// Addresses that serve `/v1/locate`, tried in this order.
     pub addresses: Vec<String>,
     /// The API key, sent as bearer token.
     pub key: String,
     /// The maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// The maximum delay before a retry. A refusal with a longer `Retry-After` is returned.
+    /// The maximum delay before a retry. A refusal with a longer `Retry-After` is not retried.
     pub max_delay: Millis,
     /// The timeout of a single attempt.
     pub attempt_timeout: Millis,
@@ -76,7 +76,7 @@
         }
         let mut errors = Vec::new();
         for address in self.candidate_addresses() {
-            match self.locate_at(&address) {
+            match self.fetch_location(&address) {
                 Ok(location) => {
                     self.cached_location = Some((location.clone(), Instant::now()));
                     return Ok(location);
@@ -91,8 +91,8 @@
     ///
     /// A request that was refused without running is retried later or at another address. If the
     /// outcome is unknown, only an idempotent request is retried; for any other, the outcome is
-    /// returned, as only the caller can decide how to proceed. Each event of a stream is passed to
-    /// `sink` as it arrives, and only once across all attempts.
+    /// returned, because only the caller can decide how to proceed. Each event of a stream is
+    /// passed to `sink` as it arrives, and only once across all attempts.
     ///
     /// # Errors
     ///
@@ -103,7 +103,7 @@
         sink: &mut dyn FnMut(&str),
     ) -> Result<Outcome, ClientError> {
         let id = request.id.clone().unwrap_or_else(generate_id);
-        let mut delivered = 0;
+        let mut delivered_count = 0;
         let mut last_error = String::new();
         for index in 0..self.settings.max_attempts {
             let location = self.locate()?;
@@ -118,24 +118,24 @@
                 id: &id,
                 index,
             };
-            let outcome = match self.send_once(address, &attempt, &mut delivered, sink) {
+            let outcome = match self.send_once(address, &attempt, &mut delivered_count, sink) {
                 Ok(outcome) => outcome,
                 Err(AttemptError::NotSent(detail)) => {
-                    last_error = format!("{address}: {detail}");
+                    last_error = format!("{address}: request {id} was not sent: {detail}");
                     self.cached_location = None;
                     thread::sleep(DEFAULT_RETRY_DELAY.into());
                     continue;
                 }
                 Err(AttemptError::ResponseLost(detail)) => {
-                    log::info!("{address}: no complete response: {detail}");
+                    log::info!("{address}: no complete response to request {id}: {detail}");
                     attempt.unknown_outcome()
                 }
             };
             let is_last = index + 1 == self.settings.max_attempts;
             let retry = match outcome.kind {
-                Kind::Done => false,
-                Kind::NotRun => is_retryable(outcome.status),
-                Kind::Unknown => request.idempotent,
+                OutcomeKind::Done => false,
+                OutcomeKind::NotRun => is_retryable(outcome.status),
+                OutcomeKind::Unknown => request.idempotent,
             };
             let delay = outcome.retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
             if !retry || is_last || delay > self.settings.max_delay {
@@ -146,7 +146,7 @@
         Err(ClientError::Unreachable(last_error))
     }
 
-    // Returns the cached addresses followed by the configured ones, without duplicates.
+    // Returns the cached addresses followed by those of the settings, without duplicates.
     fn candidate_addresses(&self) -> Vec<String> {
         let cached = self
             .cached_location
@@ -162,13 +162,16 @@
         addresses
     }
 
-    fn locate_at(&self, address: &str) -> Result<Location, String> {
+    fn fetch_location(&self, address: &str) -> Result<Location, String> {
         let url = format!("http://{address}/v1/locate");
         let response = self.agent.get(&url).call();
         let mut response = response.map_err(|err| err.to_string())?;
         if response.status() != http::StatusCode::OK {
             let text = response.body_mut().read_to_string().unwrap_or_default();
-            return Err(format!("{} {text}", response.status()));
+            return Err(format!(
+                "responded with status {}: {text}",
+                response.status()
+            ));
         }
         response
             .body_mut()
@@ -180,7 +183,7 @@
         &self,
         address: &str,
         attempt: &Attempt<'_>,
-        delivered: &mut usize,
+        delivered_count: &mut usize,
         sink: &mut dyn FnMut(&str),
     ) -> Result<Outcome, AttemptError> {
         let request = attempt
@@ -203,7 +206,7 @@
             attempts: attempt.index + 1,
         };
         if is_stream {
-            read_stream(response, &mut outcome, delivered, sink)
+            read_stream(response, &mut outcome, delivered_count, sink)
                 .map_err(AttemptError::ResponseLost)?;
         } else {
             let text = response
@@ -220,7 +223,7 @@
 fn read_stream(
     response: http::Response<Body>,
     outcome: &mut Outcome,
-    delivered: &mut usize,
+    delivered_count: &mut usize,
     sink: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
     for event in Events::new(response.into_body().into_reader()) {
@@ -234,16 +237,16 @@
         }
         if event.data == STREAM_TERMINATOR {
             outcome.code = siskinyoke_base::Code::Complete.number();
-            outcome.kind = Kind::Done;
+            outcome.kind = OutcomeKind::Done;
             return Ok(());
         }
-        if outcome.body.len() >= *delivered {
-            *delivered += 1;
+        if outcome.body.len() >= *delivered_count {
+            *delivered_count += 1;
             sink(&event.data);
         }
         outcome.body.push(event.data);
     }
-    Err("the stream ended without its terminator".into())
+    Err("the stream ended without the event [DONE]".into())
 }
 
 fn header<'a>(response: &'a http::Response<Body>, name: &str) -> Option<&'a str> {
@@ -253,16 +256,17 @@
         .and_then(|value| value.to_str().ok())
 }
 
-/// Parses a kind. A request whose response has none may have run.
-fn parse_kind(text: Option<&str>) -> Kind {
+/// Parses the kind of an outcome. Without a valid one, the request may have run.
+fn parse_kind(text: Option<&str>) -> OutcomeKind {
     match text {
-        Some("done") => Kind::Done,
-        Some("not-run") => Kind::NotRun,
-        _ => Kind::Unknown,
+        Some("done") => OutcomeKind::Done,
+        Some("not-run") => OutcomeKind::NotRun,
+        _ => OutcomeKind::Unknown,
     }
 }
 
-/// Returns whether a refusal with this status may be lifted later or at another instance.
+/// Returns whether a retry may succeed, later or at another instance, after a refusal with this
+/// status.
 fn is_retryable(status: u16) -> bool {
     matches!(status, 408 | 409 | 429 | 503)
 }
--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -37,7 +37,7 @@
 const CROSS_SHARD_RECEIVERS: usize = 3;
 
 /// The timeouts of calls to the store and to peers, and the time that a watch may take beyond its
-/// hold, as in the gateway.
+/// timeout, as in the gateway.
 const STORE_TIMEOUT_MS: u64 = 1_500;
 const WATCH_MARGIN_MS: u64 = 700;
 const PEER_TIMEOUT_MS: u64 = 1_000;
@@ -53,7 +53,8 @@
     /// Frozen and killed instances, cut links, lost reports, and a store that some instances cannot
     /// reach.
     Mixed,
-    /// Repeated outages in which the store is unresponsive to all instances or refuses them.
+    /// Repeated outages in which the store is unresponsive to all instances or rejects
+    /// their calls.
     StoreOutages,
 }
 
@@ -61,7 +62,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreState {
     Healthy,
-    Refusing,
+    Rejecting,
     Unresponsive,
 }
 
@@ -91,7 +92,7 @@
 #[derive(Clone, Copy)]
 struct Watch {
     started: u64,
-    hold: u64,
+    timeout: u64,
     // Whether the store was unresponsive at any time since the call began: it is then never
     // answered, even after the store recovers.
     lost: bool,
@@ -204,7 +205,7 @@
         }
         if self.rng.random_bool(0.02) {
             let state = if self.rng.random() {
-                StoreState::Refusing
+                StoreState::Rejecting
             } else {
                 StoreState::Unresponsive
             };
@@ -229,7 +230,7 @@
         let state = if self.rng.random_bool(0.7) {
             StoreState::Unresponsive
         } else {
-            StoreState::Refusing
+            StoreState::Rejecting
         };
         let until = self.now + self.rng.random_range(200..8_000);
         self.store_outage = (state, until);
@@ -264,7 +265,7 @@
         }
     }
 
-    // Renews the lease; a failed renewal shows that the store is out of reach.
+    // Renews the lease; a failed renewal counts as a failed store call.
     fn step_renewal(&mut self, at: usize) {
         if self.nodes[at]
             .renewal_timeout
@@ -283,7 +284,7 @@
                 let watching = node.watch.is_some();
                 node.renewal_due = self.now + if watching { 1_000 } else { 4_000 };
             }
-            StoreState::Refusing => self.renewal_failed(at),
+            StoreState::Rejecting => self.renewal_failed(at),
             StoreState::Unresponsive => {
                 let node = &mut self.nodes[at];
                 node.renewal_timeout = Some(self.now + STORE_TIMEOUT_MS);
@@ -344,12 +345,12 @@
         }
         // The first read is not a watch.
         self.calls += u64::from(self.nodes[at].core.store_revision() > 0);
-        if self.store_state(at) == StoreState::Refusing {
+        if self.store_state(at) == StoreState::Rejecting {
             return self.watch_failed(at);
         }
         let watch = Watch {
             started: self.now,
-            hold: self.nodes[at].core.watch_timeout().0,
+            timeout: self.nodes[at].core.watch_timeout().0,
             lost: false,
         };
         self.poll_watch(at, watch);
@@ -358,8 +359,8 @@
     fn poll_watch(&mut self, at: usize, mut watch: Watch) {
         watch.lost |= self.store_state(at) == StoreState::Unresponsive;
         self.nodes[at].watch = Some(watch);
-        if watch.lost || self.store_state(at) == StoreState::Refusing {
-            if self.now >= watch.started + watch.hold + WATCH_MARGIN_MS {
+        if watch.lost || self.store_state(at) == StoreState::Rejecting {
+            if self.now >= watch.started + watch.timeout + WATCH_MARGIN_MS {
                 self.watch_failed(at);
             }
             return;
@@ -369,7 +370,7 @@
         let count = if first { self.nodes.len() } else { 0 };
         let node = &mut self.nodes[at];
         let changed = revision > node.core.store_revision();
-        if !changed && self.now < watch.started + watch.hold {
+        if !changed && self.now < watch.started + watch.timeout {
             return;
         }
         node.watch = None;
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -234,8 +234,8 @@
     }
 
     fn start_instance(&mut self, index: usize) -> Core {
-        let source = self.rng.random();
-        let mut core = Core::new(identity(&format!("i{index}"), source));
+        let incarnation = self.rng.random();
+        let mut core = Core::new(identity(&format!("i{index}"), incarnation));
         let now = Millis(self.now);
         core.configure(
             now,
@@ -376,6 +376,7 @@
             let simulated = &mut self.endpoints[at];
             if simulated.down_until.is_some_and(|until| until <= self.now) {
                 simulated.down_until = None;
+                // A different start time, by which instances tell a restarted endpoint apart.
                 simulated.endpoint.started_ms += 1;
                 for core in &mut self.cores {
                     core.registry()
@@ -423,7 +424,7 @@
                     }
                     Decision::Refuse(ticket, refusal) => {
                         if let Some(number) = self.tickets.remove(&(instance, ticket)) {
-                            self.record_rejection(number, refusal.reason);
+                            self.record_refusal(number, refusal.reason);
                         }
                     }
                 }
@@ -481,7 +482,7 @@
         }
     }
 
-    fn record_rejection(&mut self, number: usize, reason: RefusalReason) {
+    fn record_refusal(&mut self, number: usize, reason: RefusalReason) {
         let instance = self.requests[number].instance;
         if reason == RefusalReason::Displaced {
             self.check_displaced(number);
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_small_fleet_is_one_shard_and_a_large_one_is_cut() {
+fn a_small_fleet_is_one_shard_and_a_large_one_is_divided() {
     let counts = [8, 11, 12, 30, 68, 75, 300].map(shards::count);
     assert_eq!(counts, [1, 1, 2, 4, 8, 8, 32]);
 }
@@ -51,7 +51,7 @@
         let expected = 89 * size / 68;
         assert!(
             actual <= expected + 1 && actual >= expected,
-            "{actual} of {expected}"
+            "{actual} endpoints, {expected} expected"
         );
     }
 }
@@ -59,7 +59,7 @@
 // Guards against restarts that move endpoints between shards: instances would lose track of what
 // runs at an endpoint and overload it.
 #[test]
-fn an_endpoint_that_goes_moves_few_others() {
+fn removing_an_endpoint_moves_few_others() {
     let shards = [9; 8];
     let before = assigned(89, &shards);
     let after = assigned(88, &shards);
@@ -67,11 +67,11 @@
         .iter()
         .filter(|(name, shard)| before[*name] != **shard)
         .count();
-    assert!(moved <= 88 / 8, "{moved}");
+    assert!(moved <= 88 / 8, "{moved} endpoints moved");
 }
 
 #[test]
-fn a_restart_moves_nothing() {
+fn restarts_of_instances_move_no_endpoints() {
     let mut core = core("i0", 1);
     for (centre, name) in names_by_centre(68) {
         core.add_instance(&name, location(&name, &centre));
@@ -88,10 +88,10 @@
 }
 
 // A quarter of a large fleet is rejected by the store, and their entries expire while they keep
-// serving. Guards against the others counting a smaller fleet and a larger share of each quota for
-// themselves, which granted a third too much in total.
+// serving. Guards against the others counting a smaller fleet and taking a larger share of each
+// quota, which would grant a third too much in total.
 #[test]
-fn instances_whose_entries_ran_out_still_have_their_part() {
+fn instances_whose_entries_expired_keep_their_fleet_share() {
     let mut core = core("i0", 1);
     for (centre, name) in names_by_centre(68) {
         core.add_instance(&name, location(&name, &centre));
@@ -134,7 +134,7 @@
         // slots.
         assert!(
             total_slots <= 6 * u32::try_from(count).unwrap() * 3,
-            "{total_slots} for {count}"
+            "{total_slots} slots for {count} endpoints"
         );
     }
 }
@@ -161,8 +161,8 @@
     assert!(core.admit(Millis(0), &pass, 55).is_err());
 }
 
-// Seventy instances that poll the store as often as seven make ten times the calls, and operators
-// pay for each call. If shards poll in turn, a change costs one or two calls.
+// Guards against seventy instances polling the store as often as seven: they make ten times the
+// calls, and operators pay for each call. If shards poll in turn, a change costs one or two calls.
 #[test]
 fn a_large_fleet_calls_the_store_less_often() {
     let timings = |name: &str, count, settle| {
@@ -181,12 +181,12 @@
     let all: BTreeSet<_> = (0..17)
         .map(|at| timings(&format!("i{at}"), 17, 10_000))
         .collect();
-    let expected = [500, 1_000].map(|gather| (Millis(7_000), Millis(gather)));
+    let expected = [500, 1_000].map(|delay| (Millis(7_000), Millis(delay)));
     assert_eq!(all, expected.into());
     // A lost watch ends before the deadline by which changes must be in force again.
     for settle in [3_000, 4_000] {
-        let held = Millis(settle - 1_000);
-        assert_eq!(timings("i0", 11, settle).0, held.min(Millis(3_500)));
-        assert_eq!(timings("i0", 17, settle).0, held);
+        let timeout = Millis(settle - 1_000);
+        assert_eq!(timings("i0", 11, settle).0, timeout.min(Millis(3_500)));
+        assert_eq!(timings("i0", 17, settle).0, timeout);
     }
 }
--- a/crates/siskinyoke-native/src/etcd.rs
+++ b/crates/siskinyoke-native/src/etcd.rs
@@ -180,7 +180,8 @@
     Ok(response.succeeded)
 }
 
-/// The exclusive end of the range of our keys: `0` is the character after `/`.
+/// The exclusive end of the range of keys with [`names::KEY_PREFIX`]: `0` is the character after
+/// `/`.
 const RANGE_END: &str = "siskinyoke0";
 
 #[derive(Debug, Default, Deserialize)]
@@ -270,10 +271,6 @@
     if text.is_empty() {
         return Ok(0);
     }
-    text.parse().map_err(|_| {
-        FormatError::InvalidValue(
-            text.to_owned(),
-            "the store's response must have an integer here",
-        )
-    })
+    text.parse()
+        .map_err(|_| FormatError::InvalidValue(text.to_owned(), "expected an integer from etcd"))
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -26,6 +26,7 @@
 use crate::proxy::Fault;
 use crate::store::Availability;
 
+/// The number of caller threads.
 const CALLER_COUNT: u64 = 6;
 
 /// The number of gateway processes and endpoints in a run.
@@ -51,7 +52,7 @@
     };
 }
 
-/// How long all instances must have run without a fault before updates have to propagate in time.
+/// How long no instance may have exited before the propagation of an update is checked.
 const STABLE_PERIOD: Duration = Duration::from_secs(5);
 
 /// Maximum time until an update is in use everywhere, which operators of large fleets rely on.
@@ -61,10 +62,10 @@
 /// never drained.
 const SERVICE_VERSIONS: [&str; 2] = ["v1", "v2"];
 
-/// Number of faults in a run.
-const FAULT_COUNT: usize = 25;
+/// Number of steps in a run, each of which is a fault, the end of one, or an update of the store.
+const STEP_COUNT: usize = 25;
 
-/// Upper bound of the pause after each fault.
+/// Upper bound of the pause after each step.
 const MAX_PAUSE_MS: u64 = 250;
 
 /// The result of a run.
@@ -74,8 +75,8 @@
     pub served: usize,
     /// How many requests got any other response, or none.
     pub unserved: usize,
-    /// How many rollout states were written to the store.
-    pub rollout_states: usize,
+    /// How many rollout statuses were written to the store.
+    pub rollout_statuses: usize,
     /// A description of each violated guarantee.
     pub violations: Vec<String>,
 }
@@ -98,7 +99,11 @@
     let mut fleet = Fleet::start(program, size);
     let checker = Arc::new(Checker::default());
     let stop = Arc::new(AtomicBool::new(false));
-    let addresses: Vec<SocketAddr> = fleet.instances.iter().map(|it| it.caller_address).collect();
+    let addresses: Vec<SocketAddr> = fleet
+        .instances
+        .iter()
+        .map(|instance| instance.caller_address)
+        .collect();
     let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|caller| {
             let (checker, stop, addresses) = (checker.clone(), stop.clone(), addresses.clone());
@@ -106,8 +111,8 @@
         })
         .collect();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    for _ in 0..FAULT_COUNT {
-        fleet.inject_fault(&mut rng);
+    for _ in 0..STEP_COUNT {
+        fleet.run_random_step(&mut rng);
         thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
     }
     fleet.clear_faults();
@@ -119,12 +124,12 @@
         }
     }
     violations.extend(checker.violations(&fleet.endpoints));
-    violations.extend(check_rollout_states(&fleet.store.rollout_states()));
+    violations.extend(check_rollout_statuses(&fleet.store.rollout_statuses()));
     let (served, unserved) = checker.result_counts();
     RunReport {
         served,
         unserved,
-        rollout_states: fleet.store.rollout_states().len(),
+        rollout_statuses: fleet.store.rollout_statuses().len(),
         violations,
     }
 }
@@ -138,7 +143,7 @@
             .collect();
         let endpoint_proxies: Vec<Proxy> = endpoints
             .iter()
-            .map(|it| Proxy::start(it.address))
+            .map(|endpoint| Proxy::start(endpoint.address))
             .collect();
         for (endpoint, proxy) in endpoints.iter().zip(&endpoint_proxies) {
             let entry = endpoint.entry_at(proxy.address, "ready");
@@ -165,14 +170,14 @@
     }
 
     // Injects a random fault, ends one, or writes a random update to the store.
-    fn inject_fault(&mut self, rng: &mut ChaCha8Rng) {
+    fn run_random_step(&mut self, rng: &mut ChaCha8Rng) {
         let index = rng.random_range(0..self.instances.len());
         match rng.random_range(0..11) {
             0 => self.instances[index].send_signal(Signal::STOP),
             1 | 2 => self
                 .instances
                 .iter()
-                .for_each(|it| it.send_signal(Signal::CONT)),
+                .for_each(|instance| instance.send_signal(Signal::CONT)),
             3 => {
                 self.instances[index].kill();
                 self.instances[index].restart();
@@ -187,21 +192,21 @@
             6 => set_random_fault(&self.store_proxies, rng),
             7 => set_random_fault(&self.endpoint_proxies, rng),
             8 => {
-                let states = [
+                let availabilities = [
                     Availability::Unavailable,
                     Availability::Unresponsive,
                     Availability::Available,
                     Availability::Available,
                 ];
                 self.store
-                    .set_availability(*states.choose(rng).unwrap_or(&states[0]));
+                    .set_availability(*availabilities.choose(rng).unwrap_or(&availabilities[0]));
             }
             9 => self.change_rollout_order(rng),
             _ => self.update_store(rng),
         }
     }
 
-    // Orders a rollout to a random version, or removes the order.
+    // Writes a rollout order for a random version, or removes the order.
     fn change_rollout_order(&mut self, rng: &mut ChaCha8Rng) {
         if rng.random_bool(0.2) {
             self.store.remove("op/rollout/lm");
@@ -215,17 +220,14 @@
 
     // Writes a random endpoint's state and a new configuration version, and may compact the store.
     fn update_store(&mut self, rng: &mut ChaCha8Rng) {
-        let endpoint = rng.random_range(0..self.endpoints.len());
-        let state = if endpoint > 1 && rng.random() {
+        let index = rng.random_range(0..self.endpoints.len());
+        let state = if index > 1 && rng.random() {
             "draining"
         } else {
             "ready"
         };
-        let (id, proxy) = (
-            &self.endpoints[endpoint].id,
-            &self.endpoint_proxies[endpoint],
-        );
-        let entry = self.endpoints[endpoint].entry_at(proxy.address, state);
+        let (id, proxy) = (&self.endpoints[index].id, &self.endpoint_proxies[index]);
+        let entry = self.endpoints[index].entry_at(proxy.address, state);
         self.store.put(&format!("servers/{id}"), &entry);
         self.configuration_version += 1;
         self.store.put(
@@ -248,7 +250,8 @@
         }
     }
 
-    // Checks that every instance serves requests again within seconds, and that updates propagate.
+    // Checks that every instance serves requests again within 200 probes, and that updates
+    // propagate.
     fn check_recovery(&mut self) -> Vec<String> {
         let mut violations = Vec::new();
         for index in 0..self.instances.len() {
@@ -281,8 +284,8 @@
         }
     }
 
-    // Checks that a new configuration is in use at all instances in time, including those that
-    // receive it from a peer.
+    // Checks that a new configuration is in use at every instance after `PROPAGATION_TIMEOUT`,
+    // including those that receive it from a peer.
     fn check_propagation(&mut self) -> Vec<String> {
         self.wait_until_stable();
         self.configuration_version += 1;
@@ -291,32 +294,34 @@
             &configuration::text(self.configuration_version, "k1"),
         );
         thread::sleep(PROPAGATION_TIMEOUT);
-        let is_outdated = |it: &&Instance| active_version(it) != Some(self.configuration_version);
+        let is_outdated =
+            |instance: &&Instance| active_version(instance) != Some(self.configuration_version);
         let outdated = self.instances.iter().filter(is_outdated);
         outdated
-            .map(|it| {
+            .map(|instance| {
                 format!(
                     "configuration version {} is not in use at {}: active version {:?}",
                     self.configuration_version,
-                    it.caller_address,
-                    active_version(it)
+                    instance.caller_address,
+                    active_version(instance)
                 )
             })
             .collect()
     }
 }
 
-// Checks that the state of a rollout order does not change after it is completed or rolled back.
-fn check_rollout_states(rollout_states: &[(u64, String)]) -> Vec<String> {
+// Checks that the status of a rollout order does not change once the rollout is completed or rolled
+// back.
+fn check_rollout_statuses(rollout_statuses: &[(u64, String)]) -> Vec<String> {
     let mut violations = Vec::new();
-    for pair in rollout_states.windows(2) {
+    for pair in rollout_statuses.windows(2) {
         let [(order, first), (next_order, second)] = pair else {
             continue;
         };
         let is_final = first.contains("completed") || first.contains("rolled_back");
         if *order > 0 && order == next_order && is_final && first != second {
             violations.push(format!(
-                "rollout order {order}: final state {first} was replaced by {second}"
+                "rollout order {order}: final status {first} was replaced by {second}"
             ));
         }
     }
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -29,14 +29,15 @@
 
 #[derive(Debug)]
 struct State {
+    // The revision and the Base64-encoded value of each key.
     items: BTreeMap<String, (u64, String)>,
     changes: Vec<Value>,
     revision: u64,
     availability: Availability,
     // Changes up to this revision are no longer available to watch calls.
     compacted_revision: u64,
-    // All rollout states written, each with the revision of its order, or 0 if there was none.
-    rollout_states: Vec<(u64, String)>,
+    // All rollout statuses written, each with the revision of its order, or 0 if there was none.
+    rollout_statuses: Vec<(u64, String)>,
 }
 
 /// An in-memory stand-in for the platform's store.
@@ -62,7 +63,7 @@
             revision: 10,
             availability: Availability::Available,
             compacted_revision: 0,
-            rollout_states: Vec::new(),
+            rollout_statuses: Vec::new(),
         };
         let store = Self {
             shared: Arc::new((Mutex::new(state), Condvar::new())),
@@ -140,14 +141,14 @@
         Some(String::from_utf8(value).unwrap())
     }
 
-    /// Returns all rollout states written, each with the revision of its order, or 0 if there was
+    /// Returns all rollout statuses written, each with the revision of its order, or 0 if there was
     /// none.
     ///
     /// # Panics
     ///
     /// If one of its threads has panicked.
-    pub fn rollout_states(&self) -> Vec<(u64, String)> {
-        self.shared.0.lock().unwrap().rollout_states.clone()
+    pub fn rollout_statuses(&self) -> Vec<(u64, String)> {
+        self.shared.0.lock().unwrap().rollout_statuses.clone()
     }
 
     /// Returns the keys with a prefix.
@@ -232,7 +233,7 @@
         if state.compacted_revision > after {
             return (410, json!({}));
         }
-        let is_newer = |it: &&Value| it["Revision"].as_u64().unwrap() > after;
+        let is_newer = |change: &&Value| change["Revision"].as_u64().unwrap() > after;
         let events: Vec<_> = state.changes.iter().filter(is_newer).cloned().collect();
         (200, json!({ "events": events, "At": state.revision }))
     }
@@ -243,9 +244,9 @@
         let body: Value = serde_json::from_str(body).unwrap();
         let (state, changed) = &*self.shared;
         let mut state = state.lock().unwrap();
-        let unmodified = body["Expected"].as_array().unwrap().iter().all(|row| {
-            let item = state.items.get(row["Key"].as_str().unwrap());
-            item.map_or(0, |it| it.0) == row["Revision"].as_u64().unwrap()
+        let unmodified = body["Expected"].as_array().unwrap().iter().all(|expected| {
+            let item = state.items.get(expected["Key"].as_str().unwrap());
+            item.map_or(0, |item| item.0) == expected["Revision"].as_u64().unwrap()
         });
         if !unmodified {
             return (412, json!({ "Items": [] }));
@@ -269,7 +270,8 @@
             let order = self.items.get(&format!("op/rollout/{service}"));
             let text = STANDARD.decode(value).unwrap();
             let text = String::from_utf8(text).unwrap();
-            self.rollout_states.push((order.map_or(0, |it| it.0), text));
+            self.rollout_statuses
+                .push((order.map_or(0, |order| order.0), text));
         }
         self.items
             .insert(key.to_owned(), (self.revision, value.to_owned()));
