--- a/crates/siskinyoke-dispatch/tests/cold_start.rs
+++ b/crates/siskinyoke-dispatch/tests/cold_start.rs
@@ -131,8 +131,8 @@
     let delays: Vec<_> = [0, 300, 700, 1_500, 60_000]
         .map(|age| cold_start::retry_after(Millis(age)))
         .to_vec();
-    assert!(delays.is_sorted(), "{delays:?}");
-    assert!(delays[0] >= Millis(100), "{delays:?}");
+    assert!(delays.is_sorted(), "retry delays: {delays:?}");
+    assert!(delays[0] >= Millis(100), "retry delays: {delays:?}");
     assert_eq!(delays[2], Millis(700));
-    assert!(delays[4] <= Millis(2_000), "{delays:?}");
+    assert!(delays[4] <= Millis(2_000), "retry delays: {delays:?}");
 }
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -302,7 +302,7 @@
         for simulated in &mut self.endpoints {
             simulated
                 .running
-                .retain(|it| requests[it.0].instance != index);
+                .retain(|run| requests[run.0].instance != index);
         }
         self.cores[index] = self.start_instance(index);
     }
@@ -384,7 +384,7 @@
                 }
             }
             let now = self.now;
-            let (finished, running) = simulated.running.iter().partition(|it| it.1 <= now);
+            let (finished, running) = simulated.running.iter().partition(|run| run.1 <= now);
             simulated.running = running;
             for (number, _, succeeds) in finished {
                 if self.requests[number].fingerprint == POISON_FINGERPRINT {
@@ -537,7 +537,7 @@
         let partitioned = self
             .partitions
             .iter()
-            .any(|it| (it.0, it.1) == (from, recipient));
+            .any(|partition| (partition.0, partition.1) == (from, recipient));
         let lost = self.scenario == Scenario::RandomFaults && self.rng.random_bool(0.1);
         if from == recipient || partitioned || lost {
             return;
@@ -568,7 +568,7 @@
                 self.tickets.remove(&(instance, ticket));
                 self.cores[instance].cancel(Millis(self.now), ticket);
                 for simulated in &mut self.endpoints {
-                    simulated.running.retain(|it| it.0 != number);
+                    simulated.running.retain(|run| run.0 != number);
                 }
             }
         }
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -219,11 +219,11 @@
             let inside = self
                 .granted_units
                 .iter()
-                .filter(|it| window.contains(&it.0));
-            inside.map(|it| it.1).sum()
+                .filter(|grant| window.contains(&grant.0));
+            inside.map(|grant| grant.1).sum()
         };
         let starts = self.granted_units.iter().step_by(20);
-        starts.map(|it| sum(it.0)).fold(0.0, f64::max)
+        starts.map(|grant| sum(grant.0)).fold(0.0, f64::max)
     }
 
     // Sends `rate` requests a second to the given instances for `duration_ms`.
@@ -403,7 +403,7 @@
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed, 64, 16, true);
         fleet.generate_quota_load(20, 0.6);
-        let granted: f64 = fleet.granted_units.iter().map(|it| it.1).sum();
+        let granted: f64 = fleet.granted_units.iter().map(|grant| grant.1).sum();
         let refused = fleet.refused_units / (granted + fleet.refused_units);
         assert!(
             refused <= 0.01,
--- a/crates/siskinyoke-dispatch/tests/placing.rs
+++ b/crates/siskinyoke-dispatch/tests/placing.rs
@@ -161,14 +161,17 @@
     }
     let (begin, first) = refusals[0];
     let (end, last) = refusals[refusals.len() - 1];
-    assert!(first < Millis(500), "{first}");
+    assert!(first < Millis(500), "first retry after {first}");
     assert!(
         last >= end.since(begin),
-        "{last} after {}",
+        "last retry after {last}, {} into the peak",
         end.since(begin)
     );
     let next = refusals[refusals.len() - 2].1;
-    assert!(next.0.abs_diff(last.0) > 400, "{next} and {last}");
+    assert!(
+        next.0.abs_diff(last.0) > 400,
+        "last retries after {next} and {last}"
+    );
 }
 
 // Guards against resending requests at once to an endpoint that cannot be reached: each of them
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -110,10 +110,13 @@
     fn max_granted_in_window(&self) -> f64 {
         let sum = |from: u64| -> f64 {
             let window = from..from + QUOTA_POLICY.window.0;
-            let inside = self.grants.iter().filter(|it| window.contains(&it.0));
-            inside.map(|it| it.1).sum()
+            let inside = self.grants.iter().filter(|grant| window.contains(&grant.0));
+            inside.map(|grant| grant.1).sum()
         };
-        self.grants.iter().map(|it| sum(it.0)).fold(0.0, f64::max)
+        self.grants
+            .iter()
+            .map(|grant| sum(grant.0))
+            .fold(0.0, f64::max)
     }
 }
 
@@ -263,7 +266,11 @@
     let mut fleet = Fleet::start_with(4, 0, 0, (rate, burst));
     // Four instances, each 1,000 units every 66 ms: 485,000 of 620,000 units in a window.
     fleet.send_requests(0, 30_000, 66);
-    let late: Vec<_> = fleet.grants.iter().filter(|it| it.0 >= 10_000).collect();
+    let late: Vec<_> = fleet
+        .grants
+        .iter()
+        .filter(|grant| grant.0 >= 10_000)
+        .collect();
     let sent = 4 * (30_000 - 10_000) / 66;
     assert!(
         late.len() * 100 >= sent * 97,
--- a/crates/siskinyoke-dispatch/tests/rollouts/main.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/main.rs
@@ -75,7 +75,7 @@
                 Fault::None,
                 Scenario::GeneralSlowdown(from),
             );
-            let state = simulation.outcome().map(|it| it.1);
+            let state = simulation.outcome().map(|outcome| outcome.1);
             assert_eq!(state, Some(State::Completed), "seed {seed}, from {from}");
         }
     }
@@ -163,7 +163,7 @@
 
 fn check_rolled_back(seed: u64, size: usize, rate: f64, fault: Fault) {
     let simulation = simulate(seed, size, rate, fault, Scenario::None);
-    let state = simulation.outcome().map(|it| it.1);
+    let state = simulation.outcome().map(|outcome| outcome.1);
     let case = format!("seed {seed}, {fault:?}, {size} instances at {rate}");
     assert_eq!(
         state,
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -204,7 +204,7 @@
             .observed
             .states
             .iter()
-            .filter(|it| it.1 != State::Running);
+            .filter(|written| written.1 != State::Running);
         outcomes.copied().next()
     }
 
@@ -463,7 +463,12 @@
             if write.status_revision != self.status_revision {
                 continue;
             }
-            if self.observed.states.iter().any(|it| it.1 != State::Running) {
+            if self
+                .observed
+                .states
+                .iter()
+                .any(|written| written.1 != State::Running)
+            {
                 self.observed
                     .violations
                     .push(format!("a second outcome: {:?}", write.state));
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -304,8 +304,8 @@
             core.cancel(now, next);
         }
     }
-    assert!(retries <= 400 / 5 + 2, "{retries}");
-    assert!(retries >= 400 / 10, "{retries}");
+    assert!(retries <= 400 / 5 + 2, "{retries} retries of 400 requests");
+    assert!(retries >= 400 / 10, "{retries} retries of 400 requests");
 }
 
 // A request crashes every endpoint that runs it, and its caller sends it repeatedly.
--- a/crates/siskinyoke-dispatch/tests/shards.rs
+++ b/crates/siskinyoke-dispatch/tests/shards.rs
@@ -27,7 +27,10 @@
 // Assigns `count` endpoints in four data centres to shards of the given sizes.
 fn assigned(count: usize, shards: &[usize]) -> BTreeMap<String, usize> {
     let endpoints = names_by_centre(count);
-    let rows: Vec<_> = endpoints.iter().map(|it| (&*it.0, &*it.1)).collect();
+    let rows: Vec<_> = endpoints
+        .iter()
+        .map(|endpoint| (&*endpoint.0, &*endpoint.1))
+        .collect();
     let assigned = shards::assign(&rows, shards);
     assigned
         .into_iter()
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -102,7 +102,9 @@
                     .is_ok()
             );
         }
-        let (arrived, rest) = responses.into_iter().partition(|it| it.0 <= now);
+        let (arrived, rest) = responses
+            .into_iter()
+            .partition(|response| response.0 <= now);
         responses = rest;
         for (_, ticket) in arrived {
             scheduler.attempt_ended(Millis(now), ticket, outcome());
--- a/crates/siskinyoke-gateway/tests/first_read.rs
+++ b/crates/siskinyoke-gateway/tests/first_read.rs
@@ -60,7 +60,7 @@
     let (result, calls) = with_store(&[None, Some(RESPONSE)], async |address| {
         let mut read = FirstRead::default();
         let result = read.call(address, &Call::get("/"), READ_LIMIT).await;
-        (result.map(|it| it.0), read.calls_sent())
+        (result.map(|response| response.0), read.calls_sent())
     });
     assert_eq!(&result.unwrap()[..], b"whole");
     assert!((2..=MAX_PARALLEL_READS).contains(&calls), "{calls} calls");
@@ -72,7 +72,7 @@
     let (result, calls) = with_store(&[Some(UNAVAILABLE), Some(RESPONSE)], async |address| {
         let mut read = FirstRead::default();
         let result = read.call(address, &Call::get("/"), READ_LIMIT).await;
-        (result.map(|it| it.0), read.calls_sent())
+        (result.map(|response| response.0), read.calls_sent())
     });
     assert!(matches!(result, Err(StoreError::Status(status)) if status == 503));
     assert_eq!(calls, 1);
@@ -86,7 +86,7 @@
     let (result, calls) = with_store(&[], async |address| {
         let mut read = FirstRead::default();
         let result = read.call(address, &Call::get("/"), limit).await;
-        (result.map(|it| it.0), read.calls_sent())
+        (result.map(|response| response.0), read.calls_sent())
     });
     assert!(matches!(result, Err(StoreError::NoReply)));
     assert!(calls <= MAX_PARALLEL_READS, "{calls} calls");
--- a/crates/siskinyoke-gateway/tests/replica.rs
+++ b/crates/siskinyoke-gateway/tests/replica.rs
@@ -131,13 +131,13 @@
             let first: Vec<Item> = model
                 .items
                 .range(..="k2".to_owned())
-                .map(|it| it.1.clone())
+                .map(|entry| entry.1.clone())
                 .collect();
             model.write(u.int_in_range(0..=5)?, u.arbitrary()?);
             let second = model
                 .items
                 .range("k2\0".to_owned()..)
-                .map(|it| it.1.clone());
+                .map(|entry| entry.1.clone());
             let items = first.into_iter().chain(second).collect();
             let batch = Batch {
                 items,
