--- a/crates/siskinyoke-dispatch/tests/following/fleet.rs
+++ b/crates/siskinyoke-dispatch/tests/following/fleet.rs
@@ -441,9 +441,9 @@
             }
             let revision = delivery.report.revision;
             node.core.receive_report(Millis(now), delivery.report);
-            let avoided = node.failed_fetch.is_some_and(|peer| {
-                peer.0 == delivery.from && now < peer.1 + FAILED_PEER_BACKOFF_MS
-            });
+            let avoided = node
+                .failed_fetch
+                .is_some_and(|it| it.0 == delivery.from && now < it.1 + FAILED_PEER_BACKOFF_MS);
             let is_newer = node.core.record_peer_revision(Millis(now), revision);
             if is_newer && !avoided && node.fetch.is_none() {
                 let delay = if node.watch.is_some() { 150 } else { 30 };
--- a/crates/siskinyoke-dispatch/tests/lending.rs
+++ b/crates/siskinyoke-dispatch/tests/lending.rs
@@ -457,7 +457,7 @@
 }
 
 // All shards are full, and lenders need their slots themselves. Guards against lending that serves
-// fewer requests, or queues requests that no shard can serve for longer before they are refused.
+// fewer requests, or that delays the refusal of requests that no shard can serve.
 #[test]
 fn lending_between_full_shards_serves_no_fewer_requests_and_delays_no_refusal() {
     let simulate = |lending| {
--- a/crates/siskinyoke-dispatch/tests/quota.rs
+++ b/crates/siskinyoke-dispatch/tests/quota.rs
@@ -164,7 +164,7 @@
 }
 
 // A partition splits the instances in halves, and callers reach both. Guards against each side
-// granting the whole quota.
+// granting the whole quota, so that the organisation gets it twice.
 #[test]
 fn both_sides_of_a_partition_share_the_quota() {
     let mut fleet = Fleet::start(6, 0, 0);
--- a/crates/siskinyoke-dispatch/tests/scheduler.rs
+++ b/crates/siskinyoke-dispatch/tests/scheduler.rs
@@ -122,7 +122,7 @@
         count_starts(&scheduler.decide(Millis(1), &registry, &peers)),
         0
     );
-    // The peer does not take the slot; it is not kept for long for a peer that stops reporting.
+    // The slot is kept only briefly for a peer that does not take it or stops reporting.
     assert_eq!(
         count_starts(&scheduler.decide(Millis(100), &registry, &peers)),
         1
