--- a/crates/siskinyoke-dispatch/benches/decide.rs
+++ b/crates/siskinyoke-dispatch/benches/decide.rs
@@ -11,7 +11,7 @@
 use siskinyoke_dispatch::Decision;
 
 /// Pairs of waiting requests and endpoints.
-const SIZES: [(u64, u64); 7] = [
+const WAITING_AND_ENDPOINT_COUNTS: [(u64, u64); 7] = [
     (0, 10),
     (10, 10),
     (100, 10),
@@ -22,17 +22,17 @@
 ];
 
 /// The slots of each endpoint.
-const SLOTS: u32 = 6;
+const SLOTS_PER_ENDPOINT: u32 = 6;
 
 /// The other instances of the shard.
-const PEERS: u64 = 8;
+const PEER_COUNT: u64 = 8;
 
 fn main() {
     divan::main();
 }
 
 /// A decision while no request can start, as after each event in an overload.
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = WAITING_AND_ENDPOINT_COUNTS)]
 fn decide_when_full(bencher: Bencher<'_, '_>, (waiting, endpoints): (u64, u64)) {
     let mut core = full(waiting, endpoints);
     bencher.bench_local(|| black_box(core.decide(Millis(1))));
@@ -43,7 +43,7 @@
 fn decide_with_limits(bencher: Bencher<'_, '_>, endpoints: u64) {
     let mut core = full(10, endpoints);
     for index in 0..endpoints {
-        let endpoint = common::endpoint(&format!("e{index}"), SLOTS);
+        let endpoint = common::endpoint(&format!("e{index}"), SLOTS_PER_ENDPOINT);
         core.record_limit(Millis(0), &endpoint, Millis(0), Some(1.5));
     }
     bencher.bench_local(|| black_box(core.decide(Millis(1))));
@@ -80,12 +80,12 @@
 
 // Returns an instance whose peers run one request at each endpoint.
 fn fleet(endpoints: u64) -> Core {
-    let mut core = common::core("i0", SLOTS);
+    let mut core = common::core("i0", SLOTS_PER_ENDPOINT);
     for index in 1..endpoints {
-        let endpoint = common::endpoint(&format!("e{index}"), SLOTS);
+        let endpoint = common::endpoint(&format!("e{index}"), SLOTS_PER_ENDPOINT);
         core.registry().put(Millis(0), endpoint);
     }
-    for index in 1..=PEERS {
+    for index in 1..=PEER_COUNT {
         core.receive_report(Millis(0), peer(index, 1, endpoints));
     }
     core
@@ -94,7 +94,7 @@
 // Returns an instance with all endpoints at capacity and `waiting` queued requests.
 fn full(waiting: u64, endpoints: u64) -> Core {
     let mut core = fleet(endpoints);
-    let slots = endpoints * u64::from(SLOTS);
+    let slots = endpoints * u64::from(SLOTS_PER_ENDPOINT);
     for fingerprint in 0..slots + waiting {
         admit(&mut core, Millis(0), fingerprint);
         if fingerprint < slots {
@@ -107,7 +107,7 @@
 fn peer(index: u64, number: u64, endpoints: u64) -> siskinyoke_dispatch::Report {
     let mut report = common::report(&format!("i{index}"), number);
     report.running = (0..endpoints)
-        .filter(|it| it % PEERS == index % PEERS)
+        .filter(|it| it % PEER_COUNT == index % PEER_COUNT)
         .map(|it| common::running_row(&format!("e{it}"), 1))
         .collect();
     report
--- a/crates/siskinyoke-dispatch/tests/load/main.rs
+++ b/crates/siskinyoke-dispatch/tests/load/main.rs
@@ -21,11 +21,11 @@
 use crate::world::World;
 
 /// Six engines, two of them slow: 48 slots of usual speed and 24 slow ones.
-const SLOWDOWNS: [f64; 6] = [1.0, 1.0, 1.0, 1.0, 4.4, 4.4];
+const ENGINE_SLOWDOWN_FACTORS: [f64; 6] = [1.0, 1.0, 1.0, 1.0, 4.4, 4.4];
 
 /// Drafts from long prompts, and short classifications of lower priority; at the usual rate they
 /// occupy about half of the slots.
-const CLASSES: [RequestClass; 2] = [
+const REQUEST_CLASSES: [RequestClass; 2] = [
     RequestClass {
         priority: 0,
         rate: 6.0,
@@ -51,7 +51,7 @@
 }
 
 fn simulated(seed: u64, load_factor: f64) -> World {
-    let mut world = World::new(seed, &CLASSES, &SLOWDOWNS);
+    let mut world = World::new(seed, &REQUEST_CLASSES, &ENGINE_SLOWDOWN_FACTORS);
     world.simulate(5_000, 1.0);
     world.simulate(15_000, load_factor);
     world.simulate(15_000, 0.0);
@@ -65,7 +65,7 @@
 fn the_usual_load_is_served_in_time() {
     for seed in 0..4 {
         let world = simulated(seed, 1.0);
-        for class in 0..CLASSES.len() {
+        for class in 0..REQUEST_CLASSES.len() {
             let in_time = world.fraction(class, |job| job.outcome == JobOutcome::InTime);
             assert!(
                 in_time >= 0.95,
@@ -94,7 +94,7 @@
 // without an event, and another engine needs part of that time.
 #[test]
 fn an_unresponsive_engine_is_abandoned_in_time_for_another() {
-    let mut world = World::new(1, &CLASSES, &SLOWDOWNS);
+    let mut world = World::new(1, &REQUEST_CLASSES, &ENGINE_SLOWDOWN_FACTORS);
     world.simulate(5_000, 1.0);
     world.engines[0].unresponsive = true;
     world.simulate(5_000, 1.0);
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -26,7 +26,7 @@
 use siskinyoke_dispatch::Ticket;
 use siskinyoke_dispatch::core::IncomingRequest;
 
-const INSTANCES: usize = 2;
+const INSTANCE_COUNT: usize = 2;
 const SLOTS: u32 = 12;
 const STEP_MS: u64 = 5;
 
@@ -100,7 +100,7 @@
                 it.service = "lm".into();
                 core.registry().put(Millis(0), it);
             }
-            for other in 0..INSTANCES {
+            for other in 0..INSTANCE_COUNT {
                 let name = format!("i{other}");
                 core.add_instance(&name, location(&name, "a"));
             }
@@ -114,7 +114,7 @@
                 .collect(),
             longest_stall: 0,
             classes: classes.to_vec(),
-            cores: (0..INSTANCES).map(start_core).collect(),
+            cores: (0..INSTANCE_COUNT).map(start_core).collect(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 1_000,
             tickets: BTreeMap::new(),
@@ -171,7 +171,7 @@
 
     fn submit(&mut self, class: usize, prompt: f64, output: u32, estimate: u64) {
         let number = self.jobs.len();
-        let instance = number % INSTANCES;
+        let instance = number % INSTANCE_COUNT;
         let path = format!("/{class}/");
         let request = IncomingRequest {
             host: "host",
@@ -260,16 +260,16 @@
 
     fn exchange_reports(&mut self) {
         let now = Millis(self.now);
-        for from in 0..INSTANCES {
+        for from in 0..INSTANCE_COUNT {
             let report = self.cores[from].next_report(now, true);
-            for to in (0..INSTANCES).filter(|to| *to != from) {
+            for to in (0..INSTANCE_COUNT).filter(|to| *to != from) {
                 self.cores[to].receive_report(now, report.clone());
             }
         }
     }
 
     fn decide(&mut self) {
-        for instance in 0..INSTANCES {
+        for instance in 0..INSTANCE_COUNT {
             for decision in self.cores[instance].decide(Millis(self.now)) {
                 let (Decision::Start(ticket, _) | Decision::Refuse(ticket, _)) = &decision;
                 let number = self.tickets[&(instance, *ticket)];
--- a/crates/siskinyoke-dispatch/tests/rollout.rs
+++ b/crates/siskinyoke-dispatch/tests/rollout.rs
@@ -15,13 +15,13 @@
 use siskinyoke_dispatch::rollout::State;
 use siskinyoke_dispatch::rollout::Status;
 
-const DURATION: Millis = Millis(10_000);
+const ROLLOUT_DURATION: Millis = Millis(10_000);
 
 fn order(version: &str, revision: u64) -> Order {
     Order {
         service: "lm".into(),
         version: version.into(),
-        duration: DURATION,
+        duration: ROLLOUT_DURATION,
         revision,
     }
 }
@@ -43,8 +43,8 @@
 }
 
 fn final_state(rollout: &mut Rollout) -> Option<State> {
-    rollout.advance(DURATION);
-    rollout.due_state(DURATION, 0)
+    rollout.advance(ROLLOUT_DURATION);
+    rollout.due_state(ROLLOUT_DURATION, 0)
 }
 
 // Guards against evaluating the only version there is as a canary, which takes the traffic from it.
@@ -146,7 +146,7 @@
         };
         assert_eq!(eligible.len(), 1);
         assert_eq!(&*eligible[0].version, version);
-        assert!(core.status_writes(DURATION).is_empty());
+        assert!(core.status_writes(ROLLOUT_DURATION).is_empty());
     }
 }
 
@@ -161,7 +161,7 @@
     ];
     core.apply_updates(Millis(0), 6, updates);
     core.advance_rollouts(Millis(1));
-    let write = core.status_writes(DURATION).remove(0);
+    let write = core.status_writes(ROLLOUT_DURATION).remove(0);
     assert_eq!(write.state, State::RolledBack);
     assert_eq!((write.order_revision, write.status_revision), (5, 0));
     core.apply_updates(
@@ -169,6 +169,6 @@
         7,
         vec![StoreUpdate::RolloutOrderRemoved("lm".into())],
     );
-    let write = core.status_writes(DURATION).remove(0);
+    let write = core.status_writes(ROLLOUT_DURATION).remove(0);
     assert_eq!((write.order_revision, write.status_revision), (0, 0));
 }
--- a/crates/siskinyoke-dispatch/tests/watchers.rs
+++ b/crates/siskinyoke-dispatch/tests/watchers.rs
@@ -14,11 +14,11 @@
 use siskinyoke_dispatch::watchers::WatcherCandidate;
 use siskinyoke_dispatch::watchers::select_watcher;
 
-const NAMES: [&str; 4] = ["i0", "i1", "i2", "i3"];
+const INSTANCE_NAMES: [&str; 4] = ["i0", "i1", "i2", "i3"];
 
 // Whether instance `index` receives reports from `other`, by a bit mask over all pairs.
 fn receives_from(links: u32, index: usize, other: usize) -> bool {
-    index == other || links >> (index * NAMES.len() + other) & 1 == 1
+    index == other || links >> (index * INSTANCE_NAMES.len() + other) & 1 == 1
 }
 
 // Whether instance `index` can reach the store, by a bit mask over all instances.
@@ -29,13 +29,13 @@
 // Returns the instance that `index` selects as the watcher.
 fn selected(store_access: u32, links: u32, index: usize) -> usize {
     let candidate = |index: usize| WatcherCandidate {
-        name: NAMES[index],
+        name: INSTANCE_NAMES[index],
         store_reachable: reaches_store(store_access, index),
     };
-    let peers =
-        (0..NAMES.len()).filter(|other| *other != index && receives_from(links, index, *other));
+    let peers = (0..INSTANCE_NAMES.len())
+        .filter(|other| *other != index && receives_from(links, index, *other));
     let name = select_watcher(candidate(index), peers.map(candidate));
-    NAMES
+    INSTANCE_NAMES
         .iter()
         .position(|it| *it == name)
         .expect("one of them")
@@ -50,12 +50,14 @@
 // first follower receives reports from can.
 #[test]
 fn every_chain_of_followers_ends_at_an_instance_that_watches() {
-    for store_access in 0..1 << NAMES.len() {
-        for links in 0..1u32 << (NAMES.len() * NAMES.len()) {
-            if (0..NAMES.len()).any(|index| links >> (index * NAMES.len() + index) & 1 == 1) {
+    for store_access in 0..1 << INSTANCE_NAMES.len() {
+        for links in 0..1u32 << (INSTANCE_NAMES.len() * INSTANCE_NAMES.len()) {
+            if (0..INSTANCE_NAMES.len())
+                .any(|index| links >> (index * INSTANCE_NAMES.len() + index) & 1 == 1)
+            {
                 continue;
             }
-            for start in 0..NAMES.len() {
+            for start in 0..INSTANCE_NAMES.len() {
                 let mut index = start;
                 let mut steps = 0;
                 while selected(store_access, links, index) != index {
@@ -64,11 +66,12 @@
                     index = next;
                     steps += 1;
                     assert!(
-                        steps < NAMES.len(),
+                        steps < INSTANCE_NAMES.len(),
                         "{store_access:b} {links:b} from {start}"
                     );
                 }
-                let reporting = (0..NAMES.len()).filter(|it| receives_from(links, start, *it));
+                let reporting =
+                    (0..INSTANCE_NAMES.len()).filter(|it| receives_from(links, start, *it));
                 let any = reporting
                     .into_iter()
                     .any(|it| reaches_store(store_access, it));
--- a/crates/siskinyoke-gateway/tests/first_read.rs
+++ b/crates/siskinyoke-gateway/tests/first_read.rs
@@ -19,8 +19,8 @@
 /// Time limit for a read, longer than any test takes.
 const READ_LIMIT: Millis = Millis::from_secs(20);
 
-const RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
-const UNAVAILABLE: &str = "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
+const UNAVAILABLE_RESPONSE: &str = "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n";
 
 // Runs a store that sends these responses, one per connection. It sends none for `None` and on all
 // further connections.
@@ -57,7 +57,7 @@
 // instance would refuse every request until that call's time limit, although the store is back.
 #[test]
 fn a_lost_first_call_is_repeated_on_another_connection() {
-    let (result, calls) = with_store(&[None, Some(RESPONSE)], async |address| {
+    let (result, calls) = with_store(&[None, Some(OK_RESPONSE)], async |address| {
         let mut read = FirstRead::default();
         let result = read.call(address, &Call::get("/"), READ_LIMIT).await;
         (result.map(|response| response.0), read.calls_sent())
@@ -69,11 +69,14 @@
 // A store that rejects a call must not get more load; the caller decides when to retry.
 #[test]
 fn a_rejected_call_is_not_repeated() {
-    let (result, calls) = with_store(&[Some(UNAVAILABLE), Some(RESPONSE)], async |address| {
-        let mut read = FirstRead::default();
-        let result = read.call(address, &Call::get("/"), READ_LIMIT).await;
-        (result.map(|response| response.0), read.calls_sent())
-    });
+    let (result, calls) = with_store(
+        &[Some(UNAVAILABLE_RESPONSE), Some(OK_RESPONSE)],
+        async |address| {
+            let mut read = FirstRead::default();
+            let result = read.call(address, &Call::get("/"), READ_LIMIT).await;
+            (result.map(|response| response.0), read.calls_sent())
+        },
+    );
     assert!(matches!(result, Err(StoreError::Status(status)) if status == 503));
     assert_eq!(calls, 1);
 }
--- a/crates/siskinyoke-standin/tests/engine.rs
+++ b/crates/siskinyoke-standin/tests/engine.rs
@@ -24,7 +24,7 @@
 use siskinyoke_standin::service::ServiceConfig;
 use siskinyoke_standin::service::ServiceControl;
 
-const QUESTION: &str = "the boat sailed at dawn";
+const PROMPT_TEXT: &str = "the boat sailed at dawn";
 
 /// Events of a stream besides its words: the role, the finish reason and the terminator.
 const NON_WORD_EVENTS: usize = 3;
@@ -103,14 +103,14 @@
 #[test]
 fn a_stream_is_complete_and_answers_its_request() {
     let engine = engine(&fast_config());
-    let response = send(&engine, "a", 0, &body(QUESTION, 12, true)).expect("a response");
+    let response = send(&engine, "a", 0, &body(PROMPT_TEXT, 12, true)).expect("a response");
     let (events, end) = events(response);
     assert!(end.is_ok());
     assert_eq!(events.len(), 12 + NON_WORD_EVENTS);
     assert_eq!(events.last().map(String::as_str), Some("data: [DONE]"));
     assert_eq!(
         text(&events),
-        Completion::generate(QUESTION, Some(12)).text()
+        Completion::generate(PROMPT_TEXT, Some(12)).text()
     );
     wait_for(|| engine.counts().requests["a"].completed == 1);
     assert_eq!(engine.counts().requests["a"].dispatched, 1);
@@ -119,14 +119,14 @@
 #[test]
 fn an_unstreamed_response_reports_its_usage() {
     let engine = engine(&fast_config());
-    let response = send(&engine, "a", 0, &body(QUESTION, 12, false));
+    let response = send(&engine, "a", 0, &body(PROMPT_TEXT, 12, false));
     let response: Value = response
         .expect("a response")
         .body_mut()
         .read_json()
         .expect("JSON");
     let content = &response["choices"][0]["message"]["content"];
-    assert_eq!(*content, Completion::generate(QUESTION, Some(12)).text());
+    assert_eq!(*content, Completion::generate(PROMPT_TEXT, Some(12)).text());
     assert_eq!(response["usage"]["completion_tokens"], 12);
 }
 
@@ -135,7 +135,7 @@
     // A stream breaks half way and is resumed from the next event. If engine and caller numbered
     // events differently, the text would repeat or lose a word.
     let engine = engine(&fast_config());
-    let request = body(QUESTION, 20, true);
+    let request = body(PROMPT_TEXT, 20, true);
     engine.control(&EngineControl {
         breaks: Some(Breaks {
             after: 7,
@@ -164,11 +164,11 @@
         crash_span: Millis(300),
         ..EngineConfig::default()
     });
-    let unmarked = send(&engine, "innocent", 0, &body(QUESTION, 1000, true)).expect("a stream");
+    let unmarked = send(&engine, "innocent", 0, &body(PROMPT_TEXT, 1000, true)).expect("a stream");
     assert!(send(&engine, "marked", 0, &body("a poison pill", 4, true)).is_err());
     assert!(events(unmarked).1.is_err());
     assert_eq!(engine.counts().crashes, 1);
-    wait_for(|| send(&engine, "after", 0, &body(QUESTION, 1, true)).is_ok());
+    wait_for(|| send(&engine, "after", 0, &body(PROMPT_TEXT, 1, true)).is_ok());
 }
 
 #[test]
@@ -197,10 +197,10 @@
         speed: 20.0,
         ..EngineConfig::default()
     });
-    let long_stream = send(&engine, "long", 0, &body(QUESTION, 5000, true)).expect("a stream");
+    let long_stream = send(&engine, "long", 0, &body(PROMPT_TEXT, 5000, true)).expect("a stream");
     drop(long_stream);
     wait_for(|| engine.counts().cancelled == 1);
-    let next_stream = send(&engine, "next", 0, &body(QUESTION, 1, true)).expect("a stream");
+    let next_stream = send(&engine, "next", 0, &body(PROMPT_TEXT, 1, true)).expect("a stream");
     assert!(events(next_stream).1.is_ok());
     assert!(engine.counts().wasted > 0);
 }
@@ -235,7 +235,7 @@
 /// Opens a stream and reads its first line; the stream stays open until the reader is dropped.
 fn open_stream(engine: &Engine, start: &Barrier) -> Option<BufReader<BodyReader<'static>>> {
     start.wait();
-    let response = send(engine, "", 0, &body(QUESTION, 5, true)).ok()?;
+    let response = send(engine, "", 0, &body(PROMPT_TEXT, 5, true)).ok()?;
     let mut reader = BufReader::new(response.into_body().into_reader());
     let mut line = String::new();
     reader.read_line(&mut line).ok()?;
@@ -250,7 +250,7 @@
         ..EngineControl::default()
     });
     let response =
-        send(&engine, "a", 0, &body(QUESTION, 3, true)).expect("a response after the freeze");
+        send(&engine, "a", 0, &body(PROMPT_TEXT, 3, true)).expect("a response after the freeze");
     assert_eq!(events(response).0.len(), 3 + NON_WORD_EVENTS);
 }
 
@@ -274,7 +274,7 @@
         speed: 20.0,
         ..EngineConfig::default()
     });
-    let request = body(QUESTION, 5000, true);
+    let request = body(PROMPT_TEXT, 5000, true);
     let running = send(&engine, "a", 0, &request).expect("a stream");
     let address = engine.address();
     let waiting = thread::spawn(move || {
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -20,7 +20,7 @@
 
 /// The requests that callers choose from: the kind of each, and its path, which selects how the
 /// endpoint behaves.
-const REQUESTS: [(RequestKind, &str); 6] = [
+const REQUEST_CHOICES: [(RequestKind, &str); 6] = [
     (RequestKind::Safe, "/safe/a"),
     (RequestKind::Safe, "/safe/cut"),
     (RequestKind::Unsafe, "/once/a"),
@@ -42,7 +42,9 @@
     let mut request_number = 0;
     while !stop.load(Ordering::Relaxed) {
         request_number += 1;
-        let (kind, path) = *REQUESTS.choose(&mut rng).unwrap_or(&REQUESTS[0]);
+        let (kind, path) = *REQUEST_CHOICES
+            .choose(&mut rng)
+            .unwrap_or(&REQUEST_CHOICES[0]);
         let id = format!("s{seed}c{caller}n{request_number}");
         let close = rng.random_bool(0.3) || kind == RequestKind::Stream;
         let address = instances.choose(&mut rng).copied();
