--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -27,7 +27,7 @@
 use siskinyoke_dispatch::core::IncomingRequest;
 
 const INSTANCE_COUNT: usize = 2;
-const SLOTS: u32 = 12;
+const SLOTS_PER_ENDPOINT: u32 = 12;
 const STEP_MS: u64 = 5;
 
 /// The interval at which instances exchange reports.
@@ -96,7 +96,7 @@
             let mut core = Core::new(identity(&name, index as u64 + 1));
             core.configure(Millis(0), configuration(classes));
             for number in 0..slowdowns.len() {
-                let mut it = endpoint(&format!("e{number}"), SLOTS);
+                let mut it = endpoint(&format!("e{number}"), SLOTS_PER_ENDPOINT);
                 it.service = "lm".into();
                 core.registry().put(Millis(0), it);
             }
