--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -16,7 +16,7 @@
 use siskinyoke_dispatch::peers::Peers;
 use siskinyoke_dispatch::registry::Registry;
 
-const SLOTS: u32 = 6;
+const SLOTS_PER_ENDPOINT: u32 = 6;
 
 /// How long a request or a response is in transit, including processing by a small instance.
 const NETWORK_DELAY_MS: u64 = 10;
@@ -48,7 +48,7 @@
             name,
             service_ms,
             queue: VecDeque::new(),
-            slots: vec![0; SLOTS as usize],
+            slots: vec![0; SLOTS_PER_ENDPOINT as usize],
             busy_ms: 0,
             max_wait: 0,
         }
@@ -80,7 +80,7 @@
     let mut scheduler = Scheduler::new("me", "a");
     let mut registry = Registry::default();
     for id in ["fast", "usual"] {
-        registry.put(Millis(0), endpoint(id, SLOTS));
+        registry.put(Millis(0), endpoint(id, SLOTS_PER_ENDPOINT));
     }
     for (id, speed_factor) in [("fast", 4), ("usual", 8)] {
         let mut row = running_row(id, 0);
@@ -120,7 +120,7 @@
         }
         responses.extend(engines.iter_mut().flat_map(|it| it.start(now)));
     }
-    let used_percent = engines[0].busy_ms * 100 / (DURATION_MS * u64::from(SLOTS));
+    let used_percent = engines[0].busy_ms * 100 / (DURATION_MS * u64::from(SLOTS_PER_ENDPOINT));
     assert!(used_percent >= 92, "{used_percent} % of slot time in use");
     assert_eq!(
         engines[1].max_wait, 0,
