--- a/crates/siskinyoke-dispatch/src/core/rollouts.rs
+++ b/crates/siskinyoke-dispatch/src/core/rollouts.rs
@@ -157,14 +157,14 @@
             total, parts: 0, ..
         } => Some(is_slow(total, latencies.mean_service_time())),
         Outcome::Completed {
-            to_first_part,
+            first_latency,
             total,
             parts,
             ..
         } => {
-            let late = is_slow(to_first_part, latencies.first_part_time(&request.tokens));
+            let late = is_slow(first_latency, latencies.first_part_time(&request.tokens));
             let expected_rest = latencies.remaining_time(f64::from(parts));
-            Some(late || is_slow(total.since(to_first_part), expected_rest))
+            Some(late || is_slow(total.since(first_latency), expected_rest))
         }
         Outcome::Full | Outcome::Misdirected | Outcome::ConnectFailed | Outcome::Cancelled => None,
     }
--- a/crates/siskinyoke-dispatch/src/latency_model.rs
+++ b/crates/siskinyoke-dispatch/src/latency_model.rs
@@ -76,13 +76,13 @@
     pub fn record_completion(
         &mut self,
         tokens: &TokenCounts,
-        to_first_part: Millis,
+        first_latency: Millis,
         total: Millis,
         parts: u32,
     ) {
         self.service_time += (millis_to_f64(total) - self.service_time) * MEAN_WEIGHT;
         if parts > 1 {
-            let interval = millis_to_f64(total.since(to_first_part)) / f64::from(parts - 1);
+            let interval = millis_to_f64(total.since(first_latency)) / f64::from(parts - 1);
             self.part_interval += (interval - self.part_interval) * MEAN_WEIGHT;
         }
         if tokens.output > 0.0 && parts > 0 {
--- a/crates/siskinyoke-dispatch/src/outcome.rs
+++ b/crates/siskinyoke-dispatch/src/outcome.rs
@@ -8,7 +8,7 @@
     /// The complete response arrived.
     Completed {
         /// Time from sending the request to the first part of the response.
-        to_first_part: Millis,
+        first_latency: Millis,
         /// Time from sending the request to the end of the response.
         total: Millis,
         /// Number of parts of a streamed response, or 0 if it was not streamed.
--- a/crates/siskinyoke-dispatch/src/scheduler.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler.rs
@@ -64,7 +64,7 @@
     // The work ahead of it at the endpoint when it was sent.
     backlog: Backlog,
     // When the first part of its response arrived.
-    first_part_at: Option<Millis>,
+    responded_at: Option<Millis>,
 }
 
 // The work ahead of a request at its endpoint.
@@ -205,11 +205,11 @@
             mut request,
             endpoint,
             sent_at,
-            first_part_at,
+            responded_at,
             ..
         } = self.running.remove(&ticket)?;
         request.attempts += u32::from(outcome != Outcome::ConnectFailed);
-        if first_part_at.is_none() {
+        if responded_at.is_none() {
             self.remove_prefill_tokens(endpoint, &request);
         }
         if let Some(row) = self.in_flight.get_mut(&endpoint) {
@@ -218,24 +218,24 @@
         self.in_flight.retain(|_, row| row.count > 0);
         self.selector.record_outcome(now, endpoint, outcome);
         if let Outcome::Completed {
-            to_first_part,
+            first_latency,
             total,
             parts,
             longest_pause,
         } = outcome
         {
-            if first_part_at.is_none() {
+            if responded_at.is_none() {
                 self.record_first_part(endpoint, &request, now.since(sent_at));
             }
             self.record_remaining_parts(
                 endpoint,
                 &request,
-                total.since(to_first_part),
+                total.since(first_latency),
                 parts,
                 longest_pause,
             );
             let latency = self.latencies.entry(request.service.clone()).or_default();
-            latency.record_completion(&request.tokens, to_first_part, total, parts);
+            latency.record_completion(&request.tokens, first_latency, total, parts);
         }
         Some(request)
     }
@@ -245,11 +245,11 @@
         let Some(running) = self.running.get_mut(&ticket) else {
             return;
         };
-        running.first_part_at = Some(now);
-        let (endpoint, to_first_part) = (running.endpoint, now.since(running.sent_at));
+        running.responded_at = Some(now);
+        let (endpoint, first_latency) = (running.endpoint, now.since(running.sent_at));
         let request = running.request.clone();
         self.remove_prefill_tokens(endpoint, &request);
-        self.record_first_part(endpoint, &request, to_first_part);
+        self.record_first_part(endpoint, &request, first_latency);
     }
 
     /// Returns how long to wait for the first part of a running request's response.
--- a/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/dispatch.rs
@@ -231,7 +231,7 @@
             endpoint: key,
             sent_at: now,
             backlog,
-            first_part_at: None,
+            responded_at: None,
         };
         self.running.insert(ticket, running);
     }
--- a/crates/siskinyoke-dispatch/src/scheduler/observations.rs
+++ b/crates/siskinyoke-dispatch/src/scheduler/observations.rs
@@ -18,12 +18,12 @@
         &mut self,
         key: EndpointKey,
         request: &ScheduledRequest,
-        to_first_part: Millis,
+        first_latency: Millis,
     ) {
         let latency = self.latencies.entry(request.service.clone()).or_default();
         self.selector
-            .record_speed(key, to_first_part, latency.first_part_time(&request.tokens));
-        latency.record_first_part(&request.tokens, to_first_part);
+            .record_speed(key, first_latency, latency.first_part_time(&request.tokens));
+        latency.record_first_part(&request.tokens, first_latency);
     }
 
     // Records the time from the first to the last part of a response, and its longest pause.
--- a/crates/siskinyoke-dispatch/tests/common/mod.rs
+++ b/crates/siskinyoke-dispatch/tests/common/mod.rs
@@ -225,7 +225,7 @@
 /// Returns the outcome of a complete response after 200 ms.
 pub fn completed() -> Outcome {
     Outcome::Completed {
-        to_first_part: Millis(50),
+        first_latency: Millis(50),
         total: Millis(200),
         parts: 0,
         longest_pause: Millis::ZERO,
--- a/crates/siskinyoke-dispatch/tests/histories/world.rs
+++ b/crates/siskinyoke-dispatch/tests/histories/world.rs
@@ -396,7 +396,7 @@
                 let took = Millis(200);
                 let outcome = if succeeds {
                     Outcome::Completed {
-                        to_first_part: took,
+                        first_latency: took,
                         total: took,
                         parts: 0,
                         longest_pause: Millis::ZERO,
--- a/crates/siskinyoke-dispatch/tests/load/world.rs
+++ b/crates/siskinyoke-dispatch/tests/load/world.rs
@@ -249,7 +249,7 @@
             JobOutcome::InTime
         };
         let outcome = Outcome::Completed {
-            to_first_part: Millis((first - run.sent) as u64),
+            first_latency: Millis((first - run.sent) as u64),
             total: Millis((run.last_part - run.sent) as u64),
             parts: run.parts,
             longest_pause: Millis(run.longest_pause as u64),
--- a/crates/siskinyoke-dispatch/tests/rollouts/world.rs
+++ b/crates/siskinyoke-dispatch/tests/rollouts/world.rs
@@ -399,7 +399,7 @@
             Outcome::Failed
         } else {
             Outcome::Completed {
-                to_first_part: Millis(service_time),
+                first_latency: Millis(service_time),
                 total: Millis(service_time),
                 parts: 0,
                 longest_pause: Millis::ZERO,
--- a/crates/siskinyoke-dispatch/tests/turnaround.rs
+++ b/crates/siskinyoke-dispatch/tests/turnaround.rs
@@ -131,7 +131,7 @@
 // A complete response at the speed that the peers reported.
 fn outcome() -> Outcome {
     Outcome::Completed {
-        to_first_part: Millis(100),
+        first_latency: Millis(100),
         total: Millis(200),
         parts: 0,
         longest_pause: Millis::ZERO,
--- a/crates/siskinyoke-gateway/src/job/forwarding.rs
+++ b/crates/siskinyoke-gateway/src/job/forwarding.rs
@@ -59,7 +59,7 @@
         }
         let took = self.shell.now().since(start);
         AttemptEnd::Finished(Outcome::Completed {
-            to_first_part: took,
+            first_latency: took,
             total: took,
             parts: 0,
             longest_pause: Millis::ZERO,
@@ -86,7 +86,7 @@
         }
         let took = self.shell.now().since(start);
         AttemptEnd::Finished(Outcome::Completed {
-            to_first_part: first,
+            first_latency: first,
             total: took,
             parts: 0,
             longest_pause: Millis::ZERO,
@@ -141,7 +141,7 @@
         pool::reuse(&self.shell, endpoint, &head.headers, connection);
         let took = self.shell.now().since(start);
         AttemptEnd::Finished(Outcome::Completed {
-            to_first_part: progress.first_part.map_or(took, |it| it.since(start)),
+            first_latency: progress.first_part.map_or(took, |it| it.since(start)),
             total: took,
             parts: progress.parts,
             longest_pause: progress.longest_pause,
--- a/crates/siskinyoke-gateway/src/peer_api.rs
+++ b/crates/siskinyoke-gateway/src/peer_api.rs
@@ -115,13 +115,13 @@
         // The peer cannot provide the changes, but the store can with a single call.
         Err(FetchError::Call(StoreError::Status(StatusCode::CONFLICT))) => {
             shell.core.borrow_mut().request_store_read();
-            shell.peer_fetch_failed.notify_waiters();
+            shell.fetch_failed.notify_waiters();
         }
         Err(err) => {
             let fields = json!({ "from": from.to_string(), "error": err.to_string() });
             shell.log("handover_failed", fields);
             shell.failed_peer.set(Some((from, shell.now())));
-            shell.peer_fetch_failed.notify_waiters();
+            shell.fetch_failed.notify_waiters();
         }
     }
 }
--- a/crates/siskinyoke-gateway/src/shell.rs
+++ b/crates/siskinyoke-gateway/src/shell.rs
@@ -89,7 +89,7 @@
     /// Whether the last read or watch of the store by this instance succeeded.
     pub store_reachable: Cell<bool>,
     /// When a read or watch of the store last succeeded; at first, when the process started.
-    pub last_store_response: Cell<Millis>,
+    pub store_contact: Cell<Millis>,
     /// Whether this instance watches the store itself, rather than following a peer.
     pub watching: Cell<bool>,
     /// The UDP socket for messages between instances, once it is bound.
@@ -111,7 +111,7 @@
     /// Aborts a watch call after the store failed to answer another call.
     pub store_unresponsive: Notify,
     /// Ends the watcher's delay before its next call when fetching changes from a peer failed.
-    pub peer_fetch_failed: Notify,
+    pub fetch_failed: Notify,
     /// The peer from which fetching changes last failed, and when.
     pub failed_peer: Cell<Option<(SocketAddr, Millis)>>,
     /// Wakes the timer that reschedules queued requests.
@@ -153,7 +153,7 @@
             metrics: Metrics::new()?,
             replica: RefCell::default(),
             store_reachable: Cell::new(false),
-            last_store_response: Cell::new(BootClock.now()),
+            store_contact: Cell::new(BootClock.now()),
             watching: Cell::new(false),
             socket: OnceCell::new(),
             lending: Lending::default(),
@@ -164,7 +164,7 @@
             discovery_due: Cell::new(false),
             lease_renewal: Notify::new(),
             store_unresponsive: Notify::new(),
-            peer_fetch_failed: Notify::new(),
+            fetch_failed: Notify::new(),
             failed_peer: Cell::new(None),
             queue_timer: Notify::new(),
             shutdown_started: Notify::new(),
@@ -218,7 +218,7 @@
             "configuration": core.configuration_version(),
             "store": core.store_available(),
             "revision": core.store_revision(),
-            "store_age_ms": now.since(self.last_store_response.get()).0,
+            "store_age_ms": now.since(self.store_contact.get()).0,
         });
         self.log("refusal", fields);
     }
--- a/crates/siskinyoke-gateway/src/watcher.rs
+++ b/crates/siskinyoke-gateway/src/watcher.rs
@@ -230,14 +230,14 @@
             let delay = self.shell.core.borrow().update_batch_delay();
             tokio::select! {
                 () = sleep(delay.into()) => {}
-                () = self.shell.peer_fetch_failed.notified() => {}
+                () = self.shell.fetch_failed.notified() => {}
             }
         }
         Ok(())
     }
 
     fn call_succeeded(&mut self) {
-        self.shell.last_store_response.set(self.shell.now());
+        self.shell.store_contact.set(self.shell.now());
         self.shell.core.borrow_mut().store_call_succeeded();
         if !self.shell.store_reachable.replace(true) {
             self.shell.log("store_regained", json!({}));
--- a/crates/siskinyoke-standin/src/engine/cache.rs
+++ b/crates/siskinyoke-standin/src/engine/cache.rs
@@ -16,7 +16,7 @@
     max_blocks: usize,
     use_count: u64,
     last_uses: Map<u64, u64>,
-    by_last_use: BTreeMap<u64, u64>,
+    use_order: BTreeMap<u64, u64>,
 }
 
 /// How much of a prompt was cached.
@@ -35,7 +35,7 @@
             max_blocks,
             use_count: 0,
             last_uses: Map::default(),
-            by_last_use: BTreeMap::new(),
+            use_order: BTreeMap::new(),
         }
     }
 
@@ -71,11 +71,11 @@
     fn record_use(&mut self, digest: u64) {
         self.use_count += 1;
         if let Some(previous_use) = self.last_uses.insert(digest, self.use_count) {
-            self.by_last_use.remove(&previous_use);
+            self.use_order.remove(&previous_use);
         }
-        self.by_last_use.insert(self.use_count, digest);
+        self.use_order.insert(self.use_count, digest);
         while self.last_uses.len() > self.max_blocks {
-            let Some((_, least_recent)) = self.by_last_use.pop_first() else {
+            let Some((_, least_recent)) = self.use_order.pop_first() else {
                 return;
             };
             self.last_uses.remove(&least_recent);
