--- a/crates/siskinyoke-standin/tests/etcd.rs
+++ b/crates/siskinyoke-standin/tests/etcd.rs
@@ -128,7 +128,7 @@
 // etcd keeps a limited history. A watch from a compacted revision must fail; otherwise changes
 // would be missed for good without an error.
 #[test]
-fn a_watch_from_a_compacted_revision_fails() {
+fn the_stand_in_refuses_a_watch_from_a_compacted_revision() {
     let etcd = start_etcd();
     let revision = read_all(&etcd).revision;
     for number in 0..20_000 {
